--- a/control/cold_test.go
+++ b/control/cold_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
+	"os"
 	"slices"
 	"testing"
 
@@ -34,6 +35,15 @@
 	leaves    float64               // s after that, all caches but the cold ones drain; 0 for never
 	unheard   bool                  // processes have had no answer from warm hosts before
 	roundUp   bool                  // put in: each process sends at least one GET in each window
+	misled    float64               // multiple of the processes that each is told there are; 0 for 1
+}
+
+// toldOf is how many processes each is told there are.
+func (c coldDay) toldOf() int {
+	if c.misled == 0 {
+		return c.processes
+	}
+	return max(1, int(float64(c.processes)*c.misled))
 }
 
 // coldEvent is what falls due in a coldDay.
@@ -64,7 +74,7 @@
 
 func (c *coldRun) start(i int, now float64) {
 	s := settings()
-	s.Index, s.Dispatchers, s.Seats, s.Seed, s.WeightsTold = i, c.coldDay.processes, []int{c.coldDay.processes}, c.seed*1e6+uint64(i)+uint64(c.lives[i])*1e4, c.told
+	s.Index, s.Dispatchers, s.Seats, s.Seed, s.WeightsTold = i, c.toldOf(), []int{c.toldOf()}, c.seed*1e6+uint64(i)+uint64(c.lives[i])*1e4, c.told
 	s.Services[0].Objective = 1
 	c.wires[i] = &recorder{}
 	c.processes[i] = New(s, 0, c.wires[i])
@@ -312,6 +322,33 @@
 	}
 }
 
+// The rule binds however few or many processes there are, and whatever a cold host bears: one GET in a window or a thousand. Processes restart in the
+// middle, traffic is uneven, and some are told another number of processes than there are.
+func TestTheRuleBindsForFewAndMany(t *testing.T) {
+	days := []coldDay{
+		{name: "burst", cold: 1, told: true, load: burst},
+		{name: "burst, weights not told", cold: 1, load: burst},
+		{name: "restarts", cold: 1, told: true, load: burst, restarts: true},
+		{name: "told of twice as many", cold: 1, told: true, load: burst, misled: 2},
+		{name: "told of half as many, weights not told", cold: 1, load: burst, misled: 0.5},
+		{name: "a quiet stretch, and all others drain", cold: 1, told: true, load: burstTwice, leaves: 6}}
+	for _, day := range days {
+		for _, day.processes = range []int{1, 2, 3, 30, 300, 900} {
+			for _, day.atFirst = range []float64{1, 5, 30, 200, 1000} {
+				if (day.processes > 300 || day.atFirst > 30) && os.Getenv("ELDERWALL_COLD") == "" { // which take minutes, together
+					continue
+				}
+				t.Run(fmt.Sprint(day.name, ", ", day.processes, " processes, N ", day.atFirst), func(t *testing.T) {
+					t.Parallel()
+					falls, most := playCold(day, 1).falls()
+					assert.Zero(t, falls)
+					t.Logf("%.2f of what it bears", most)
+				})
+			}
+		}
+	}
+}
+
 // The checker finds a fault that is put in: each process may send at least one GET in a window.
 func TestOneGETByEachProcessIsTooMuch(t *testing.T) {
 	for processes, bears := range map[int]float64{30: 5, 300: 30} {
