--- a/control/api.go
+++ b/control/api.go
@@ -206,7 +206,7 @@
 	MaxAge       float64 // 0: what the delivery service allows
 	Join, Renew  bool
 	HeldOnly     bool    // the source gives only what it holds
-	Before       float64 // when its first byte must be out, on the dispatcher's clock; 0: while the GET has time
+	Before       float64 // when its first byte must be out, on the dispatcher's clock: while hosts know a repeat, and the GET is not given up
 }
 
 // Wire carries a dispatcher's answers out.
--- a/control/control.go
+++ b/control/control.go
@@ -204,7 +204,7 @@
 	}
 	h.tried()
 	s.tried()
-	before := momentOrNone(g.repeatableUntil() - tick)
+	before := math.Min(g.repeatableUntil()-tick, g.last) // a host would drop unheard what has less time
 	f := g.newForward()
 	f.host, f.source, f.at, f.work, f.crowd, f.objective = h, s, d.now, d.weigh(g), h.out, d.objective(g)
 	held := g.item.holder == h && d.now < g.item.heldTo && !g.looked
--- a/control/state.go
+++ b/control/state.go
@@ -426,14 +426,6 @@
 	return math.Inf(-1)
 }
 
-// momentOrNone is a moment, 0 for one that never comes.
-func momentOrNone(at float64) float64 {
-	if math.IsInf(at, 0) {
-		return 0
-	}
-	return at
-}
-
 // failed tells whether the last forward failed at a host: one that was turned away, or only looked, cost it nothing.
 func (g *get) failed() bool {
 	if len(g.forwards) == 0 {
--- a/fleet/channels/channels_test.go
+++ b/fleet/channels/channels_test.go
@@ -49,6 +49,34 @@
 	}
 }
 
+// The name of a withdrawn channel of total order is refused to all ways in; commands of logs that were written before give what they gave.
+func TestAWithdrawnTotalOrderIsNotDeclaredAgain(t *testing.T) {
+	for _, tt := range []struct {
+		name    string
+		order   Order
+		noReuse bool
+		refused bool
+	}{
+		{"total, by a way in", Total, true, true}, {"total, of an older log", Total, false, false}, {"another order, by a way in", BySender, true, false}} {
+		t.Run(tt.name, func(t *testing.T) {
+			l := NewLedger()
+			declare := func(generation uint64, end bool) error {
+				d := declared(tt.order, false)
+				d.Generation, d.End = generation, end
+				return l.Apply(&Command{Declare: &d, NoReuse: tt.noReuse})
+			}
+			require.NoError(t, declare(1, false))
+			require.NoError(t, declare(2, true))
+			if err := declare(3, false); tt.refused {
+				require.ErrorIs(t, err, ErrReuse)
+				assert.True(t, l.Declarations()[0].End, "it stays withdrawn")
+			} else {
+				require.NoError(t, err)
+			}
+		})
+	}
+}
+
 func entry(w string, n uint64, size int) Entry {
 	return Entry{Channel: channelName, Writer: w, Number: n, Key: "k", Body: make([]byte, size)}
 }
--- a/fleet/channels/ledger.go
+++ b/fleet/channels/ledger.go
@@ -92,6 +92,9 @@
 	Spread  uint64       `cbor:"5,keyasint,omitempty"` // a majority has the records up to this place
 	Forget  []Gone       `cbor:"6,keyasint,omitempty"` // writers whose names go; of no channel of Total
 	Life    uint64       `cbor:"7,keyasint,omitempty"` // the declaration's Since as it was then
+	// NoReuse refuses a declaration under the name of a withdrawn channel of total order. All ways in set it; without it stand the commands of logs
+	// that were written before, which must give the same state when they are read again.
+	NoReuse bool `cbor:"8,keyasint,omitempty"`
 }
 
 // Taken is how far a writer's numbers were taken, and the place of the last.
@@ -210,6 +213,9 @@
 		if c.Declare.End && (!ok || was.End) {
 			all = append(all, fmt.Errorf("channel %.20q: there is none to be ended", c.Declare.Name))
 		}
+		if c.NoReuse && ok && was.End && was.Order == Total && !c.Declare.End {
+			all = append(all, fmt.Errorf("channel %.20q: %w", c.Declare.Name, ErrReuse))
+		}
 		if c.Declare.Generation != was.Generation+1 {
 			all = append(all, fmt.Errorf("channel %.20q: written against generation %d, it has %d", c.Declare.Name, int64(c.Declare.Generation)-1, was.Generation))
 		}
--- a/fleet/channels/machine.go
+++ b/fleet/channels/machine.go
@@ -22,6 +22,8 @@
 	ErrMore    = errors.New("a higher order than is declared")
 	ErrWriters = errors.New("the channel has too many writers")
 	ErrEnded   = errors.New("the channel was withdrawn")
+	// ErrReuse refuses a declaration that could lose acknowledged entries (docs/channels.md, "Left alone").
+	ErrReuse = errors.New("a channel of total order that was withdrawn is not declared again under its name: declare another name")
 	// ErrForgotten tells that a name was let go: whether what it wrote last was kept is not known any more. A new name may go on, with the channel's clock.
 	ErrForgotten = errors.New("the writer was silent for too long, its name is forgotten: take another")
 )
--- a/internal/changelog/changelog.go
+++ b/internal/changelog/changelog.go
@@ -15,6 +15,7 @@
 
 	"github.com/rs/zerolog"
 
+	"elderwall/internal/clock"
 	"elderwall/internal/sse"
 )
 
@@ -39,6 +40,9 @@
 	State       string  `json:"lifecycle"`
 	Weight      float64 `json:"weight"`
 	StartedAtMs int64   `json:"startedAtMs"` // 0 for long ago
+
+	StartedAt float64 `json:"-"` // the same in seconds on the process's clock, where it is witnessed
+	Witnessed bool    `json:"-"`
 }
 
 // Fleet is a list of hosts, whole when Reset is set.
@@ -54,7 +58,9 @@
 	Group  int    `json:"bucket"`
 	Time   int64  `json:"time"`
 
-	Learned bool `json:"-"` // told by another dispatcher, not by the change log
+	At        float64 `json:"-"` // its time in seconds on the process's clock, where it is witnessed
+	Witnessed bool    `json:"-"`
+	Learned   bool    `json:"-"` // told by another dispatcher, not by the change log
 }
 
 // Event is one numbered change.
@@ -77,17 +83,21 @@
 	Moves   <-chan string // new addresses of the change log; nil for none
 	Log     zerolog.Logger
 	Take    func(Event)
+	Witness *Witness // puts the stamps of events on the process's clock before they are taken; nil leaves them as they are
 
 	last    int64
 	again   int64 // the event that was asked for once more; 0 for none
 	silent  bool  // no connection works
 	patient bool  // the last connection took too long
+
+	heard    clock.Instant // when a stream last said something; the start before that
+	upToDate clock.Instant // the same as of the read before the last one
 }
 
 // Follow takes new events behind what is known until the context ends. Connections that end are made anew, at
 // once where the change log has moved.
 func (f *Follower) Follow(ctx context.Context, known Known) error {
-	f.last = known.Seq
+	f.last, f.heard = known.Seq, clock.InstantNow()
 	wait := retryMin
 	for {
 		before, from := f.last, time.Now()
@@ -183,6 +193,7 @@
 		}
 		if r.InStream() {
 			f.works()
+			f.upToDate, f.heard = f.heard, clock.InstantNow()
 		}
 		for e, ok := r.Next(); ok; e, ok = r.Next() {
 			begun, times = time.Now(), 1
@@ -267,6 +278,9 @@
 			err = fmt.Errorf("%w: %d", errBroke, e.Seq)
 		}
 	}()
+	if f.Witness != nil {
+		e = f.Witness.Take(e, f.upToDate)
+	}
 	f.Take(e)
 	return nil
 }
--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -416,8 +416,11 @@
 		d.Since, d.Place = stands.Since, stands.Place // the log's
 		switch {
 		case d.Generation == stands.Generation+1 && w.fleet.voter != nil:
-			if err := w.fleet.agree(ctx, channels.Command{Declare: &d}); err == nil {
+			if err := w.fleet.agree(ctx, channels.Command{Declare: &d, NoReuse: true}); err == nil {
 				poke(w.stale)
+			} else if stands.End && !d.End && d.Order == channels.Total && !w.mismatch[d.Name] {
+				w.mismatch[d.Name] = true
+				w.fleet.Log.Warn().Err(err).Str("channel", d.Name).Msg("channels: declaration")
 			}
 		case (d.Generation > stands.Generation+1 || d.Generation == stands.Generation && d != stands) && !w.mismatch[d.Name]:
 			w.mismatch[d.Name] = true
--- a/internal/fleet/publish.go
+++ b/internal/fleet/publish.go
@@ -202,7 +202,7 @@
 		return Told{Error: fmt.Sprintf("channel %.20q: with total order a name has at most %d bytes", q.Declare.Name, longestDuty-len(channels.Duty))}
 	}
 	q.Declare.Since = 0 // the log gives it
-	if err := w.fleet.agree(ctx, channels.Command{Declare: q.Declare}); err != nil {
+	if err := w.fleet.agree(ctx, channels.Command{Declare: q.Declare, NoReuse: true}); err != nil {
 		return Told{Error: err.Error()}
 	}
 	poke(w.stale)
--- a/internal/fleet/purges.go
+++ b/internal/fleet/purges.go
@@ -8,6 +8,7 @@
 
 	"elderwall/fleet/floors"
 	"elderwall/fleet/replica"
+	"elderwall/internal/clock"
 )
 
 const (
@@ -23,7 +24,8 @@
 	take   func(floors.Floor) // nil where nobody takes them
 	gone   float64            // s after which no copy is left that is older
 
-	heard *lru.LRU[string, int64] // under the memory's lock, as are the next two
+	seen  *lru.LRU[string, sighting] // the tidier's own
+	heard *lru.LRU[string, int64]    // under the memory's lock, as are the next two
 	owed  map[string]floors.Floor
 	all   bool // all floors are to be taken: a machine was opened, or peers' word counts again
 
@@ -32,8 +34,15 @@
 	at     uint64 // place of the look that is under way; 0 for none
 }
 
+// sighting is when a floor was first seen here, with its stamp.
+type sighting struct {
+	stamp int64
+	at    clock.Instant
+}
+
 func (p *purges) begin(m *memory) {
 	p.memory, p.heard, p.owed, p.tidied = m, must(lru.NewLRU[string, int64](mostHeard, nil)), map[string]floors.Floor{}, time.Now()
+	p.seen = must(lru.NewLRU[string, sighting](mostHeard, nil))
 	m.follow[floors.ID] = append(m.follow[floors.ID], p.changed)
 }
 
@@ -76,9 +85,15 @@
 	return true
 }
 
-// past tells whether no copy is left that is older than a purge, and some time more.
-func (p *purges) past(at int64, more time.Duration) bool {
-	return time.Since(time.UnixMilli(at)) > time.Duration(p.gone*float64(time.Second))+more
+// past tells whether no copy is left that is older than a purge, and some time more, by how long ago its floor was first seen here. Guards against a
+// wall clock that is stepped forward: by the floor's own stamp one that copies are still older than would be let go.
+func (p *purges) past(key string, stamp int64, more time.Duration) bool {
+	first, ok := p.seen.Get(key)
+	if !ok || first.stamp != stamp {
+		p.seen.Add(key, sighting{stamp, clock.InstantNow()})
+		return false
+	}
+	return first.at.Since() > clock.Duration(p.gone)+more
 }
 
 func (p *purges) opened() {
@@ -101,7 +116,7 @@
 	}
 	for _, r := range all {
 		o, err := floors.Read(r.Key, r.Value)
-		if err != nil || r.Dead || p.past(o.Time, 0) {
+		if err != nil || r.Dead {
 			continue
 		}
 		p.memory.mu.Lock()
@@ -146,7 +161,7 @@
 		if r.Dot.Writer != m.fleet.Name { // whoever wrote it lets go of it first
 			more += tidyAfter
 		}
-		if o, err := floors.Read(r.Key, r.Value); err == nil && !r.Dead && p.past(o.Time, more) {
+		if o, err := floors.Read(r.Key, r.Value); err == nil && !r.Dead && p.past(r.Key, o.Time, more) {
 			past = append(past, r)
 		}
 	})
--- a/internal/front/accept.go
+++ b/internal/front/accept.go
@@ -1,13 +1,14 @@
 package front
 
 import (
-	"errors"
 	"net"
-	"slices"
 	"syscall"
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"elderwall/internal/clock"
+	"elderwall/internal/syserr"
 )
 
 // A drain accepts what the kernel holds for no longer than that: enough for a full backlog, and short beside what a drain waits for in any case. Who
@@ -38,7 +39,7 @@
 	if l == nil {
 		return
 	}
-	s.stopping.Store(time.Now().UnixNano())
+	s.stopping.Store(int64(clock.InstantNow()))
 	if at, ok := l.(stoppable); !ok || at.SetDeadline(time.Now()) != nil {
 		_ = l.Close()
 	}
@@ -52,12 +53,12 @@
 // accepts tells whether more is to be accepted. Once the server stops, that is for as long as the kernel holds connections; then the listener is closed
 // with no wait between.
 func (s *Server) accepts(l net.Listener) bool {
-	since := s.stopping.Load()
-	if since == 0 {
+	since := clock.Instant(s.stopping.Load())
+	if since.IsZero() {
 		return true
 	}
 	at, ok := l.(stoppable)
-	if !ok || time.Since(time.Unix(0, since)) > backlogIn || !waiting(at) {
+	if !ok || since.Since() > backlogIn || !waiting(at) {
 		_ = l.Close()
 		return false
 	}
@@ -71,29 +72,30 @@
 	if err != nil {
 		return false
 	}
-	_ = raw.Control(func(descriptor uintptr) {
-		n, err := unix.Poll([]unix.PollFd{{Fd: int32(descriptor), Events: unix.POLLIN}}, 0)
-		some = n > 0 && err == nil
-	})
+	_ = raw.Control(func(descriptor uintptr) { some = polled(descriptor, unix.POLLIN) != 0 })
 	return some
 }
 
-// lacks tells whether an accept failed for want of something that the end of another connection frees.
-func lacks(err error) bool {
-	return slices.ContainsFunc([]error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM},
-		func(e error) bool { return errors.Is(err, e) })
+// makeRoom ends a connection after an accept that failed for want of descriptors or memory: one that waits for its client to close, else the one that
+// is needed least is closed. Guards against idle clients that hold all descriptors: new ones would be kept out for as long as they stay. Each failure
+// ends one at most. Where none can be ended now, the next one that has nothing open any more gives way: an answer may just be being written.
+func (s *Server) makeRoom(err error) {
+	if !syserr.Lacking(err) || s.cutShort() {
+		return
+	}
+	s.lacksRoom.Store(true)
+	s.lookForRoom()
 }
 
-// makeRoom ends a connection after an accept that failed for want of descriptors: one that waits for its client to close, else the one that is
-// needed least is closed. Guards against idle clients that hold all descriptors: new ones would be kept out for as long as they stay. The accept is
-// tried again after a wait, so that each failure ends one at most.
-func (s *Server) makeRoom(err error) {
-	if !lacks(err) || s.cutShort() {
+// lookForRoom has a connection give way if one is still wanted to.
+func (s *Server) lookForRoom() {
+	if !s.lacksRoom.Load() {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.giveWay() {
+	if s.lacksRoom.Load() && s.giveWay() {
+		s.lacksRoom.Store(false)
 		s.Counts.GaveWay.Add(1)
 	}
 }
--- a/internal/front/accept_test.go
+++ b/internal/front/accept_test.go
@@ -15,6 +15,7 @@
 
 	"elderwall/internal/call"
 	"elderwall/internal/front"
+	"elderwall/internal/standin"
 	"elderwall/internal/standin/need"
 )
 
@@ -130,3 +131,101 @@
 	need.Soon(t, func() bool { return !s.Quiet() })
 	need.Soon(t, s.Quiet, "it says nothing")
 }
+
+// failing is a listener whose first accepts fail.
+type failing struct {
+	net.Listener
+	err  error
+	left atomic.Int32
+}
+
+func (l *failing) Accept() (net.Conn, error) {
+	if l.left.Add(-1) >= 0 {
+		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", l.err)}
+	}
+	return l.Listener.Accept()
+}
+
+// Whatever accept(2) fails with for a moment, the server goes on; what is wrong with one connection alone costs the next no wait, and nothing spins.
+func TestAnAcceptThatFailsForAMomentEndsNothing(t *testing.T) {
+	for _, tt := range []struct {
+		err    syscall.Errno
+		times  int32
+		atOnce bool
+	}{
+		{syscall.ECONNABORTED, 20, true}, {syscall.EPROTO, 20, true}, {syscall.ENETDOWN, 20, true}, {syscall.ENOPROTOOPT, 20, true},
+		{syscall.EHOSTDOWN, 20, true}, {syscall.ENONET, 20, true}, {syscall.EHOSTUNREACH, 20, true}, {syscall.EOPNOTSUPP, 20, true},
+		{syscall.ENETUNREACH, 20, true}, {syscall.EPERM, 20, true}, {syscall.EINTR, 20, true}, {syscall.EAGAIN, 20, true}, {syscall.ETIMEDOUT, 20, true},
+		{syscall.EMFILE, 3, false}, {syscall.ENFILE, 3, false}, {syscall.ENOBUFS, 3, false}, {syscall.ENOMEM, 3, false},
+		{syscall.EINVAL, 3, false}, {syscall.ECONNABORTED, front.FailsAtOnce + 2, false}} {
+		t.Run(tt.err.Error(), func(t *testing.T) {
+			t.Parallel()
+			l := &failing{Listener: need.Listener(t), err: tt.err}
+			l.left.Store(tt.times)
+			began := time.Now()
+			serveOn(t, &front.Server{Handler: &handler{}, Most: 16}, l)
+			assert.True(t, need.Ready(l.Addr().String()))
+			took := time.Since(began)
+			if tt.atOnce {
+				assert.Less(t, took, 4*front.AcceptAgain, "%d waits would take much longer", tt.times)
+			} else {
+				assert.GreaterOrEqual(t, took, 2*front.AcceptAgain, "it does not spin")
+			}
+		})
+	}
+}
+
+// held is a listener whose connections' writes return only when the test lets them, although the client has their bytes.
+type held struct {
+	net.Listener
+	goOn     chan bool
+	failsNow atomic.Bool
+	failed   chan bool
+}
+
+func (l *held) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	if l.failsNow.Load() {
+		_ = c.Close()
+		l.failed <- true
+		return nil, os.NewSyscallError("accept4", syscall.ENOMEM)
+	}
+	return &heldConn{c.(*net.TCPConn), l}, nil
+}
+
+type heldConn struct {
+	net.Conn // so that its writes are seen one by one
+	by       *held
+}
+
+func (c *heldConn) Write(b []byte) (int, error) {
+	n, err := c.Conn.Write(b)
+	<-c.by.goOn
+	return n, err
+}
+
+func (c *heldConn) CloseWrite() error { return c.Conn.(*net.TCPConn).CloseWrite() }
+
+// A connection whose answer is just being written when an accept fails gives way once it is, and no further accept need fail for that.
+func TestAConnectionGivesWayOnceItsAnswerIsWritten(t *testing.T) {
+	l := &held{Listener: need.Listener(t), goOn: make(chan bool), failed: make(chan bool, 1)}
+	s := &front.Server{Handler: &handler{}, Most: 16}
+	serveOn(t, s, l)
+	idle := need.Client(t, l.Addr().String())
+	need.Of(idle.Conn.Write(standin.Call("probe", 1, 1, []byte{2, 0, 1, 0})))(t)
+	l.goOn <- true // its head is written, and of its body or tail it is not known
+	l.failsNow.Store(true)
+	need.Client(t, l.Addr().String())
+	<-l.failed
+	time.Sleep(2 * front.AcceptAgain)
+	assert.Zero(t, s.Counts.GaveWay.Load(), "an answer is under way")
+	close(l.goOn)
+	need.Of(idle.Read())(t)
+	require.NoError(t, idle.Conn.SetReadDeadline(time.Now().Add(time.Second))) // long before it counts as idle
+	_, err := idle.Read()
+	assert.ErrorIs(t, err, io.EOF)
+	assert.EqualValues(t, 1, s.Counts.GaveWay.Load())
+}
--- a/internal/front/call.go
+++ b/internal/front/call.go
@@ -4,17 +4,19 @@
 	"sync/atomic"
 	"time"
 
+	"elderwall/internal/clock"
 	"elderwall/internal/thrift"
 )
 
 // Call is one open call of a client.
 type Call struct {
-	conn *conn
-	seq  int32
+	conn     *conn
+	seq      int32
+	deadline time.Time // by which its client wants the whole answer; the zero time where it did not say
 
 	stage atomic.Int32 // handing, handed or abandoned
 	mark  atomic.Int32 // its handler's
-	until atomic.Int64 // Unix ns, 0 where its handler told of none
+	until atomic.Int64 // a clock.Instant, 0 where its handler told of none
 }
 
 // What a call's stage tells.
@@ -27,7 +29,7 @@
 // Mark keeps a number of its handler's with the call, with the moment by which it must be answered.
 func (c *Call) Mark(number int, until time.Time) {
 	c.mark.Store(int32(number))
-	c.until.Store(until.UnixNano())
+	c.until.Store(int64(clock.InstantOf(until)))
 }
 
 // Origin is the number of its connection.
@@ -56,9 +58,14 @@
 // that the connection is never quiet between.
 func (c *Call) reply(r thrift.Reply) { c.conn.send(r, c) }
 
-// Open tells whether an answer is owed still.
+// Open tells whether an answer is owed still. Guards against an attempt that begins for a client that has left while the goroutine that reads its
+// connection is held up in the handler: the connection itself is asked then.
 func (c *Call) Open() bool {
+	return c.isOpen() && !(c.conn.handing.Load() && hungUp(c.conn.raw))
+}
+
+func (c *Call) isOpen() bool {
 	c.conn.mu.Lock()
 	defer c.conn.mu.Unlock()
-	return !c.conn.closed.Load() && c.conn.open[c.seq] == c
+	return !c.conn.aborted && c.conn.open[c.seq] == c
 }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -14,7 +14,8 @@
 const (
 	mostOpen  = 32                     // calls; that many may be open on one connection
 	mostQueue = 4 * mostOpen           // replies; probes too are answered, and a client may leave that many unread
-	stalled   = 5 * time.Second        // a client that has not taken a whole reply by then has gone
+	stalled   = 5 * time.Second        // a client that has not taken a byte of a reply for so long has gone
+	readsLate = time.Second            // for so long past its time a client may read its answer, if that takes longer than stalled
 	idle      = 5 * time.Second        // clients close idle connections after 4 s; one that does not is closed then
 	wholeIn   = 2 * time.Second        // a message that is not whole by then is no sign any more that its connection is needed; from its start, the first from connecting
 	often     = 2                      // uses; a connection with so many is one that its client comes back on
@@ -23,6 +24,8 @@
 	spare     = 8                      // connections; one that gives way may hold its place until its goroutines have ended
 
 	acceptAgain = 50 * time.Millisecond // wait after a failed accept: it lacks descriptors, which take time to free
+	failsAtOnce = 64                    // accepts in a row that may fail for their own connections with no wait: no more can be, or the process spins
+	cutAgain    = 5 * time.Millisecond  // between two looks for a place where all are taken
 )
 
 // Handler takes what clients send.
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -15,8 +15,10 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
+	"elderwall/internal/clock"
 	"elderwall/internal/counters"
 	"elderwall/internal/room"
+	"elderwall/internal/syserr"
 	"elderwall/stages/callers"
 )
 
@@ -31,8 +33,10 @@
 	Longest time.Duration // that a client waits for an answer: a message may take as long to be whole, and wholeIn at least
 	Devices Devices       // where the class of a client's device stands; nothing of it is looked for by the zero value
 
-	refusing atomic.Bool  // what comes now is refused
-	stopping atomic.Int64 // Unix ns since when only what the kernel holds is accepted; 0 before
+	refusing  atomic.Bool  // what comes now is refused
+	ending    atomic.Bool  // the context has ended
+	stopping  atomic.Int64 // a clock.Instant since when only what the kernel holds is accepted; 0 before
+	lacksRoom atomic.Bool  // an accept failed for want of what the end of a connection frees, and none has ended since
 
 	mu       sync.Mutex
 	listener net.Listener  // nil before it serves
@@ -47,12 +51,11 @@
 	group, ctx := errgroup.WithContext(ctx)
 	places := make(chan struct{}, s.Most)
 	accepted := s.listens(l)
+	defer context.AfterFunc(ctx, func() { s.ending.Store(true) })()
+	failed := 0 // accepts in a row that cost no wait
 	for ctx.Err() == nil && s.accepts(l) {
-		select {
-		case places <- struct{}{}:
-		default:
-			s.cutShort()
-			places <- struct{}{}
+		if !s.takePlace(ctx, places) {
+			break
 		}
 		socket, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -64,11 +67,16 @@
 		}
 		if err != nil {
 			<-places
+			if failed++; syserr.OfPeer(err) && failed < failsAtOnce { // that connection alone has failed
+				continue
+			}
 			s.Log.Warn().Err(err).Msg("accept failed")
 			s.makeRoom(err)
 			time.Sleep(acceptAgain)
 			continue
 		}
+		failed = 0
+		s.lacksRoom.Store(false)
 		s.Counts.ClientConnections.Add(1)
 		c := s.enter(socket)
 		group.Go(func() error {
@@ -82,12 +90,33 @@
 	return group.Wait()
 }
 
+// takePlace takes a place for a connection. Where all are taken, one that waits for its client's close alone is cut short; else a place is waited
+// for, and who connects waits in the kernel. False tells that the server ends.
+func (s *Server) takePlace(ctx context.Context, places chan struct{}) bool {
+	for {
+		select {
+		case places <- struct{}{}:
+			return true
+		default:
+		}
+		s.cutShort()
+		select {
+		case places <- struct{}{}:
+			return true
+		case <-ctx.Done():
+			return false
+		case <-time.After(cutAgain):
+		}
+	}
+}
+
 var connections atomic.Uint64 // of all servers
 
 // enter books a new connection, and has another one give way where there are too many, or itself if all have
-// something open: a connection with a GET under way is no place for who comes later.
+// something open: a connection with a GET under way is no place for who comes later. What has come on it by then is refused.
 func (s *Server) enter(socket net.Conn) *conn {
-	c := &conn{server: s, net: socket, raw: socket, wake: make(chan struct{}, 1), open: map[int32]*Call{}, used: time.Now()}
+	c := &conn{server: s, net: socket, raw: socket, wake: make(chan struct{}, 1), drained: make(chan struct{}, 1),
+		open: map[int32]*Call{}, used: time.Now(), looks: firstLook}
 	if over, ok := socket.(secured); ok {
 		c.raw = over.NetConn()
 	}
@@ -97,8 +126,8 @@
 	if len(s.conns) >= max(1, s.Most-min(spare, s.Most/4)) {
 		s.Counts.GaveWay.Add(1)
 		if !s.giveWay() {
-			c.shut()
-			s.leaves(c)
+			c.turnAway()
+			s.movesOut(c)
 			return c
 		}
 	}
@@ -115,7 +144,7 @@
 			return false
 		}
 		if first.shutQuiet() {
-			s.leaves(first)
+			s.movesOut(first)
 			return true
 		}
 	}
@@ -144,29 +173,27 @@
 	return least
 }
 
+// turnAway shuts a new connection that there is no place for. One that would need a handshake first is closed unread.
+func (c *conn) turnAway() {
+	if c.net != c.raw {
+		c.abort()
+		return
+	}
+	c.shut()
+}
+
 // serve runs one connection to its end.
 func (s *Server) serve(ctx context.Context, c *conn) {
 	defer s.left(c)
 	defer c.abort()
-	defer context.AfterFunc(ctx, c.shut)()
+	defer context.AfterFunc(ctx, c.terminate)()
 	if !c.closed.Load() {
 		c.guard(c.greet)
 	}
 	var writer sync.WaitGroup
-	writer.Go(func() { c.guard(c.write); c.shutWrites() })
+	writer.Go(func() { c.guard(c.write); c.finish() })
 	c.guard(c.read)
-	if !c.finish() {
-		s.mu.Lock()
-		s.leaves(c)
-		s.mu.Unlock()
-	}
-	for _, call := range c.giveUpAll() { // before what is queued is written: a client that left is told of at once
-		c.guard(func() error { s.Handler.GiveUp(call); return nil })
-	}
-	if !c.gone {
-		c.discard()
-	}
-	writer.Wait()
+	c.awaitEnd(&writer)
 	c.drop()
 }
 
@@ -187,7 +214,7 @@
 		case callers.Leaving:
 			c.shutQuiet()
 		case callers.Left:
-			c.guard(c.fail)
+			c.failAll(callers.BadCertificate.String())
 			c.shutQuiet()
 		}
 	}
@@ -203,7 +230,7 @@
 		open := slices.Collect(maps.Values(c.open))
 		c.mu.Unlock()
 		for _, call := range open {
-			if until := call.until.Load(); until != 0 && until <= by.UnixNano() && call.Marked() == mark {
+			if until := call.until.Load(); until != 0 && until <= int64(clock.InstantOf(by)) && call.Marked() == mark {
 				call.Fail("")
 				n++
 			}
@@ -222,5 +249,5 @@
 	return !slices.ContainsFunc(s.conns, func(c *conn) bool {
 		quiet, uses, used := c.standing()
 		return !quiet || !c.closed.Load() && (c.isWriting() || uses == 0 && time.Since(used) < speaksIn)
-	})
+	}) && !slices.ContainsFunc(s.leaving, func(c *conn) bool { quiet, _, _ := c.standing(); return !quiet })
 }
--- a/internal/node/hosts.go
+++ b/internal/node/hosts.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"hash/fnv"
+	"math"
 	"net/netip"
 	"slices"
 	"strings"
@@ -100,7 +101,7 @@
 		return e, fmt.Errorf("zone %q, kind %q, address %q", told.Zone, told.Kind, told.Address)
 	}
 	if told.StartedAtMs != 0 {
-		e.OnlineSince, e.OnlineSinceIsTold = n.Clock.AtUnixMs(told.StartedAtMs), true
+		e.OnlineSince, e.OnlineSinceIsTold = n.startedAt(told), true
 	}
 	if h == nil || h.phase == control.Gone || h.address != told.Address {
 		if h != nil {
@@ -116,6 +117,14 @@
 	return e, nil
 }
 
+// startedAt is when a host started, on the node's clock.
+func (n *Node) startedAt(told changelog.Host) float64 {
+	if told.Witnessed {
+		return told.StartedAt
+	}
+	return n.Clock.Witnessed(told.StartedAtMs, math.Inf(-1), n.Clock.Now())
+}
+
 // phase books what the list says of a host, with a log line where that is new.
 func (n *Node) phase(h *host, id uint32, phase control.Phase) {
 	if phase == h.phase {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -6,6 +6,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"math"
 	"runtime/debug"
 	"slices"
 	"sync"
@@ -288,16 +289,24 @@
 		} else {
 			n.Options.Counts.Purges.Add(1)
 		}
-		n.purged(now, p.Object, p.Group, p.Time)
+		n.purged(now, p.Object, p.Group, n.purgedAt(now, p))
 	}
 	if n.Variants != nil {
 		n.noticeVariants(now, e)
 	}
 }
 
-// purged tells of a purge of an object by one of its names, or of a group.
-func (n *Node) purged(now float64, object string, group int, time int64) {
-	n.module.Purged(now, object, group, now-n.Clock.AtUnixMs(time))
+// purgedAt is when a purge was, on the node's clock.
+func (n *Node) purgedAt(now float64, p *changelog.Purge) float64 {
+	if p.Witnessed {
+		return p.At
+	}
+	return n.Clock.Witnessed(p.Time, math.Inf(-1), now)
+}
+
+// purged tells of a purge, at a moment on the node's clock, of an object by one of its names, or of a group.
+func (n *Node) purged(now float64, object string, group int, at float64) {
+	n.module.Purged(now, object, group, now-at)
 	if n.joint != nil {
 		n.joint.Purged(object, group)
 	}
--- a/internal/node/shard.go
+++ b/internal/node/shard.go
@@ -12,6 +12,7 @@
 	"elderwall/control"
 	"elderwall/internal/call"
 	"elderwall/internal/changelog"
+	"elderwall/internal/clock"
 	"elderwall/internal/due"
 	"elderwall/stages/callers"
 	"elderwall/stages/shards"
@@ -44,10 +45,10 @@
 	}
 }
 
-// task is what is to be done, and when it was put in line (Unix ns).
+// task is what is to be done, and when it was put in line.
 type task struct {
 	do    func(now float64)
-	since int64
+	since clock.Instant
 }
 
 // NewTogether is empty.
@@ -69,7 +70,7 @@
 	closed  bool          // nothing new is taken in
 	told    atomic.Uint64 // notices put in line
 	heard   atomic.Uint64 // and done
-	since   atomic.Int64  // Unix ns at which the task under way was put in line, 0 while none is
+	since   atomic.Int64  // a clock.Instant at which the task under way was put in line, 0 while none is
 
 	slots [shards.Slots]uint32 // GETs since the last report; under the node's lock
 	tally shards.Tally
@@ -94,7 +95,7 @@
 	if len(l.tasks) >= most || l.closed && most < math.MaxInt {
 		return false
 	}
-	l.tasks = append(l.tasks, task{do, time.Now().UnixNano()})
+	l.tasks = append(l.tasks, task{do, clock.InstantNow()})
 	return true
 }
 
@@ -211,7 +212,7 @@
 
 // do does a task.
 func (n *Node) do(t task) {
-	n.line.since.Store(t.since)
+	n.line.since.Store(int64(t.since))
 	n.safely(n.Clock.Now(), func() { n.step(t.do) })
 }
 
@@ -256,8 +257,8 @@
 // Stalled is how long ago the task under way was put in line, 0 while there is none: a shard that stands still again
 // and again, with a little done between, stands still.
 func (n *Node) Stalled() time.Duration {
-	if since := n.line.since.Load(); since != 0 {
-		return time.Since(time.Unix(0, since))
+	if since := clock.Instant(n.line.since.Load()); !since.IsZero() {
+		return since.Since()
 	}
 	return 0
 }
--- a/internal/node/variants.go
+++ b/internal/node/variants.go
@@ -136,7 +136,7 @@
 	}
 	if p := e.Purge; p != nil {
 		for _, name := range n.Variants.Purged(p.Time, e.Order, p.Object, p.Group) {
-			n.purged(now, name, p.Group, p.Time)
+			n.purged(now, name, p.Group, n.purgedAt(now, p))
 		}
 	}
 	n.heard = max(n.heard, e.Order)
--- a/internal/service/config.go
+++ b/internal/service/config.go
@@ -95,12 +95,6 @@
 	return most
 }
 
-// endsIn is how long after SIGTERM everything is answered that is still open. Guards against requests that wait for silent hosts longer
-// than the platform waits with SIGKILL, and would never get an answer. It is never before clients have stopped coming: what waits then has its own time.
-func (c *Config) endsIn() time.Duration {
-	return max(stillComing, min(c.longest(), longestWait)+stillComing-flushIn)
-}
-
 // reload takes what of a new configuration can change while running, and names what can't.
 func (c *Config) reload(to *Config) (moved bool, kept []string) {
 	for _, part := range []struct {
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -34,19 +34,14 @@
 )
 
 const (
-	clientShare  = 3                      // clients hold at most a third of the descriptors
-	ownSockets   = 16                     // descriptors: listener, log, change log, the runtime's own, and some to spare
-	heapShare    = 0.6                    // of the memory limit, from which on the runtime collects harder
-	collectAt    = 300                    // percent of growth, of several shards: collecting takes their cores, and heapShare bounds it all the same
-	bodyShare    = 0.25                   // of it for long calls and the bodies of answers under way
-	stillComing  = 700 * time.Millisecond // for so long after SIGTERM clients may still come
-	unread       = time.Second            // for so long after the last viewer timeout clients may read
-	waiting      = 16                     // signals that may wait until they are taken
-	warnings     = 10                     // a second that are logged; bad input could bring any number
-	lookForQuiet = 10 * time.Millisecond  // how often a drain looks whether all is answered
-	longestWait  = 3 * time.Second        // of a viewer timeout, in the time until SIGKILL: the platform waits for no longer one
-	flushIn      = 400 * time.Millisecond // before SIGKILL, in which what was answered last is written and connections are closed in order
-	reviewEach   = 250 * time.Millisecond // how often connections are looked over for callers that may not stay
+	clientShare = 3                      // clients hold at most a third of the descriptors
+	ownSockets  = 16                     // descriptors: listener, log, change log, the runtime's own, and some to spare
+	heapShare   = 0.6                    // of the memory limit, from which on the runtime collects harder
+	collectAt   = 300                    // percent of growth, of several shards: collecting takes their cores, and heapShare bounds it all the same
+	bodyShare   = 0.25                   // of it for long calls and the bodies of answers under way
+	waiting     = 16                     // signals that may wait until they are taken
+	warnings    = 10                     // a second that are logged; bad input could bring any number
+	reviewEach  = 250 * time.Millisecond // how often connections are looked over for callers that may not stay
 )
 
 // Extension is what an operator's own file adds to a service.
@@ -258,10 +253,11 @@
 	if e != nil {
 		take = e.Changes(take, c.settings.OldCopies)
 	}
+	witness := &changelog.Witness{Clock: n.Clock}
 	for _, e := range c.Known.Events {
-		take(e)
+		take(witness.Take(e, 0))
 	}
-	follower := &changelog.Follower{Address: c.Changelog, Moves: s.moves, Log: log, Take: take}
+	follower := &changelog.Follower{Address: c.Changelog, Moves: s.moves, Log: log, Take: take, Witness: witness}
 	group.Go(func() error { return s.core.Run(ctx) })
 	group.Go(func() error { return follower.Follow(ctx, c.Known) })
 	for _, l := range s.listeners {
@@ -394,10 +390,11 @@
 				s.reload(read)
 			case drained == nil:
 				drained = make(chan bool)
-				defer time.AfterFunc(s.config.endsIn(), s.core.GiveUpAll).Stop()
+				plan := planShutdown(s.config.longest())
+				defer time.AfterFunc(plan.giveUpAt, s.core.GiveUpAll).Stop()
 				go func() {
 					defer close(drained)
-					drain(s.log, s.core.Drain, s, func() { s.fronts.stopAccepting(); s.closeListeners() }, s.config.longest()+unread)
+					drain(s.log, s.core.Drain, s, func() { s.fronts.stopAccepting(); s.closeListeners() }, plan)
 				}()
 			}
 		case <-s.rereading.due:
@@ -467,24 +464,3 @@
 		s.log.Warn().Msg("one module or several is changed by a restart alone")
 	}
 }
-
-// quieting is what a drain needs of the server.
-type quieting interface {
-	Close()
-	Quiet() bool
-}
-
-// drain goes on for as long as clients may still come, and then until all is answered and read, or can't be any
-// more: clients that do not read hold it up for no longer.
-func drain(log zerolog.Logger, unready func(), s quieting, deaf func(), most time.Duration) {
-	log.Info().Msg("draining")
-	unready()
-	time.Sleep(stillComing)
-	end := time.Now().Add(most)
-	deaf()
-	s.Close()
-	for !s.Quiet() && time.Now().Before(end) {
-		time.Sleep(lookForQuiet)
-	}
-	log.Info().Bool("quiet", s.Quiet()).Msg("drained")
-}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -14,13 +14,14 @@
 	"time"
 
 	"elderwall/internal/lines"
+	"elderwall/internal/syserr"
 )
 
 // conn is one connection to a host.
 type conn struct {
 	host *Host
 	wake chan struct{} // tells the writer of a change
-	idle atomic.Int64  // Unix ns since when nothing is out on it, or busy, or endedIdle
+	idle atomic.Int64  // a clock.Instant since when nothing is out on it, or busy, or endedIdle
 	stop func()        // ends a dial that is under way
 	look endLook       // the writer's
 
@@ -64,7 +65,7 @@
 	c.stop()
 	if err != nil {
 		c.givePlace()
-		if own(err) {
+		if syserr.Connecting(err) == syserr.Local {
 			return fmt.Errorf("connect: %w: %w", ErrOwn, err)
 		}
 		return fmt.Errorf("connect: %w", err)
@@ -112,22 +113,18 @@
 			<-c.wake
 			continue
 		}
-		parts := net.Buffers{it.text}
-		if f := it.forward; f != nil && it.overtaken {
+		var err error
+		switch f := it.forward; {
+		case f == nil:
+			_ = socket.SetWriteDeadline(time.Now().Add(stalled))
+			_, err = socket.Write(it.text)
+		case it.overtaken:
 			f.Done(Result{Stage: NotWritten, Err: ErrOvertaken})
-			continue
-		} else if f != nil {
-			if it.look && c.look.ended(socket) {
-				c.wrote(f, 0, 1, ErrGone)
-				return fmt.Errorf("%w by its host", ErrGone)
-			}
-			buf = f.head(buf[:0])
-			parts = net.Buffers{buf, f.Request.Body, []byte(lines.LineEnd)}
-		}
-		_ = socket.SetWriteDeadline(time.Now().Add(stalled))
-		n, err := parts.WriteTo(socket)
-		if f := it.forward; f != nil {
-			c.wrote(f, int(n), len(buf)+len(f.Request.Body), err)
+		case it.look && c.look.ended(socket):
+			c.wrote(f, 0, 1, ErrGone)
+			return fmt.Errorf("%w by its host", ErrGone)
+		default:
+			buf, err = c.writeForward(socket, f, buf)
 		}
 		if err != nil {
 			return fmt.Errorf("write: %w", err)
@@ -135,6 +132,68 @@
 	}
 }
 
+// writeForward writes a request whole, with the budget that is left when its first byte goes out. While the kernel takes none of it, as the host does
+// not read what it has, it is looked again and again whether it may still go out. Guards against a request whose client has left meanwhile, and
+// against a budget that is more than its client has left.
+func (c *conn) writeForward(socket net.Conn, f *Forward, buf []byte) ([]byte, error) {
+	end := time.Now().Add(stalled)
+	for {
+		buf = f.head(buf[:0])
+		enough := len(buf) + len(f.Request.Body)
+		parts := net.Buffers{buf, f.Request.Body, []byte(lines.LineEnd)}
+		_ = socket.SetWriteDeadline(time.Now().Add(firstByteIn))
+		n, err := parts.WriteTo(socket)
+		blocked := errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(end)
+		if blocked && n > 0 {
+			_ = socket.SetWriteDeadline(end)
+			var more int64
+			more, err = parts.WriteTo(socket)
+			n += more
+		} else if blocked {
+			switch c.stillGoesOut(f) {
+			case goesOut:
+				continue
+			case overtaken:
+				f.Done(Result{Stage: NotWritten, Err: ErrOvertaken})
+			}
+			return buf, nil
+		}
+		if syserr.Open(err) == syserr.Local {
+			err = fmt.Errorf("%w: %w", ErrOwn, err)
+		}
+		c.wrote(f, int(n), enough, err)
+		return buf, err
+	}
+}
+
+// fate is what becomes of a request of which the kernel has taken nothing yet.
+type fate int
+
+const (
+	goesOut   fate = iota
+	overtaken      // by news or by its time: whoever sent it is told
+	stopped        // whoever sent it has taken it back
+)
+
+func (c *conn) stillGoesOut(f *Forward) fate {
+	c.host.mu.Lock()
+	defer c.host.mu.Unlock()
+	now := time.Now()
+	switch {
+	case c.open[f.Request.ID] != f:
+		c.writing = nil
+		return stopped
+	case f.overtaken(now):
+		c.writing = nil
+		delete(c.open, f.Request.ID)
+		c.used = now
+		c.rest()
+		return overtaken
+	}
+	f.written = now
+	return goesOut
+}
+
 // next takes an item off the queue.
 func (c *conn) next() (it item, ok, closed bool) {
 	c.host.mu.Lock()
--- a/internal/upstream/ended.go
+++ b/internal/upstream/ended.go
@@ -35,7 +35,14 @@
 
 func (l *endLook) ask(descriptor uintptr) {
 	l.on[0] = unix.PollFd{Fd: int32(descriptor), Events: unix.POLLRDHUP}
-	if _, err := unix.Poll(l.on[:], 0); err != nil {
-		l.on[0].Revents = 0
+	for {
+		_, err := unix.Poll(l.on[:], 0)
+		if err == nil {
+			return
+		}
+		if err != unix.EINTR { // a signal has interrupted the look, which would pass for a connection that stands
+			l.on[0].Revents = 0
+			return
+		}
 	}
 }
--- a/internal/upstream/places.go
+++ b/internal/upstream/places.go
@@ -1,21 +1,14 @@
 package upstream
 
 import (
-	"errors"
-	"slices"
+	"math"
 	"sync"
-	"syscall"
 	"time"
 
 	"elderwall/hosts"
+	"elderwall/internal/clock"
 )
 
-// own tells whether a connection failed for want of something of ours, which no host is to blame for.
-func own(err error) bool {
-	return slices.ContainsFunc([]error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL},
-		func(e error) bool { return errors.Is(err, e) })
-}
-
 // Dials bounds the connections that are begun in a time.
 type Dials struct {
 	mu    sync.Mutex
@@ -68,7 +61,7 @@
 		var longest *conn
 		since := int64(0)
 		for c := range p.conns {
-			if at := c.idle.Load(); at > 0 && (longest == nil || at < since) {
+			if at := c.idle.Load(); at != busy && at != endedIdle && (longest == nil || at < since) {
 				longest, since = c, at
 			}
 		}
@@ -99,10 +92,10 @@
 	return len(p.conns)
 }
 
-// What a connection's idle time tells besides the Unix ns since when it is idle.
+// What a connection's idle time tells besides the clock.Instant since when it is idle.
 const (
-	busy      = 0  // something is out on it
-	endedIdle = -1 // it has given way, and is used no more
+	busy      = 0             // something is out on it
+	endedIdle = math.MinInt64 // it has given way, and is used no more
 )
 
 // claim takes an idle connection into use; false if it has given way.
@@ -114,6 +107,6 @@
 // rest books that nothing is out on a connection; called under its host's lock.
 func (c *conn) rest() {
 	if len(c.open) == 0 && !c.closed {
-		c.idle.CompareAndSwap(busy, c.used.UnixNano())
+		c.idle.CompareAndSwap(busy, int64(clock.InstantOf(c.used)))
 	}
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -25,6 +25,8 @@
 	// A read past its limit fails before it looks: guards against a process that got no processor for so long, whose system has the rest.
 	lastLook = 10 * time.Millisecond
 	stalled  = 5 * time.Second // a host that has not taken a whole request by then has gone
+
+	firstByteIn = 50 * time.Millisecond // for so long the kernel may take nothing of a request before it is looked whether it may still go out
 )
 
 // Stage is how far a forward came.
