--- a/internal/node/wire.go
+++ b/internal/node/wire.go
@@ -49,6 +49,7 @@
 	}
 	// What can't be told apart from a first run must not be sent again: its connections are looked at, and chosen, with more care.
 	f.Once = n.Settings.Settings.Services[g.asks.Service].Effect != control.Idempotent
+	f.Alone = !n.Settings.SecondCopies
 	if f.number > 0 {
 		f.Previous = &g.forwards[f.number-1].Forward
 	}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -42,8 +42,9 @@
 type item struct {
 	forward   *Forward
 	text      []byte
-	overtaken bool // by news, or by its time: it is taken back instead
-	look      bool // whether the host has ended the connection, before it is written
+	stops     *Forward // that the text stops
+	overtaken bool     // by news, or by its time: it is taken back instead
+	look      bool     // whether the host has ended the connection, before it is written
 }
 
 // guard ends the connection, and it alone, when what runs on it ends or panics; no descriptor of it is open then.
@@ -117,7 +118,9 @@
 		switch f := it.forward; {
 		case f == nil:
 			_ = socket.SetWriteDeadline(time.Now().Add(stalled))
-			_, err = socket.Write(it.text)
+			if _, err = socket.Write(it.text); err == nil && it.stops != nil {
+				it.stops.stopped()
+			}
 		case it.overtaken:
 			f.Done(Result{Stage: NotWritten, Err: ErrOvertaken})
 		case it.look && c.look.ended(socket):
@@ -198,12 +201,12 @@
 func (c *conn) next() (it item, ok, closed bool) {
 	c.host.mu.Lock()
 	defer c.host.mu.Unlock()
-	if c.closed || len(c.queue) == 0 {
+	i := slices.IndexFunc(c.queue, func(it item) bool { return it.forward == nil || !it.forward.awaitsStop(c) })
+	if c.closed || i < 0 {
 		return it, false, c.closed
 	}
-	it = c.queue[0]
-	c.queue[0] = item{} // the array behind the queue must not keep the request
-	c.queue = c.queue[1:]
+	it = c.queue[i]
+	c.queue = slices.Delete(c.queue, i, i+1) // which clears the place behind: the array must not keep the request
 	f := it.forward
 	if f == nil {
 		return it, true, false
@@ -366,11 +369,17 @@
 			delete(c.open, id)
 		}
 	}
+	queue := c.queue
 	c.queue = nil
 	if c.socket != nil {
 		_ = c.socket.Close()
 		c.givePlace()
 	}
+	for _, it := range queue { // the close gives up all that was out
+		if it.stops != nil {
+			it.stops.stopped()
+		}
+	}
 	c.stop() // guards against a dial that keeps a descriptor for what needs it no more; its place is given back once that is closed
 	c.signal()
 	c.host.conns = slices.DeleteFunc(c.host.conns, func(o *conn) bool { return o == c })
--- a/internal/upstream/export_test.go
+++ b/internal/upstream/export_test.go
@@ -32,3 +32,9 @@
 	var l endLook
 	return func() bool { return l.ended(c) }
 }
+
+// Stopping tells whether the STOP of a forward is queued and has not gone out.
+func (f *Forward) Stopping() bool { return f.stopping.Load() }
+
+// StopIn is for how long a forward waits for the STOP of the one before it.
+const StopIn = stopIn
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -71,8 +71,12 @@
 	// Overtaken is asked before its first byte goes out, for whether there is news that might forbid it; nil for never. It must not block.
 	Overtaken func() bool
 	Before    time.Time    // the same for as long as hosts know a repeat; the zero time for none
+	Alone     bool         // nothing of it goes out before the STOPs of the forwards before it have
 	Proofs    lines.Proofs // of its answer, once Done is called
 
+	stopping atomic.Bool          // its STOP is queued, and has not gone out
+	waits    atomic.Pointer[conn] // on which a later forward of the same request waits for that
+
 	// under the host's lock
 	conn    *conn
 	stage   Stage
@@ -232,7 +236,8 @@
 	tag := fmt.Sprint("q", c.questions)
 	c.stopped[id] = tag
 	c.doubted = c.doubted || !c.heard.After(f.written)
-	c.queue = append(c.queue, item{text: lines.AppendHello(lines.AppendStop(nil, id), tag)})
+	f.stopping.Store(true)
+	c.queue = append(c.queue, item{text: lines.AppendHello(lines.AppendStop(nil, id), tag), stops: f})
 	c.signal()
 }
 
