--- a/internal/extproc/extproc_test.go
+++ b/internal/extproc/extproc_test.go
@@ -4,12 +4,14 @@
 	"context"
 	"fmt"
 	"math"
+	"net"
 	"os"
 	"regexp"
 	"strconv"
 	"strings"
 	"sync"
 	"sync/atomic"
+	"syscall"
 	"testing"
 	"time"
 
@@ -89,12 +91,26 @@
 	}
 	n.Take(rigs.Whole(entries...))
 	o.Group.Go(func() error { return n.Run(o.Context) })
-	o.Group.Go(func() error { return r.Server.Serve(o.Context, l) })
+	o.Group.Go(func() error { return r.Server.Serve(o.Context, &firstFails{Listener: l}) })
 	r.answer = ok
 	need.Soon(t, func() bool { return r.health() == healthpb.HealthCheckResponse_SERVING })
 	return r
 }
 
+// firstFails is a listener whose first accept fails for its own connection, which ends no server.
+type firstFails struct {
+	net.Listener
+	failed bool
+}
+
+func (l *firstFails) Accept() (net.Conn, error) {
+	if !l.failed {
+		l.failed = true
+		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", syscall.EPROTO)}
+	}
+	return l.Listener.Accept()
+}
+
 func ok(string, map[string]string) proxy.Answer { return proxy.Answer{Status: 200} }
 
 // rules read objects and parts from paths.
--- a/internal/extproc/server.go
+++ b/internal/extproc/server.go
@@ -33,6 +33,7 @@
 	"elderwall/internal/counters"
 	"elderwall/internal/front"
 	"elderwall/internal/room"
+	"elderwall/internal/syserr"
 	"elderwall/stages/callers"
 	"elderwall/stages/calls"
 )
@@ -105,7 +106,7 @@
 		defer stop.Stop()
 		server.GracefulStop()
 	})
-	err := server.Serve(l)
+	err := server.Serve(syserr.Listener{Listener: l})
 	all.Wait()
 	if ctx.Err() != nil {
 		return nil
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -338,7 +338,9 @@
 	for _, tt := range []struct {
 		err error
 		own bool
-	}{{syscall.EMFILE, true}, {syscall.ENFILE, true}, {syscall.EADDRNOTAVAIL, true}, {syscall.ECONNREFUSED, false}, {syscall.EHOSTUNREACH, false}} {
+	}{{syscall.EMFILE, true}, {syscall.ENFILE, true}, {syscall.ENOBUFS, true}, {syscall.ENOMEM, true}, {syscall.EADDRNOTAVAIL, true}, {syscall.EAGAIN, true},
+		{syscall.ENETUNREACH, true}, {syscall.ENETDOWN, true}, {syscall.EPERM, true}, {syscall.EINTR, true},
+		{syscall.ECONNREFUSED, false}, {syscall.EHOSTUNREACH, false}, {syscall.ETIMEDOUT, false}, {syscall.ECONNRESET, false}} {
 		hosts, o := fleet(t, 1, 4, silent)
 		o.Dialer.Control = func(string, string, syscall.RawConn) error { return tt.err }
 		_, done := sent(t, hosts[0], "a")
