--- a/internal/fleet/disk.go
+++ b/internal/fleet/disk.go
@@ -62,7 +62,7 @@
 
 // read reads all that is kept.
 func (d *disk) read() (k council.Kept, err error) {
-	err = d.db.View(func(tx *bbolt.Tx) error {
+	err = d.view(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(metaBucket)
 		if b == nil {
 			return fresh(tx)
--- a/internal/fleet/file.go
+++ b/internal/fleet/file.go
@@ -9,6 +9,7 @@
 	"path/filepath"
 	"runtime/debug"
 	"strings"
+	"sync"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
@@ -24,18 +25,55 @@
 // file is a bbolt file that is told when it was spoilt: the voter's log and the replica's records are kept in one each. Its records bear
 // sums of their own (sealed), as the library has none for them.
 type file struct {
-	db   *bbolt.DB
 	path string
+
+	mu    sync.RWMutex // guards db, which is replaced when the file is written anew
+	db    *bbolt.DB
+	under *os.File
 }
 
+// doubted has the paths of files of which a write or sync has failed, by any opening of this process. Guards against pages that a failed sync has left
+// marked as written (fsync(2)): neither a later sync nor what is read of them tells whether the disk has them.
+var doubted sync.Map
+
 var errTorn = errors.New("a record is torn")
 
 // openFile opens a file, or makes one, and has it read. A file that is torn, cut short or flipped is errTorn; one that another process
-// has is an error within lockTime.
+// has is an error within lockTime. One that is doubted is written anew before it is read.
 func openFile(path string, read func(f *file) error) (f *file, err error) {
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 		return nil, fmt.Errorf("folder: %w", err)
 	}
+	if f, err = openWhole(path); err != nil {
+		return nil, err
+	}
+	if _, is := doubted.Load(path); is {
+		err = f.renew()
+	}
+	if err == nil {
+		err = f.guarded(func() error { return read(f) })
+	}
+	if err != nil {
+		f.close()
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	return f, nil
+}
+
+// guarded turns what a file that was cut short does to whoever maps it into errTorn.
+func (f *file) guarded(do func() error) (err error) {
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
+	defer func() {
+		if what := recover(); what != nil {
+			_ = f.under.Close() // the lock goes with it
+			err = fmt.Errorf("%w: %v", errTorn, what)
+		}
+	}()
+	return do()
+}
+
+// openWhole opens a file that bears what the library wants of it.
+func openWhole(path string) (f *file, err error) {
 	var under *os.File
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // what a file that was cut short does to whoever maps it
 	defer func() {
@@ -56,11 +94,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	f = &file{db: db, path: path}
-	if err = whole(under, int64(db.Info().PageSize)); err == nil {
-		err = read(f)
-	}
-	if err != nil {
+	f = &file{db: db, path: path, under: under}
+	if err = whole(under, int64(db.Info().PageSize)); err != nil {
 		f.close()
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -99,18 +134,92 @@
 	return nil
 }
 
-// update does a change, whole or not at all.
-func (f *file) update(sync bool, do func(tx *bbolt.Tx) error) error {
-	if sync {
+// update does a change, whole or not at all. Once one has failed at the disk, the file is written anew before the next.
+func (f *file) update(synced bool, do func(tx *bbolt.Tx) error) error {
+	if _, is := doubted.Load(f.path); is {
+		if err := f.renew(); err != nil {
+			return fmt.Errorf("%s: written anew: %w", f.path, err)
+		}
+	}
+	if synced {
 		awaitSync()
 	}
-	f.db.NoSync = !sync // whoever changes a file is one goroutine
-	if err := f.db.Update(do); err != nil {
+	f.db.NoSync = !synced // whoever changes a file is one goroutine
+	var refused error     // by do, which is not the disk's fault
+	err := f.db.Update(func(tx *bbolt.Tx) error {
+		refused = do(tx)
+		return refused
+	})
+	if err != nil && refused == nil {
+		doubted.Store(f.path, true)
+	}
+	if err != nil {
+		return fmt.Errorf("%s: %w", f.path, err)
+	}
+	return nil
+}
+
+// sync has all that was saved outlive the machine.
+func (f *file) sync() error {
+	awaitSync()
+	if err := f.db.Sync(); err != nil {
+		doubted.Store(f.path, true)
 		return fmt.Errorf("%s: %w", f.path, err)
 	}
 	return nil
 }
 
+// view reads.
+func (f *file) view(do func(tx *bbolt.Tx) error) error {
+	f.mu.RLock()
+	defer f.mu.RUnlock()
+	return f.db.View(do)
+}
+
+// renew writes all that is in the file into another one, has that on the disk, and takes it in the place of the first. It is trusted again then.
+func (f *file) renew() error {
+	anew := f.path + ".new"
+	if err := f.copyTo(anew); err != nil {
+		return err
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if err := os.Rename(anew, f.path); err != nil {
+		return err
+	}
+	if err := syncFolder(filepath.Dir(f.path)); err != nil {
+		return err
+	}
+	_ = f.db.Close()
+	opened, err := openWhole(f.path)
+	if err != nil {
+		return err
+	}
+	f.db, f.under = opened.db, opened.under
+	doubted.Delete(f.path)
+	return nil
+}
+
+func (f *file) copyTo(path string) error {
+	out, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
+	if err != nil {
+		return err
+	}
+	err = f.db.View(func(tx *bbolt.Tx) error {
+		_, err := tx.WriteTo(out)
+		return err
+	})
+	return errors.Join(err, out.Sync(), out.Close())
+}
+
+func syncFolder(path string) error {
+	folder, err := os.Open(path)
+	if err != nil {
+		return err
+	}
+	return errors.Join(folder.Sync(), folder.Close())
+}
+
 // close closes it; what was saved stays.
 func (f *file) close() { _ = f.db.Close() }
 
--- a/internal/front/close.go
+++ b/internal/front/close.go
@@ -123,7 +123,7 @@
 		return
 	}
 	c.readEnded = true
-	if !c.written && c.isQuiet() {
+	if !c.written && c.isQuiet() && c.net == c.raw { // over TLS an alert is to be written first, which may wait
 		c.written = true
 		c.shutWrites()
 	}
@@ -173,9 +173,6 @@
 	if c.aborted || c.bound != nil {
 		return
 	}
-	if over, ok := c.net.(halfCloser); ok && c.net != c.raw {
-		_ = over.CloseWrite() // the alert, so that a TLS client does not take the end for a cut
-	}
 	socket, ok := c.raw.(halfCloser)
 	if !ok {
 		c.cutOff()
@@ -191,6 +188,9 @@
 
 // finish ends the connection on the server's side once its writer has ended.
 func (c *conn) finish() {
+	if over, ok := c.net.(halfCloser); ok && c.net != c.raw {
+		_ = over.CloseWrite() // the alert, so that a TLS client does not take the end for a cut
+	}
 	c.mu.Lock()
 	c.shutWrites()
 	c.mu.Unlock()
--- a/internal/front/receive.go
+++ b/internal/front/receive.go
@@ -145,7 +145,6 @@
 	case err != nil:
 		return err
 	case admission == callOverLimit:
-		c.server.Counts.Shed.Add(1)
 		c.send(thrift.Refused(m.Seq, 0), nil)
 	case admission == callTooLate || c.server.refusing.Load():
 		call.Refuse(0)
