--- a/internal/front/close.go
+++ b/internal/front/close.go
@@ -47,6 +47,7 @@
 
 // terminate answers what is open, as its handler is about to end, and shuts the connection.
 func (c *conn) terminate() {
+	c.server.ending.Store(true) // before the wait for the client's close is bounded by it
 	c.rejectAll()
 	c.shut()
 }
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -34,7 +34,7 @@
 	Devices Devices       // where the class of a client's device stands; nothing of it is looked for by the zero value
 
 	refusing  atomic.Bool  // what comes now is refused
-	ending    atomic.Bool  // the context has ended
+	ending    atomic.Bool  // connections are told to end with the server
 	stopping  atomic.Int64 // a clock.Instant since when only what the kernel holds is accepted; 0 before
 	lacksRoom atomic.Bool  // an accept failed for want of what the end of a connection frees, and none has ended since
 
@@ -51,7 +51,6 @@
 	group, ctx := errgroup.WithContext(ctx)
 	places := make(chan struct{}, s.Most)
 	accepted := s.listens(l)
-	defer context.AfterFunc(ctx, func() { s.ending.Store(true) })()
 	failed := 0 // accepts in a row that cost no wait
 	for ctx.Err() == nil && s.accepts(l) {
 		if !s.takePlace(ctx, places) {
