--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -151,11 +151,13 @@
 		}
 		v.tell()
 	}
+	if v.overtaken() {
+		return
+	}
 	if !v.admitted {
 		v.admit(ctx)
 		return
 	}
-	v.overtaken()
 	v.machine.Tick(v.fleet.dutyNow())
 }
 
@@ -219,18 +221,20 @@
 	}
 }
 
-// overtaken finds a log that was recovered since: this one's counts no more.
-func (v *voter) overtaken() {
+// overtaken finds a log that was recovered since: this one's counts no more. It is looked for before this voter is admitted, too: once the others have
+// put their old disks aside, none is left that could answer for it.
+func (v *voter) overtaken() bool {
 	me := v.disk.kept
 	if me.Council == 0 {
-		return
+		return false
 	}
 	for _, o := range v.fleet.votes() {
 		if o.Council != 0 && o.Council != me.Council && o.Recovery > me.Recovery {
 			v.renew("the log was recovered elsewhere")
-			return
+			return true
 		}
 	}
+	return false
 }
 
 // reopen takes part again with what the disk has, as a start would. Guards against a voter that is out for good when its disk was full for a while.
