--- a/client/client.go
+++ b/client/client.go
@@ -12,8 +12,8 @@
 	"slices"
 	"time"
 
-	"elderwall/fleet/channels"
-	"elderwall/internal/fleet"
+	"elderwall/core/cluster/channel"
+	"elderwall/internal/cluster"
 )
 
 // Waits of a reader or writer that has lost its dispatcher; each is spread by chance, so that those of one that was killed don't come as a herd.
@@ -27,7 +27,7 @@
 // Fleet is where dispatchers are, and the key that opens their streams.
 type Fleet struct {
 	addresses []string
-	keys      *fleet.Keys
+	keys      *cluster.Keys
 }
 
 // Open takes addresses of dispatchers, and the path of the fleet's key file; "" where it has none. Errors: no address, a bad key file.
@@ -35,7 +35,7 @@
 	if keyFile == "" {
 		return OpenKey(addresses, "")
 	}
-	if _, err := fleet.ReadKeys(keyFile); err != nil { // its mode, too
+	if _, err := cluster.ReadKeys(keyFile); err != nil { // its mode, too
 		return nil, err
 	}
 	text, err := os.ReadFile(keyFile)
@@ -50,11 +50,11 @@
 	if len(addresses) == 0 {
 		return nil, errors.New("client: no address")
 	}
-	f := &Fleet{addresses: append([]string{}, addresses...), keys: fleet.OpenKeys()}
+	f := &Fleet{addresses: append([]string{}, addresses...), keys: cluster.OpenKeys()}
 	rand.Shuffle(len(f.addresses), func(i, j int) { f.addresses[i], f.addresses[j] = f.addresses[j], f.addresses[i] })
 	if key != "" {
 		var err error
-		if f.keys, err = fleet.ParseKeys(key); err != nil {
+		if f.keys, err = cluster.ParseKeys(key); err != nil {
 			return nil, err
 		}
 	}
@@ -62,7 +62,7 @@
 }
 
 // Note is what a reader is told: an entry, or what became of the order, as channels.Word has it.
-type Note = channels.Note
+type Note = channel.Note
 
 // First has all that begins from now on try an address first, such as the nearest; else chance says which.
 func (f *Fleet) First(address string) {
@@ -82,10 +82,10 @@
 // with what came of the note, it lets a later Follow, anywhere, go on from there. After Reset and Cut, which are told, it begins anew with all that is
 // kept. It gives the last position. A channel that is withdrawn is told as Ended, with what it kept before that; then it ends with channels.ErrEnded. The
 // position then goes on with the first entry of a channel that is declared anew under the name.
-func (f *Fleet) Follow(ctx context.Context, channel string, order channels.Order, position string, take func(Note) error) (string, error) {
+func (f *Fleet) Follow(ctx context.Context, name string, order channel.Order, position string, take func(Note) error) (string, error) {
 	at, tries, since := 0, 0, time.Now()
 	for ctx.Err() == nil {
-		s, err := fleet.AskNotes(ctx, f.addresses[at], f.keys, channels.Ask{Channel: channel, Token: position, Order: order})
+		s, err := cluster.AskNotes(ctx, f.addresses[at], f.keys, channel.Ask{Channel: name, Token: position, Order: order})
 		if err == nil {
 			stop := context.AfterFunc(ctx, func() { _ = s.Close() })
 			var some bool
@@ -101,9 +101,9 @@
 			}
 		}
 		wait := rand.Float64() * min(mostWait, firstWait*float64(uint64(1)<<min(tries, 6)))
-		var no *fleet.Refusal
+		var no *cluster.Refusal
 		switch {
-		case errors.Is(err, channels.ErrMore), errors.Is(err, channels.ErrToken), errors.Is(err, channels.ErrChannel) && time.Since(since).Seconds() > unknown:
+		case errors.Is(err, channel.ErrMore), errors.Is(err, channel.ErrToken), errors.Is(err, channel.ErrChannel) && time.Since(since).Seconds() > unknown:
 			return position, err
 		case errors.As(err, &no) && no.Later > 0:
 			wait = no.Later
@@ -116,14 +116,14 @@
 }
 
 // drain hands on what a stream tells until it ends; failed is an error of the function's.
-func (f *Fleet) drain(s *fleet.Followed, position string, take func(Note) error) (_ string, some bool, failed error) {
+func (f *Fleet) drain(s *cluster.Followed, position string, take func(Note) error) (_ string, some bool, failed error) {
 	for {
 		notes, err := s.Next()
 		if err != nil {
 			return position, some, nil
 		}
 		for _, n := range notes {
-			if n.Word == channels.Behind { // nothing has come of it: another dispatcher goes on
+			if n.Word == channel.Behind { // nothing has come of it: another dispatcher goes on
 				return position, some, nil
 			}
 			if err := take(n); err != nil {
@@ -132,10 +132,10 @@
 			if some = true; n.Position != "" {
 				position = n.Position
 			}
-			if n.Word == channels.Ended {
-				return position, some, channels.ErrEnded
+			if n.Word == channel.Ended {
+				return position, some, channel.ErrEnded
 			}
-			if n.Word == channels.Reset || n.Word == channels.Cut {
+			if n.Word == channel.Reset || n.Word == channel.Cut {
 				return "", some, nil
 			}
 		}
--- a/client/publish.go
+++ b/client/publish.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"elderwall/fleet/channels"
-	"elderwall/internal/fleet"
+	"elderwall/core/cluster/channel"
+	"elderwall/internal/cluster"
 )
 
 const (
@@ -29,7 +29,7 @@
 	Writer  string            `json:"writer"`
 	Last    uint64            `json:"last"`  // number, of those that are acknowledged
 	Clock   uint64            `json:"clock"` // of the last
-	Pending []channels.Entry  `json:"pending,omitempty"`
+	Pending []channel.Entry  `json:"pending,omitempty"`
 	After   map[string]uint64 `json:"after,omitempty"`
 }
 
@@ -78,7 +78,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for !p.clocked { // guards against a new writer whose messages would pass for older than all that stands
-		clock, err := fleet.AskClock(ctx, p.fleet.addresses[p.at], p.fleet.keys, p.channel)
+		clock, err := cluster.AskClock(ctx, p.fleet.addresses[p.at], p.fleet.keys, p.channel)
 		if err == nil {
 			p.seen.Lock()
 			p.state.Clock, p.clocked = max(p.state.Clock, clock), true
@@ -94,15 +94,15 @@
 	s := &p.state
 	number := s.Last + uint64(len(s.Pending))
 	for _, m := range all {
-		if len(m.Body) > channels.MostBody || len(m.Key) > channels.LongestKey {
+		if len(m.Body) > channel.MostBody || len(m.Key) > channel.LongestKey {
 			p.seen.Unlock()
-			return fmt.Errorf("%w: at most %d bytes of key and %d of body", channels.ErrEntry, channels.LongestKey, channels.MostBody)
+			return fmt.Errorf("%w: at most %d bytes of key and %d of body", channel.ErrEntry, channel.LongestKey, channel.MostBody)
 		}
 	}
 	for _, m := range all {
 		number++
 		s.Clock++
-		s.Pending = append(s.Pending, channels.Entry{Channel: p.channel, Key: m.Key, Writer: s.Writer, Number: number, Clock: s.Clock,
+		s.Pending = append(s.Pending, channel.Entry{Channel: p.channel, Key: m.Key, Writer: s.Writer, Number: number, Clock: s.Clock,
 			After: maps.Clone(s.After), Body: m.Body})
 	}
 	p.seen.Unlock()
@@ -123,9 +123,9 @@
 			continue
 		}
 		switch {
-		case errors.Is(err, channels.ErrEntry), errors.Is(err, channels.ErrEnded):
+		case errors.Is(err, channel.ErrEntry), errors.Is(err, channel.ErrEnded):
 			return err
-		case !errors.Is(err, channels.ErrForgotten):
+		case !errors.Is(err, channel.ErrForgotten):
 			lost = time.Time{}
 		case lost.IsZero():
 			lost = time.Now()
@@ -133,7 +133,7 @@
 			return err
 		}
 		wait := rand.Float64() * min(mostWait, firstWait*float64(uint64(1)<<min(tries, 3)))
-		if no := (*fleet.Refusal)(nil); errors.As(err, &no) && no.Later > 0 {
+		if no := (*cluster.Refusal)(nil); errors.As(err, &no) && no.Later > 0 {
 			wait = no.Later
 		}
 		tries++
@@ -152,7 +152,7 @@
 			break
 		}
 	}
-	told, err := fleet.AskEntries(ctx, p.fleet.addresses[p.at], p.fleet.keys, batch)
+	told, err := cluster.AskEntries(ctx, p.fleet.addresses[p.at], p.fleet.keys, batch)
 	if err != nil {
 		return 0, err
 	}
@@ -164,7 +164,7 @@
 	}
 	p.seen.Lock()
 	p.state.Last += uint64(n)
-	p.state.Pending = append([]channels.Entry(nil), p.state.Pending[n:]...)
+	p.state.Pending = append([]channel.Entry(nil), p.state.Pending[n:]...)
 	p.seen.Unlock()
 	return n, err
 }
@@ -174,33 +174,33 @@
 	p.seen.Lock()
 	defer p.seen.Unlock()
 	s := p.state
-	s.After, s.Pending = maps.Clone(s.After), append([]channels.Entry(nil), s.Pending...)
+	s.After, s.Pending = maps.Clone(s.After), append([]channel.Entry(nil), s.Pending...)
 	return s
 }
 
 // End has a channel withdrawn: in the next generation of its declaration.
-func (f *Fleet) End(ctx context.Context, channel string) (generation uint64, err error) {
+func (f *Fleet) End(ctx context.Context, name string) (generation uint64, err error) {
 	for _, at := range f.addresses {
-		var all []channels.Declaration
-		if all, err = fleet.AskDeclarations(ctx, at, f.keys); err != nil {
+		var all []channel.Declaration
+		if all, err = cluster.AskDeclarations(ctx, at, f.keys); err != nil {
 			continue
 		}
 		for _, d := range all {
-			if d.Name == channel && !d.End {
+			if d.Name == name && !d.End {
 				d.End = true
 				d.Generation++
 				return d.Generation, f.Declare(ctx, d)
 			}
 		}
-		err = channels.ErrChannel
+		err = channel.ErrChannel
 	}
 	return 0, err
 }
 
 // Declare has a declaration put into the fleet's log; its generation is one above the one that stands. The error names all that is wrong with it.
-func (f *Fleet) Declare(ctx context.Context, d channels.Declaration) (err error) {
+func (f *Fleet) Declare(ctx context.Context, d channel.Declaration) (err error) {
 	for _, at := range f.addresses {
-		if err = fleet.AskDeclaration(ctx, at, f.keys, d); err == nil {
+		if err = cluster.AskDeclaration(ctx, at, f.keys, d); err == nil {
 			return nil
 		}
 	}
--- a/cmd/benchlink/link.go
+++ b/cmd/benchlink/link.go
@@ -5,13 +5,13 @@
 	"io"
 	"runtime/debug"
 
-	"elderwall/control"
+	"elderwall/core/routing"
 	"elderwall/internal/benchwire"
 )
 
 // instance is one dispatcher with what the wire needs to reach it.
 type instance struct {
-	*control.Dispatcher
+	*routing.Dispatcher
 	clock   benchwire.Clock
 	service int // how many delivery services it knows
 }
@@ -102,7 +102,7 @@
 	}
 	clock := benchwire.Clock{Base: moment}
 	wire := benchwire.Wire{Reply: &l.reply, Clock: clock, Who: m.Who}
-	l.instances[m.Who] = &instance{control.New(s, 0, wire), clock, len(s.Services)}
+	l.instances[m.Who] = &instance{routing.New(s, 0, wire), clock, len(s.Services)}
 	return nil
 }
 
--- a/cmd/elderwall-operator/budgetsplay.go
+++ b/cmd/elderwall-operator/budgetsplay.go
@@ -6,8 +6,8 @@
 	"path/filepath"
 	"text/tabwriter"
 
-	"elderwall/emulate"
-	"elderwall/fleet/budgets"
+	"elderwall/emulator"
+	"elderwall/core/cluster/quota"
 	"elderwall/internal/chart"
 )
 
@@ -26,25 +26,25 @@
 }
 
 // budgetCases is what may happen; times are in seconds.
-var budgetCases = map[string]func(*emulate.BudgetScenario){
-	"calm":     func(*emulate.BudgetScenario) {},
-	"restarts": func(s *emulate.BudgetScenario) { s.Restarts = 0.1 },
-	"burst":    trouble(emulate.BudgetTrouble{Kind: emulate.Surge, At: 30, Share: 0.05}),
-	"herd":     trouble(emulate.BudgetTrouble{Kind: emulate.Die, At: 30, For: 3, Share: 0.7}),
-	"split":    trouble(emulate.BudgetTrouble{Kind: emulate.Cut, At: 30, For: 30, Share: 0.5}),
-	"move":     trouble(emulate.BudgetTrouble{Kind: emulate.Moving, At: 30, Share: 0.1}),
-	"join":     func(s *emulate.BudgetScenario) { s.Warm = 0 },
-	"less":     trouble(emulate.BudgetTrouble{Kind: emulate.Whole, At: 30, Share: 0.5}),
-	"divider":  trouble(emulate.BudgetTrouble{Kind: emulate.NoDivider, At: 30, For: 4}),
+var budgetCases = map[string]func(*emulator.BudgetScenario){
+	"calm":     func(*emulator.BudgetScenario) {},
+	"restarts": func(s *emulator.BudgetScenario) { s.Restarts = 0.1 },
+	"burst":    trouble(emulator.BudgetTrouble{Kind: emulator.Surge, At: 30, Share: 0.05}),
+	"herd":     trouble(emulator.BudgetTrouble{Kind: emulator.Die, At: 30, For: 3, Share: 0.7}),
+	"split":    trouble(emulator.BudgetTrouble{Kind: emulator.Cut, At: 30, For: 30, Share: 0.5}),
+	"move":     trouble(emulator.BudgetTrouble{Kind: emulator.Moving, At: 30, Share: 0.1}),
+	"join":     func(s *emulator.BudgetScenario) { s.Warm = 0 },
+	"less":     trouble(emulator.BudgetTrouble{Kind: emulator.Whole, At: 30, Share: 0.5}),
+	"divider":  trouble(emulator.BudgetTrouble{Kind: emulator.NoDivider, At: 30, For: 4}),
 }
 
-func trouble(t emulate.BudgetTrouble) func(*emulate.BudgetScenario) {
-	return func(s *emulate.BudgetScenario) { s.Troubles = append(s.Troubles, t) }
+func trouble(t emulator.BudgetTrouble) func(*emulator.BudgetScenario) {
+	return func(s *emulator.BudgetScenario) { s.Troubles = append(s.Troubles, t) }
 }
 
 type budgetPlayed struct {
 	Case, Way string
-	*emulate.BudgetResult
+	*emulator.BudgetResult
 }
 
 // Run plays all of them, and prints a table.
@@ -59,13 +59,13 @@
 		}
 		var lines []chart.Series
 		for _, way := range c.Ways {
-			s := emulate.BudgetDefault()
+			s := emulator.BudgetDefault()
 			s.Seed, s.Dispatchers, s.Whole, s.Demand, s.Span, s.Way = c.Seed, c.Dispatchers, c.Whole, c.Demand, c.Span, way
 			if c.Kind == "rate" {
-				s.Kind, s.Burst = budgets.Rate, c.Whole/10
+				s.Kind, s.Burst = quota.Rate, c.Whole/10
 			}
 			change(&s)
-			r, err := emulate.RunBudgets(s)
+			r, err := emulator.RunBudgets(s)
 			if err != nil {
 				return err
 			}
--- a/cmd/elderwall-operator/duties.go
+++ b/cmd/elderwall-operator/duties.go
@@ -15,34 +15,34 @@
 	"text/tabwriter"
 	"time"
 
-	"elderwall/fleet/budgets"
-	"elderwall/fleet/duties"
-	"elderwall/internal/fleet"
-	"elderwall/internal/snake"
+	"elderwall/core/cluster/quota"
+	"elderwall/core/cluster/lease"
+	"elderwall/internal/cluster"
+	"elderwall/internal/snakejson"
 )
 
-func (a asked) keys() (*fleet.Keys, error) {
+func (a asked) keys() (*cluster.Keys, error) {
 	if a.Key == "" {
-		return fleet.OpenKeys(), nil
+		return cluster.OpenKeys(), nil
 	}
-	return fleet.ReadKeys(a.Key)
+	return cluster.ReadKeys(a.Key)
 }
 
 // command has commands put into the log.
-func (a asked) command(commands ...duties.Command) error {
+func (a asked) command(commands ...lease.Command) error {
 	keys, err := a.keys()
 	if err != nil {
 		return err
 	}
-	t, err := fleet.AskDo(context.Background(), a.At, keys, commands...)
+	t, err := cluster.AskDo(context.Background(), a.At, keys, commands...)
 	if err == nil && !t.Changed {
 		err = errors.New("nothing to change")
 	}
 	return err
 }
 
-func printJSON(t fleet.Told) error {
-	raw, err := snake.Indent(t)
+func printJSON(t cluster.Told) error {
+	raw, err := snakejson.Indent(t)
 	if err == nil {
 		_, err = os.Stdout.Write(raw)
 	}
@@ -56,7 +56,7 @@
 
 // Run prints one line a duty.
 func (c *dutiesCommand) Run() error {
-	t, err := c.ask(fleet.AskDuties, 0)
+	t, err := c.ask(cluster.AskDuties, 0)
 	if err != nil {
 		return err
 	}
@@ -94,13 +94,13 @@
 
 // Run hands a duty over.
 func (c *handCommand) Run() error {
-	t, err := c.ask(fleet.AskDuties, 0)
+	t, err := c.ask(cluster.AskDuties, 0)
 	if err != nil {
 		return err
 	}
 	for _, d := range t.Duties {
 		if d.Name == c.Duty {
-			return c.command(duties.Command{Act: duties.HandOver, Duty: c.Duty, Token: d.Token, Name: c.To})
+			return c.command(lease.Command{Act: lease.HandOver, Duty: c.Duty, Token: d.Token, Name: c.To})
 		}
 	}
 	return fmt.Errorf("no duty %q", c.Duty)
@@ -113,7 +113,7 @@
 
 // Run forgets a duty.
 func (c *dropCommand) Run() error {
-	return c.command(duties.Command{Act: duties.Drop, Duty: c.Duty})
+	return c.command(lease.Command{Act: lease.Drop, Duty: c.Duty})
 }
 
 type budgetsCommand struct {
@@ -124,7 +124,7 @@
 
 // Run prints one line a budget, with a line a zone, or a dispatcher, below it.
 func (c *budgetsCommand) Run() error {
-	t, err := c.ask(fleet.AskBudgets, 0)
+	t, err := c.ask(cluster.AskBudgets, 0)
 	if err != nil {
 		return err
 	}
@@ -135,11 +135,11 @@
 	fmt.Fprintln(out, "budget\tgeneration\twhole\tdivided\tfree\tspent\treserved\tkept\tneeded\tage")
 	for _, b := range t.Budgets {
 		unit := 1.0
-		if b.Kind == budgets.Rate {
-			unit = float64(budgets.Thousand)
+		if b.Kind == quota.Rate {
+			unit = float64(quota.Thousand)
 		}
-		line := func(name, generation, whole, free, spent string, parts []fleet.ToldPart) {
-			var sum fleet.ToldPart
+		line := func(name, generation, whole, free, spent string, parts []cluster.ToldPart) {
+			var sum cluster.ToldPart
 			for _, p := range parts {
 				sum.Out, sum.Floor, sum.Keep, sum.Need, sum.Age = sum.Out+p.Out, sum.Floor+p.Floor, sum.Keep+p.Keep, sum.Need+p.Need, max(sum.Age, p.Age)
 			}
@@ -148,7 +148,7 @@
 		}
 		of := func(n int64) string { return fmt.Sprint(float64(n) / unit) }
 		line(b.Name, fmt.Sprint(b.Generation), of(b.Whole), of(b.Whole-b.Out-b.Spent), of(b.Spent), b.Parts)
-		zones := map[string][]fleet.ToldPart{}
+		zones := map[string][]cluster.ToldPart{}
 		for _, p := range b.Parts {
 			zones[p.Zone] = append(zones[p.Zone], p)
 		}
@@ -156,7 +156,7 @@
 			line("  zone "+z, "", "", "", "", zones[z])
 			for _, p := range zones[z] {
 				if c.Parts {
-					line("    "+p.Name, "", "", "", "", []fleet.ToldPart{p})
+					line("    "+p.Name, "", "", "", "", []cluster.ToldPart{p})
 				}
 			}
 		}
@@ -176,7 +176,7 @@
 	if err != nil {
 		return err
 	}
-	return fleet.AskUnits(context.Background(), c.At, keys, c.Budget, c.Units)
+	return cluster.AskUnits(context.Background(), c.At, keys, c.Budget, c.Units)
 }
 
 type votersCommand struct {
@@ -193,7 +193,7 @@
 
 // Run prints one line a voter.
 func (c *votersList) Run() error {
-	t, err := c.ask(fleet.AskDuties, 0)
+	t, err := c.ask(cluster.AskDuties, 0)
 	if err != nil {
 		return err
 	}
@@ -226,7 +226,7 @@
 
 // Run begins the log.
 func (c *foundCommand) Run() error {
-	_, err := c.ask(fleet.AskFound, 0)
+	_, err := c.ask(cluster.AskFound, 0)
 	return err
 }
 
@@ -241,11 +241,11 @@
 	if err != nil {
 		return err
 	}
-	kind := duties.Remove
+	kind := lease.Remove
 	if strings.Contains(parsed.Command(), "add") {
-		kind = duties.AddLearner
+		kind = lease.AddLearner
 	}
-	_, err = fleet.AskChange(context.Background(), c.At, keys, duties.Change{Kind: kind, ID: c.ID})
+	_, err = cluster.AskChange(context.Background(), c.At, keys, lease.Change{Kind: kind, ID: c.ID})
 	return err
 }
 
@@ -258,7 +258,7 @@
 func (c *recoverCommand) Run() error {
 	fmt.Fprintln(os.Stderr, "What the lost voters alone knew is gone: grants of the last moments are unknown, and a holder of one may act until its lease is over.")
 	fmt.Fprintln(os.Stderr, "Tokens go on far above any that was given. Voters of the old log that come back are put aside.")
-	_, err := c.ask(fleet.AskRecover, 0)
+	_, err := c.ask(cluster.AskRecover, 0)
 	return err
 }
 
@@ -305,9 +305,9 @@
 	}
 	got := make(chan os.Signal, 4)
 	signal.Notify(got, syscall.SIGTERM, syscall.SIGINT)
-	h := duties.NewHolder(c.Name, rand.Uint64()|1, c.Zone, c.Priority)
-	h.Want(c.Duty, c.Lease.Seconds(), fleet.BootTime())
-	answers, ended := make(chan fleet.Told, holdAsks), make(chan error, 1)
+	h := lease.NewHolder(c.Name, rand.Uint64()|1, c.Zone, c.Priority)
+	h.Want(c.Duty, c.Lease.Seconds(), cluster.BootTime())
+	answers, ended := make(chan cluster.Told, holdAsks), make(chan error, 1)
 	asking := 0
 	var run *exec.Cmd
 	var token uint64
@@ -319,24 +319,24 @@
 		case <-each.C:
 		case t := <-answers:
 			if asking--; t.Error == "" {
-				h.Answer(fleet.BootTime(), t.Number, t.Leases)
+				h.Answer(cluster.BootTime(), t.Number, t.Leases)
 			}
 		case err := <-ended:
 			status, finished, run = err, true, nil
-			h.Leave(fleet.BootTime())
+			h.Leave(cluster.BootTime())
 		case s := <-got:
 			if leaving = true; run != nil {
 				_ = run.Process.Signal(s)
 				asked = true
 			} else {
-				h.Leave(fleet.BootTime())
+				h.Leave(cluster.BootTime())
 			}
 		}
-		now := fleet.BootTime()
+		now := cluster.BootTime()
 		if turn, ask, _ := h.Tick(now); ask && asking < holdAsks {
 			asking++
 			go func() {
-				t, err := fleet.AskTake(context.Background(), c.At, keys, turn)
+				t, err := cluster.AskTake(context.Background(), c.At, keys, turn)
 				if err != nil {
 					t.Error = err.Error()
 				}
--- a/cmd/elderwall-operator/emulate.go
+++ b/cmd/elderwall-operator/emulate.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 	"time"
 
-	"elderwall/emulate"
+	"elderwall/emulator"
 	"elderwall/internal/scenario"
 )
 
@@ -28,7 +28,7 @@
 	Shards   int
 	Wall     float64 // s
 	Counted  float64 // s, of the scenario
-	*emulate.Result
+	*emulator.Result
 }
 
 // Run plays them all, and prints the table. A broken rule is an error.
@@ -45,7 +45,7 @@
 		}
 		for range max(1, e.Seeds) {
 			start := time.Now()
-			r, err := emulate.Run(s)
+			r, err := emulator.Run(s)
 			if err != nil {
 				return err
 			}
@@ -68,7 +68,7 @@
 func (e *emulateCommand) table(to io.Writer, all []emulated) {
 	out := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(out, "scenario (simulated)\tseed\tGETs\tin time\tshed\terrored\thits\tforwards a GET\twasted\tlost\t50%\t99% ms\tconnects/s\tconnections\tcold most\tcopies 1/10/100/1000\twall s\tbroken")
-	line := func(name string, seed uint64, t emulate.Tally) {
+	line := func(name string, seed uint64, t emulator.Tally) {
 		fmt.Fprintf(out, "%s\t%d\t%d\t%.4f\t%d\t%d\t%.3f\t%.3f\t%d\t%d\t%.1f\t%.1f", name, seed, t.GETs, t.Share(), t.Shed, t.Errored,
 			float64(t.Hits)/float64(max(1, t.Returned)), float64(t.Forwards)/float64(max(1, t.GETs+t.Again)), t.Wasted, t.Lost, t.P50, t.P99)
 	}
--- a/cmd/elderwall-operator/fleet.go
+++ b/cmd/elderwall-operator/fleet.go
@@ -11,8 +11,8 @@
 
 	"github.com/dustin/go-humanize"
 
-	"elderwall/fleet/members"
-	"elderwall/internal/fleet"
+	"elderwall/core/cluster/membership"
+	"elderwall/internal/cluster"
 )
 
 // fleetCommand asks dispatchers that know each other.
@@ -42,15 +42,15 @@
 	Key string `help:"The fleet's key file; none where it has none." placeholder:"FILE"`
 }
 
-func (a asked) ask(what string, after uint64) (fleet.Told, error) {
-	keys := fleet.OpenKeys()
+func (a asked) ask(what string, after uint64) (cluster.Told, error) {
+	keys := cluster.OpenKeys()
 	if a.Key != "" {
 		var err error
-		if keys, err = fleet.ReadKeys(a.Key); err != nil {
-			return fleet.Told{}, err
+		if keys, err = cluster.ReadKeys(a.Key); err != nil {
+			return cluster.Told{}, err
 		}
 	}
-	return fleet.Ask(context.Background(), a.At, keys, what, after)
+	return cluster.Ask(context.Background(), a.At, keys, what, after)
 }
 
 type membersCommand struct {
@@ -60,7 +60,7 @@
 
 // Run prints one line a member, the asked one first.
 func (c *membersCommand) Run() error {
-	t, err := c.ask(fleet.AskMembers, 0)
+	t, err := c.ask(cluster.AskMembers, 0)
 	if err != nil {
 		return err
 	}
@@ -70,7 +70,7 @@
 	return list(os.Stdout, t)
 }
 
-func list(to io.Writer, t fleet.Told) error {
+func list(to io.Writer, t cluster.Told) error {
 	fmt.Fprintf(to, "%s, %s: sees %d of %d (%s), sure %.2f", t.Self.Name, t.Standing, t.View.Seen, t.View.Of, t.Level, t.View.Sure)
 	if t.View.Doubt {
 		fmt.Fprint(to, ", doubts itself")
@@ -92,7 +92,7 @@
 	}
 	for _, m := range t.Members {
 		by := m.By
-		if m.State == members.Alive || m.State == members.Left {
+		if m.State == membership.Alive || m.State == membership.Left {
 			by = ""
 		}
 		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%d.%d\t%s\t%s\t%s\t%s\t%08x\t%s\n", m.Name, m.State, ago(m.Since), m.Zone, m.Incarnation>>32, uint32(m.Incarnation),
@@ -101,7 +101,7 @@
 	return out.Flush()
 }
 
-func listMemory(to io.Writer, m *fleet.ToldMemory) {
+func listMemory(to io.Writer, m *cluster.ToldMemory) {
 	standing := "has all that it heard of"
 	switch {
 	case m.Problem != "":
@@ -141,7 +141,7 @@
 	}
 	was, after, first := map[string]string{}, uint64(0), true
 	for ctx.Err() == nil {
-		t, err := c.ask(fleet.AskWatch, after)
+		t, err := c.ask(cluster.AskWatch, after)
 		if err != nil {
 			return err
 		}
@@ -149,7 +149,7 @@
 		now := map[string]string{t.Self.Name: fmt.Sprintf("%s, sees %s, %d of %d", t.Standing, t.Level, t.View.Seen, t.View.Of)}
 		for _, m := range t.Members {
 			now[m.Name] = m.State.String()
-			if m.Link != members.Clear {
+			if m.Link != membership.Clear {
 				now[m.Name] += ", " + m.Link.String()
 			}
 		}
@@ -177,7 +177,7 @@
 
 // Run has the dispatcher leave.
 func (c *leaveCommand) Run() error {
-	t, err := c.ask(fleet.AskLeave, 0)
+	t, err := c.ask(cluster.AskLeave, 0)
 	if err == nil {
 		fmt.Printf("%s has left, and serves on alone\n", t.Self.Name)
 	}
@@ -188,6 +188,6 @@
 
 // Run prints a key.
 func (fleetKeyCommand) Run() error {
-	fmt.Println(fleet.NewKey())
+	fmt.Println(cluster.NewKey())
 	return nil
 }
--- a/cmd/elderwall-operator/fleetchannels.go
+++ b/cmd/elderwall-operator/fleetchannels.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"elderwall/client"
-	"elderwall/fleet/channels"
-	"elderwall/internal/fleet"
+	"elderwall/core/cluster/channel"
+	"elderwall/internal/cluster"
 	"elderwall/internal/operator"
 )
 
@@ -43,9 +43,9 @@
 	Body       string `json:"body,omitempty"`
 }
 
-var words = map[channels.Word]string{channels.Shown: "shown", channels.Gap: "gap", channels.Reset: "reset", channels.Cut: "cut", channels.Turned: "turned", channels.Ended: "ended"}
+var words = map[channel.Word]string{channel.Shown: "shown", channel.Gap: "gap", channel.Reset: "reset", channel.Cut: "cut", channel.Turned: "turned", channel.Ended: "ended"}
 
-var orderWords = map[string]channels.Order{"": 0, "latest": channels.Latest, "key": channels.ByKey, "sender": channels.BySender, "causal": channels.Causal, "total": channels.Total}
+var orderWords = map[string]channel.Order{"": 0, "latest": channel.Latest, "key": channel.ByKey, "sender": channel.BySender, "causal": channel.Causal, "total": channel.Total}
 
 // Run prints a line of JSON a note.
 func (c *followCommand) Run() error {
@@ -81,7 +81,7 @@
 		}
 		return err
 	})
-	if ctx.Err() != nil || errors.Is(err, channels.ErrEnded) {
+	if ctx.Err() != nil || errors.Is(err, channel.ErrEnded) {
 		return nil
 	}
 	return err
@@ -143,7 +143,7 @@
 		return err
 	}
 	if from.Writer == "" {
-		from.Writer = "w-" + fleet.NewKey()[:12]
+		from.Writer = "w-" + cluster.NewKey()[:12]
 	}
 	p := f.Publisher(c.Channel, from, func(s client.State) error {
 		raw, err := json.Marshal(s)
@@ -154,7 +154,7 @@
 	})
 	if len(c.Body) == 0 {
 		in := bufio.NewScanner(os.Stdin)
-		in.Buffer(nil, channels.MostBody+1)
+		in.Buffer(nil, channel.MostBody+1)
 		for in.Scan() {
 			if err := p.Publish(ctx, client.Message{Key: c.Of, Body: []byte(in.Text())}); err != nil {
 				return err
--- a/cmd/elderwall-operator/fleetplay.go
+++ b/cmd/elderwall-operator/fleetplay.go
@@ -7,8 +7,8 @@
 	"text/tabwriter"
 	"time"
 
-	"elderwall/emulate"
-	"elderwall/internal/snake"
+	"elderwall/emulator"
+	"elderwall/internal/snakejson"
 )
 
 // fleetPlayCommand plays members with no sockets.
@@ -26,8 +26,8 @@
 }
 
 type fleetPlayed struct {
-	emulate.MembersScenario
-	*emulate.MembersResult
+	emulator.MembersScenario
+	*emulator.MembersResult
 	Wall float64 // s
 }
 
@@ -38,16 +38,16 @@
 		for _, loss := range c.Loss {
 			for _, protocol := range c.Protocol {
 				for seed := range c.Seeds {
-					s := emulate.MembersDefault()
+					s := emulator.MembersDefault()
 					s.Seed, s.Members, s.Loss, s.Protocol, s.Stalls, s.Span, s.Warm = uint64(seed+1), n, loss, protocol, c.Stalls, c.Span, c.Warm
 					for i := range c.Die {
-						s.Troubles = append(s.Troubles, emulate.MemberTrouble{Kind: emulate.Die, At: 10 + float64(i)*c.Span/float64(2*c.Die), Number: 1})
+						s.Troubles = append(s.Troubles, emulator.MemberTrouble{Kind: emulator.Die, At: 10 + float64(i)*c.Span/float64(2*c.Die), Number: 1})
 					}
 					if c.Cut > 0 {
-						s.Troubles = append(s.Troubles, emulate.MemberTrouble{Kind: emulate.Cut, At: c.Span / 2, For: 60, Share: c.Cut})
+						s.Troubles = append(s.Troubles, emulator.MemberTrouble{Kind: emulator.Cut, At: c.Span / 2, For: 60, Share: c.Cut})
 					}
 					start := time.Now()
-					r, err := emulate.RunMembers(s)
+					r, err := emulator.RunMembers(s)
 					if err != nil {
 						return err
 					}
@@ -81,7 +81,7 @@
 	if path == "" {
 		return nil
 	}
-	raw, err := snake.Indent(all)
+	raw, err := snakejson.Indent(all)
 	if err == nil {
 		err = os.WriteFile(path, raw, 0o644)
 	}
--- a/cmd/elderwall-operator/keys.go
+++ b/cmd/elderwall-operator/keys.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"elderwall/internal/token"
-	"elderwall/stages/callers"
+	"elderwall/core/admission"
 )
 
 // keysCommand keeps a key set: every change writes the file anew, whole, and a dispatcher takes it on SIGHUP.
@@ -118,7 +118,7 @@
 			if token.Find(keys, k.ID) != nil {
 				return nil, fmt.Errorf("key %q is there already", k.ID)
 			}
-			k.State, k.From = callers.Announced, 0
+			k.State, k.From = admission.Announced, 0
 			keys = append(keys, k)
 		}
 		return keys, nil
@@ -132,12 +132,12 @@
 	At    time.Time `help:"The moment (RFC 3339) from which it counts or signs no more; now without."`
 	Until time.Time `help:"The moment (RFC 3339) until which it counts; none without."`
 
-	to callers.KeyState
+	to admission.KeyState
 }
 
 // AfterApply tells each of the moves where it goes.
 func (k *keysCommand) AfterApply() error {
-	k.Activate.to, k.Retire.to = callers.Active, callers.Retiring
+	k.Activate.to, k.Retire.to = admission.Active, admission.Retiring
 	return nil
 }
 
@@ -149,7 +149,7 @@
 
 // Run revokes the key.
 func (r *revokeKey) Run() error {
-	return (&moveKey{keySet: r.keySet, ID: r.ID, to: callers.Revoked}).Run()
+	return (&moveKey{keySet: r.keySet, ID: r.ID, to: admission.Revoked}).Run()
 }
 
 // Run moves the key.
@@ -165,7 +165,7 @@
 
 // move takes the steps of a key's life in their order; what is revoked stays so.
 func (m *moveKey) move(k *token.Key, now time.Time) error {
-	if k.State >= m.to && !(k.State == callers.Active && m.to == callers.Active) {
+	if k.State >= m.to && !(k.State == admission.Active && m.to == admission.Active) {
 		return fmt.Errorf("key %q is %s, and never goes back", k.ID, token.StateName(k.State))
 	}
 	at := now
@@ -173,9 +173,9 @@
 		at = m.At
 	}
 	switch m.to {
-	case callers.Active:
+	case admission.Active:
 		k.From = unix(at)
-	case callers.Retiring:
+	case admission.Retiring:
 		k.RetiredAt = unix(at)
 	}
 	if !m.Until.IsZero() {
--- a/cmd/elderwall-operator/main.go
+++ b/cmd/elderwall-operator/main.go
@@ -9,7 +9,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"elderwall/internal/extras"
+	"elderwall/internal/extensions"
 	"elderwall/internal/service"
 )
 
@@ -37,10 +37,10 @@
 	case s.Operator == "" && s.Cores == 0:
 		return service.Serve(nil)
 	case s.Operator == "":
-		return service.Serve(func(*service.Config) (service.Extension, error) { return extras.Alone(s.Cores), nil })
+		return service.Serve(func(*service.Config) (service.Extension, error) { return extensions.Alone(s.Cores), nil })
 	}
 	return service.Serve(func(c *service.Config) (service.Extension, error) {
-		return extras.Read(s.Operator, c.Name, c.Services(), c.Repeats(), s.Cores)
+		return extensions.Read(s.Operator, c.Name, c.Services(), c.Repeats(), s.Cores)
 	})
 }
 
--- a/cmd/elderwall-operator/memoryplay.go
+++ b/cmd/elderwall-operator/memoryplay.go
@@ -11,9 +11,9 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"elderwall/emulate"
-	"elderwall/fleet/channels"
-	"elderwall/fleet/replica"
+	"elderwall/emulator"
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/replication"
 	"elderwall/internal/chart"
 )
 
@@ -55,7 +55,7 @@
 }
 
 // sizeOf is what a message takes on its way, without seals.
-func sizeOf(m *replica.Message) int {
+func sizeOf(m *replication.Message) int {
 	b, err := cbor.Marshal(m)
 	if err != nil {
 		return 0 // the machines' messages are all of plain fields
@@ -125,8 +125,8 @@
 	return nil
 }
 
-func (c *memoryPlayCommand) fleet(n int) emulate.MemoryScenario {
-	s := emulate.MemoryDefault()
+func (c *memoryPlayCommand) fleet(n int) emulator.MemoryScenario {
+	s := emulator.MemoryDefault()
 	s.Seed, s.Members, s.Writes, s.Loss, s.Size, s.Checks = c.Seed, n, c.Writes, c.Loss, sizeOf, n < 1000
 	if s.Span = 60; n >= 1000 {
 		s.Span = 30
@@ -135,9 +135,9 @@
 }
 
 func (c *memoryPlayCommand) writes() (any, error) {
-	all := make([]*emulate.MemoryResult, len(c.Members))
+	all := make([]*emulator.MemoryResult, len(c.Members))
 	if err := together(len(all), func(i int) (err error) {
-		all[i], err = emulate.RunMemory(c.fleet(c.Members[i]))
+		all[i], err = emulator.RunMemory(c.fleet(c.Members[i]))
 		return err
 	}); err != nil {
 		return nil, err
@@ -160,10 +160,10 @@
 func (c *memoryPlayCommand) heal() (any, error) {
 	type played struct {
 		Kind string
-		*emulate.MemoryResult
+		*emulator.MemoryResult
 	}
-	troubles := map[string]emulate.MemberTrouble{"half cut off": {Kind: emulate.Cut}, "a tenth ends, disks kept": {Kind: emulate.Die}, "a tenth ends, disks emptied": {Kind: emulate.Emptied},
-		"a tenth ends, older disks": {Kind: emulate.Older}}
+	troubles := map[string]emulator.MemberTrouble{"half cut off": {Kind: emulator.Cut}, "a tenth ends, disks kept": {Kind: emulator.Die}, "a tenth ends, disks emptied": {Kind: emulator.Emptied},
+		"a tenth ends, older disks": {Kind: emulator.Older}}
 	kinds := c.Troubles
 	for _, k := range kinds {
 		if _, ok := troubles[k]; !ok {
@@ -175,11 +175,11 @@
 		s := c.fleet(c.Members[i/len(kinds)])
 		s.Span = 25
 		t := troubles[kinds[i%len(kinds)]]
-		if t.At, t.For, t.Number = 5, 20, max(1, s.Members/10); t.Kind == emulate.Cut {
+		if t.At, t.For, t.Number = 5, 20, max(1, s.Members/10); t.Kind == emulator.Cut {
 			t.Number = s.Members / 2
 		}
-		s.Troubles = []emulate.MemberTrouble{t}
-		r, err := emulate.RunMemory(s)
+		s.Troubles = []emulator.MemberTrouble{t}
+		r, err := emulator.RunMemory(s)
 		all[i] = played{kinds[i%len(kinds)], r}
 		return err
 	}); err != nil {
@@ -198,22 +198,22 @@
 	type played struct {
 		Way    string
 		Differ int
-		*emulate.MemoryResult
+		*emulator.MemoryResult
 	}
 	ways := []string{"deltas", "digests", "whole"}
 	all := make([]played, len(c.Differ)*len(ways))
 	if err := together(len(all), func(i int) error {
 		s := c.fleet(3)
 		s.Records, s.Writes, s.Span, s.Quiet, s.Knows, s.Settle, s.Checks, s.Fresh = c.Records, 0, 1, float64(c.Differ[i/len(ways)]), 1, 300, false, 0
-		s.Sure = replica.Sure{}
-		s.Troubles = []emulate.MemberTrouble{{Kind: emulate.Cut, At: 1, For: 30, Number: 1}}
+		s.Sure = replication.Sure{}
+		s.Troubles = []emulator.MemberTrouble{{Kind: emulator.Cut, At: 1, For: 30, Number: 1}}
 		switch ways[i%len(ways)] {
 		case "digests": // all start anew, and know no deltas
-			s.Troubles = append(s.Troubles, emulate.MemberTrouble{Kind: emulate.Die, At: 20, For: 2, Share: 1})
+			s.Troubles = append(s.Troubles, emulator.MemberTrouble{Kind: emulator.Die, At: 20, For: 2, Share: 1})
 		case "whole":
-			s.Troubles[0].Kind = emulate.Emptied
+			s.Troubles[0].Kind = emulator.Emptied
 		}
-		r, err := emulate.RunMemory(s)
+		r, err := emulator.RunMemory(s)
 		all[i] = played{ways[i%len(ways)], c.Differ[i/len(ways)], r}
 		return err
 	}); err != nil {
@@ -247,12 +247,12 @@
 	for _, n := range []int{c.Records / 10, c.Records} {
 		for _, size := range []int{20, 100} {
 			before := heap()
-			saved := &replica.Saved{Era: 1, Vector: replica.Vector{{Writer: "n0", Era: 1, Number: uint64(n)}}}
+			saved := &replication.Saved{Era: 1, Vector: replication.Vector{{Writer: "n0", Era: 1, Number: uint64(n)}}}
 			for i := range n {
-				saved.Records = append(saved.Records, replica.Carried{Record: replica.Record{Kind: 1, Key: fmt.Sprintf("k%07d", i), Value: make([]byte, size),
-					Dot: replica.Dot{Writer: "n0", Era: 1, Number: uint64(i + 1)}}})
+				saved.Records = append(saved.Records, replication.Carried{Record: replication.Record{Kind: 1, Key: fmt.Sprintf("k%07d", i), Value: make([]byte, size),
+					Dot: replication.Dot{Writer: "n0", Era: 1, Number: uint64(i + 1)}}})
 			}
-			m, err := replica.New(replica.Settings{Name: "n1", Kinds: []replica.Kind{{ID: 1, Name: "played", Records: 2 * n, Bytes: 1 << 30, Longest: 1000, Law: func(a, b []byte) int { return 0 }}}},
+			m, err := replication.New(replication.Settings{Name: "n1", Kinds: []replication.Kind{{ID: 1, Name: "played", Records: 2 * n, Bytes: 1 << 30, Longest: 1000, Law: func(a, b []byte) int { return 0 }}}},
 				saved, 0)
 			if err != nil {
 				return nil, fmt.Errorf("record: %w", err)
@@ -272,7 +272,7 @@
 	type played struct {
 		Members, Copies int
 		Reads           float64
-		Calm, Dead, Cut *emulate.CopiesResult
+		Calm, Dead, Cut *emulator.CopiesResult
 	}
 	var all []played
 	t := newSheet(fmt.Sprintf("simulated: %d records of 130 bytes, %g writes/s: k copies by the shared order, a simulation of placement and questions", c.Records, c.Writes), "members", "copies", "reads/s a member", "bytes/s a member",
@@ -280,16 +280,16 @@
 	for _, n := range c.Members {
 		for _, k := range slices.Compact([]int{3, n}) {
 			for _, reads := range []float64{10, 1000} {
-				s := emulate.CopiesScenario{Seed: c.Seed, Members: n, Copies: k, Records: c.Records, Bytes: 130, Question: 60, Writes: c.Writes, Reads: reads, Delay: 0.002, Patience: 0.1,
+				s := emulator.CopiesScenario{Seed: c.Seed, Members: n, Copies: k, Records: c.Records, Bytes: 130, Question: 60, Writes: c.Writes, Reads: reads, Delay: 0.002, Patience: 0.1,
 					Samples: 20_000 / max(1, k/30)}
 				p := played{Members: n, Copies: k, Reads: reads}
 				var err error
 				for _, x := range []struct {
-					to        **emulate.CopiesResult
+					to        **emulator.CopiesResult
 					dead, cut float64
 				}{{&p.Calm, 0, 0}, {&p.Dead, 0.1, 0}, {&p.Cut, 0, 0.5}} {
 					if s.Dead, s.Cut = x.dead, x.cut; err == nil {
-						*x.to, err = emulate.RunCopies(s)
+						*x.to, err = emulator.RunCopies(s)
 					}
 				}
 				if err != nil {
@@ -309,21 +309,21 @@
 }
 
 // variantCases is what may happen to variants.
-var variantCases = map[string]func(*emulate.VariantsScenario){
-	"calm":          func(s *emulate.VariantsScenario) { s.Changes = 0.1 },
-	"changes":       func(s *emulate.VariantsScenario) { s.Changes, s.One = 10, 1 },
-	"silent":        func(s *emulate.VariantsScenario) { s.Changes, s.One, s.Silent = 5, 1, 1 },
-	"silent long":   func(s *emulate.VariantsScenario) { s.Changes, s.One, s.Silent, s.Lapses = 5, 1, 1, 600 },
-	"new objects":   func(s *emulate.VariantsScenario) { s.Fresh = 20 },
-	"new all kept":  func(s *emulate.VariantsScenario) { s.Fresh, s.TablesHold = 20, 30_000 },
-	"two witnesses": func(s *emulate.VariantsScenario) { s.Witnesses = 2 },
-	"cut":           func(s *emulate.VariantsScenario) { s.Changes, s.One, s.Cut, s.CutFor = 10, 1, 30, 60 },
+var variantCases = map[string]func(*emulator.VariantsScenario){
+	"calm":          func(s *emulator.VariantsScenario) { s.Changes = 0.1 },
+	"changes":       func(s *emulator.VariantsScenario) { s.Changes, s.One = 10, 1 },
+	"silent":        func(s *emulator.VariantsScenario) { s.Changes, s.One, s.Silent = 5, 1, 1 },
+	"silent long":   func(s *emulator.VariantsScenario) { s.Changes, s.One, s.Silent, s.Lapses = 5, 1, 1, 600 },
+	"new objects":   func(s *emulator.VariantsScenario) { s.Fresh = 20 },
+	"new all kept":  func(s *emulator.VariantsScenario) { s.Fresh, s.TablesHold = 20, 30_000 },
+	"two witnesses": func(s *emulator.VariantsScenario) { s.Witnesses = 2 },
+	"cut":           func(s *emulator.VariantsScenario) { s.Changes, s.One, s.Cut, s.CutFor = 10, 1, 30, 60 },
 }
 
 func (c *memoryPlayCommand) variants() (any, error) {
 	type played struct {
 		Case, Way string
-		*emulate.VariantsResult
+		*emulator.VariantsResult
 	}
 	all := make([]played, len(c.Cases)*len(c.Ways))
 	if err := together(len(all), func(i int) error {
@@ -332,10 +332,10 @@
 		if !ok {
 			return fmt.Errorf("no case %q", name)
 		}
-		s := emulate.VariantsDefault()
+		s := emulator.VariantsDefault()
 		s.Seed, s.Dispatchers, s.Way = c.Seed, c.Dispatchers, c.Ways[i%len(c.Ways)]
 		change(&s)
-		r, err := emulate.RunVariants(s)
+		r, err := emulator.RunVariants(s)
 		all[i] = played{name, s.Way, r}
 		return err
 	}); err != nil {
@@ -351,7 +351,7 @@
 			}
 			return 0
 		}
-		saved := (find(emulate.ByClass) - r.Missed) / max(1e-9, find(emulate.ByClass)-find(emulate.Knowing))
+		saved := (find(emulator.ByClass) - r.Missed) / max(1e-9, find(emulator.ByClass)-find(emulator.Knowing))
 		t.row(r.Case, r.Way, r.Hits, r.Missed, saved, r.Fills, r.Shed, r.Revenue, r.Copies, r.Spare, r.Again, r.Checked, r.Wrong, r.Older, r.Facts)
 	}
 	t.end()
@@ -381,15 +381,15 @@
 // channelCases is what may happen to channels.
 var channelCases = []struct {
 	name   string
-	change func(*emulate.ChannelsScenario)
+	change func(*emulator.ChannelsScenario)
 }{
-	{"calm", func(*emulate.ChannelsScenario) {}},
-	{"readers move each 2 s", func(s *emulate.ChannelsScenario) { s.Moves = 2 }},
-	{"a third ends for 8 s", func(s *emulate.ChannelsScenario) {
-		s.Troubles = []emulate.MemberTrouble{{Kind: emulate.Die, At: 8, For: 8, Number: max(1, s.Members/3)}}
+	{"calm", func(*emulator.ChannelsScenario) {}},
+	{"readers move each 2 s", func(s *emulator.ChannelsScenario) { s.Moves = 2 }},
+	{"a third ends for 8 s", func(s *emulator.ChannelsScenario) {
+		s.Troubles = []emulator.MemberTrouble{{Kind: emulator.Die, At: 8, For: 8, Number: max(1, s.Members/3)}}
 	}},
-	{"a third cut off for 8 s", func(s *emulate.ChannelsScenario) {
-		s.Troubles = []emulate.MemberTrouble{{Kind: emulate.Cut, At: 8, For: 8, Number: max(1, s.Members/3)}}
+	{"a third cut off for 8 s", func(s *emulator.ChannelsScenario) {
+		s.Troubles = []emulator.MemberTrouble{{Kind: emulator.Cut, At: 8, For: 8, Number: max(1, s.Members/3)}}
 	}},
 }
 
@@ -399,15 +399,15 @@
 		Order   string
 		Members int
 		Readers int
-		*emulate.ChannelsResult
+		*emulator.ChannelsResult
 	}
-	var plans []emulate.ChannelsScenario
+	var plans []emulator.ChannelsScenario
 	var all []played
 	for _, n := range c.Processes {
 		for _, readers := range c.Readers {
 			for _, x := range channelCases {
-				for order := channels.Latest; order <= channels.Total; order++ {
-					s := emulate.ChannelsDefault()
+				for order := channel.Latest; order <= channel.Total; order++ {
+					s := emulator.ChannelsDefault()
 					s.Seed, s.Members, s.Readers, s.Order = c.Seed, n, readers, order
 					x.change(&s)
 					plans, all = append(plans, s), append(all, played{Case: x.name, Order: order.String(), Members: n, Readers: readers})
@@ -416,7 +416,7 @@
 		}
 	}
 	if err := together(len(plans), func(i int) (err error) {
-		all[i].ChannelsResult, err = emulate.RunChannels(plans[i])
+		all[i].ChannelsResult, err = emulator.RunChannels(plans[i])
 		return err
 	}); err != nil {
 		return nil, err
--- a/stages/callers/callers.go
+++ b/core/admission/callers.go
@@ -1,4 +1,4 @@
-// Package callers decides who a GET comes from, whether that caller may have it, and whether its tenant has a
+// Package admission decides who a GET comes from, whether that caller may have it, and whether its tenant has a
 // share left. It is pure: no I/O, clock, lock or goroutine. Now is monotonic, in seconds from any base, and paces
 // shares; wall is Unix time in seconds, and goes with keys, tokens and certificates alone.
 //
@@ -7,7 +7,7 @@
 //     signatures only, and judged anew by each GET;
 //   - a GET that was passed on is settled by exactly one End, whatever is reloaded in between;
 //   - every table has a size: verdicts, callers, and by the operator's file keys, tenants and rules.
-package callers
+package admission
 
 import (
 	"math"
--- a/stages/callers/callers_test.go
+++ b/core/admission/callers_test.go
@@ -1,4 +1,4 @@
-package callers
+package admission
 
 import (
 	"fmt"
--- a/fleet/channels/channels_test.go
+++ b/core/cluster/channel/channels_test.go
@@ -1,4 +1,4 @@
-package channels
+package channel
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"elderwall/fleet/replica"
+	"elderwall/core/cluster/replication"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
@@ -132,7 +132,7 @@
 
 // learn gives a machine an entry as if it came by replica.
 func learn(m *Machine, now float64, e Entry) {
-	m.Learn(now, replica.Record{Kind: EntryKind, Key: e.key(), Value: packEntry(&e), Dot: replica.Dot{Writer: "other"}})
+	m.Learn(now, replication.Record{Kind: EntryKind, Key: e.key(), Value: packEntry(&e), Dot: replication.Dot{Writer: "other"}})
 }
 
 func words(notes []Note) string {
@@ -213,7 +213,7 @@
 func TestPositions(t *testing.T) {
 	full := func(d Declaration, n uint64) *Machine {
 		m := one(d)
-		m.Fleet(replica.Fleet{Decides: true, Others: []replica.Member{{Name: "n7", Alive: true}}})
+		m.Fleet(replication.Fleet{Decides: true, Others: []replication.Member{{Name: "n7", Alive: true}}})
 		for k := range n {
 			e := entry("a", k+1, 0)
 			if d.Order == Total {
@@ -319,14 +319,14 @@
 // What one alone has is not shown, nor known after a start, until another has it: it is written anew, by its writer or without.
 func TestShownOnceKept(t *testing.T) {
 	for _, o := range []Order{Latest, ByKey, BySender, Causal} {
-		var disk replica.Record
+		var disk replication.Record
 		for start, resends := range []bool{true, true, false} {
 			m := one(declared(o, o == Latest))
 			id := need.Of(m.Open(0, Ask{Channel: channelName}))(t)
 			if start > 0 {
 				m.Learn(0, disk) // before it is told who else there is
 			}
-			m.Fleet(replica.Fleet{Of: 2})
+			m.Fleet(replication.Fleet{Of: 2})
 			if resends {
 				state := need.Of(m.Write(0, entry("a", 1, 0)))(t)
 				require.Equal(t, OnWay, state, "no other is known to have it")
@@ -336,14 +336,14 @@
 			require.Len(t, puts, 1)
 			require.True(t, start == 0 || entryLaw(puts[0].Record.Value, disk.Value) > 0, "it stands over itself")
 			disk = puts[0].Record
-			disk.Dot = replica.Dot{Writer: "n0", Era: uint64(start), Number: 1}
+			disk.Dot = replication.Dot{Writer: "n0", Era: uint64(start), Number: 1}
 			m.Learn(1, disk)
 			assert.Empty(t, m.Take(1, id, 9))
-			m.Written(2, puts[0].ID, replica.Outcome{Met: start == 2, Copies: 1}, nil)
+			m.Written(2, puts[0].ID, replication.Outcome{Met: start == 2, Copies: 1}, nil)
 			assert.Equal(t, map[bool]string{true: "a1"}[start == 2], words(m.Take(2, id, 9)))
 		}
 		m := one(declared(o, o == Latest))
-		m.Fleet(replica.Fleet{Of: 2})
+		m.Fleet(replication.Fleet{Of: 2})
 		disk.Dot.Writer = "n1"
 		m.Learn(0, disk)
 		state := need.Of(m.Write(0, entry("a", 1, 0)))(t)
--- a/fleet/channels/codec.go
+++ b/core/cluster/channel/codec.go
@@ -1,4 +1,4 @@
-package channels
+package channel
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 	"maps"
 	"slices"
 
-	"elderwall/fleet/replica"
+	"elderwall/core/cluster/replication"
 
 	"github.com/cespare/xxhash/v2"
 )
@@ -21,9 +21,9 @@
 )
 
 // Kinds are those that replica has to be given.
-func Kinds() []replica.Kind {
-	return []replica.Kind{
-		{ID: EntryKind, Name: "entry", Records: 400_000, Bytes: 256 << 20, Longest: replica.MostLongest, Sync: true, Law: entryLaw, Check: checkEntry},
+func Kinds() []replication.Kind {
+	return []replication.Kind{
+		{ID: EntryKind, Name: "entry", Records: 400_000, Bytes: 256 << 20, Longest: replication.MostLongest, Sync: true, Law: entryLaw, Check: checkEntry},
 		{ID: WriterKind, Name: "writer", Records: 2 * MostChannels * (MostWriters + 1), Bytes: 8 << 20, Longest: 512, Sync: true, Law: numberLaw, Check: checkNumber},
 	}
 }
--- a/fleet/channels/contract_test.go
+++ b/core/cluster/channel/contract_test.go
@@ -1,4 +1,4 @@
-package channels
+package channel
 
 import (
 	"encoding/binary"
--- a/fleet/channels/gone.go
+++ b/core/cluster/channel/gone.go
@@ -1,10 +1,10 @@
-package channels
+package channel
 
 import (
 	"maps"
 	"slices"
 
-	"elderwall/fleet/replica"
+	"elderwall/core/cluster/replication"
 )
 
 // Forgotten takes in who was let go, as agreed: of all after what was asked for. It comes with the declarations, so that no reader is let in before it.
@@ -229,7 +229,7 @@
 }
 
 // void: a record of a writer under a life that is over, which goes; or under one that is not known here yet, and is learned anew once it is.
-func (m *Machine) void(c *channel, r replica.Record, life uint64) bool {
+func (m *Machine) void(c *channel, r replication.Record, life uint64) bool {
 	if life == c.life && (c.ended == 0 || r.Dead) {
 		return false
 	}
--- a/fleet/channels/joint_test.go
+++ b/core/cluster/channel/joint_test.go
@@ -1,4 +1,4 @@
-package channels
+package channel
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"slices"
 	"testing"
 
-	"elderwall/fleet/replica"
+	"elderwall/core/cluster/replication"
 
 	"github.com/fxamacker/cbor/v2"
 	"github.com/stretchr/testify/require"
@@ -14,11 +14,11 @@
 
 // real is a dispatcher's replica with its disk, where the world's own spreading of records is not used.
 type real struct {
-	m    *replica.Machine
+	m    *replication.Machine
 	era  uint64
-	recs map[replica.Name]replica.Carried
-	vec  map[[2]any]replica.Entry
-	ids  map[replica.Dot]uint64
+	recs map[replication.Name]replication.Carried
+	vec  map[[2]any]replication.Entry
+	ids  map[replication.Dot]uint64
 }
 
 type letter struct {
@@ -28,33 +28,33 @@
 }
 
 func newReal() *real {
-	return &real{recs: map[replica.Name]replica.Carried{}, vec: map[[2]any]replica.Entry{}}
+	return &real{recs: map[replication.Name]replication.Carried{}, vec: map[[2]any]replication.Entry{}}
 }
 
 func (w *world) startReal(i int) {
 	r := w.nodes[i].real
-	var saved *replica.Saved
+	var saved *replication.Saved
 	if len(r.recs) > 0 {
-		saved = &replica.Saved{Era: r.era}
+		saved = &replication.Saved{Era: r.era}
 		for _, c := range r.recs {
 			saved.Records = append(saved.Records, c)
 		}
 		for _, e := range r.vec {
 			saved.Vector = append(saved.Vector, e)
 		}
-		slices.SortFunc(saved.Records, func(a, b replica.Carried) int { return cmp.Compare(a.Record.Key, b.Record.Key) })
-		slices.SortFunc(saved.Vector, func(a, b replica.Entry) int {
+		slices.SortFunc(saved.Records, func(a, b replication.Carried) int { return cmp.Compare(a.Record.Key, b.Record.Key) })
+		slices.SortFunc(saved.Vector, func(a, b replication.Entry) int {
 			return cmp.Or(cmp.Compare(a.Writer, b.Writer), cmp.Compare(a.Era, b.Era))
 		})
 	}
 	var err error
-	if r.m, err = replica.New(replica.Settings{Name: fmt.Sprint("n", i), Zone: "z", Seed: w.rng.Uint64(), Interval: 0.2, Kinds: Kinds()}, saved, w.clock(i)); err != nil {
+	if r.m, err = replication.New(replication.Settings{Name: fmt.Sprint("n", i), Zone: "z", Seed: w.rng.Uint64(), Interval: 0.2, Kinds: Kinds()}, saved, w.clock(i)); err != nil {
 		panic(err)
 	}
 	r.m.Fleet(w.fleet(i), w.clock(i))
-	r.ids = map[replica.Dot]uint64{}
+	r.ids = map[replication.Dot]uint64{}
 	for _, k := range Kinds() {
-		r.m.Each(k.ID, "", func(o replica.Record) bool { w.nodes[i].m.Learn(w.clock(i), o); return true })
+		r.m.Each(k.ID, "", func(o replication.Record) bool { w.nodes[i].m.Learn(w.clock(i), o); return true })
 	}
 }
 
@@ -65,7 +65,7 @@
 		if l.at > w.now {
 			return false
 		}
-		var msg replica.Message
+		var msg replication.Message
 		if err := cbor.Unmarshal(l.raw, &msg); err != nil {
 			w.wrong("%v", err)
 		}
@@ -90,7 +90,7 @@
 				delete(r.recs, x)
 			}
 			for _, c := range s.Records {
-				r.recs[replica.Name{Kind: c.Record.Kind, Key: c.Record.Key}] = c
+				r.recs[replication.Name{Kind: c.Record.Kind, Key: c.Record.Key}] = c
 			}
 			for _, e := range s.Folded {
 				delete(r.vec, [2]any{e.Writer, e.Era})
@@ -126,7 +126,7 @@
 	if err == nil {
 		n.real.ids[dot] = p.ID
 	} else if p.ID > 0 {
-		n.m.Written(w.clock(i), p.ID, replica.Outcome{}, err)
+		n.m.Written(w.clock(i), p.ID, replication.Outcome{}, err)
 	}
 }
 
@@ -145,7 +145,7 @@
 				}
 				for _, n := range w.nodes {
 					stand := 0
-					n.real.m.Each(EntryKind, "", func(replica.Record) bool { stand++; return true })
+					n.real.m.Each(EntryKind, "", func(replication.Record) bool { stand++; return true })
 					require.True(t, !w.small() || stand <= 2*leastKept, "seed %d: %d stand", 3*k, stand)
 				}
 			}
@@ -160,10 +160,10 @@
 	e := entry("a", 1, 1)
 	w.steps(20)
 	e.Stamp = 1
-	_, err := w.nodes[0].real.m.Write(w.clock(0), EntryKind, e.key(), nil, true, replica.Sure{})
+	_, err := w.nodes[0].real.m.Write(w.clock(0), EntryKind, e.key(), nil, true, replication.Sure{})
 	require.NoError(t, err)
 	e.Stamp = 1 << 40
-	_, err = w.nodes[1].real.m.Write(w.clock(1), EntryKind, e.key(), packEntry(&e), false, replica.Sure{})
+	_, err = w.nodes[1].real.m.Write(w.clock(1), EntryKind, e.key(), packEntry(&e), false, replication.Sure{})
 	require.NoError(t, err)
 	w.steps(100)
 	for _, n := range w.nodes {
--- a/fleet/channels/machine.go
+++ b/core/cluster/channel/machine.go
@@ -1,4 +1,4 @@
-package channels
+package channel
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"elderwall/fleet/replica"
+	"elderwall/core/cluster/replication"
 )
 
 // Errors of a write and of opening. None leaves anything behind.
@@ -55,8 +55,8 @@
 // Put is a record for replica; what becomes of one with an ID is told by Written.
 type Put struct {
 	ID     uint64
-	Record replica.Record
-	Sure   replica.Sure
+	Record replication.Record
+	Sure   replication.Sure
 }
 
 // Ready is what is to be done.
@@ -100,7 +100,7 @@
 type flight struct {
 	number, id uint64
 	done       bool
-	outcome    replica.Outcome
+	outcome    replication.Outcome
 	err        error
 }
 
@@ -204,7 +204,7 @@
 func (m *Machine) Spoilt() int { return m.spoilt }
 
 // Fleet tells who else is there and whether a majority is seen. The first by name writes the tombstones: of two in a cut both may.
-func (m *Machine) Fleet(f replica.Fleet) {
+func (m *Machine) Fleet(f replication.Fleet) {
 	m.others, m.trims, m.decides, m.alone = nil, true, f.Decides, f.Of <= 1
 	for _, o := range f.Others {
 		if o.Alive {
@@ -292,7 +292,7 @@
 func (c *channel) end() uint64 { return c.first + uint64(len(c.items)) }
 
 // Learn takes a record in that replica has got, from others or from oneself.
-func (m *Machine) Learn(now float64, r replica.Record) {
+func (m *Machine) Learn(now float64, r replication.Record) {
 	name, writer, number, ep, err := readKey(r.Key)
 	var c *channel
 	if err == nil {
@@ -732,7 +732,7 @@
 		if w == "" {
 			life = 0
 		}
-		m.ready.Puts = append(m.ready.Puts, Put{Record: replica.Record{Kind: WriterKind, Key: makeKey(name, w, 0, life), Value: v}})
+		m.ready.Puts = append(m.ready.Puts, Put{Record: replication.Record{Kind: WriterKind, Key: makeKey(name, w, 0, life), Value: v}})
 	}
 	clear(c.marks)
 	if len(c.loose) == 0 {
@@ -747,7 +747,7 @@
 			break
 		}
 		c.loose[k] = now + 10*Within
-		r := replica.Record{Kind: EntryKind, Key: k, Dead: true}
+		r := replication.Record{Kind: EntryKind, Key: k, Dead: true}
 		if _, w, of, life, err := readKey(k); err == nil && of == 0 {
 			g, ok := c.gone[w]
 			if r.Kind, r.Value = WriterKind, number(0, math.MaxUint64); life == c.life && c.ended == 0 {
--- a/fleet/channels/types.go
+++ b/core/cluster/channel/types.go
@@ -1,7 +1,7 @@
-// Package channels keeps streams of notices in the order that their declaration names, at every dispatcher and over reconnections of
+// Package channel keeps streams of notices in the order that their declaration names, at every dispatcher and over reconnections of
 // writers and readers. It stands on replica (entries are records that spread) and, for total order, on a duty's token and the voters' log. It is
 // pure: entries, readers and time come in, what is to be written and shown goes out.
-package channels
+package channel
 
 // Order is how entries of a channel are put in order.
 type Order uint8
--- a/fleet/channels/world_test.go
+++ b/core/cluster/channel/world_test.go
@@ -1,4 +1,4 @@
-package channels
+package channel
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"strconv"
 	"testing"
 
-	"elderwall/fleet/replica"
+	"elderwall/core/cluster/replication"
 
 	"github.com/stretchr/testify/require"
 )
@@ -46,7 +46,7 @@
 
 type node struct {
 	m           *Machine
-	store       map[string]replica.Record
+	store       map[string]replication.Record
 	up          bool
 	side        int
 	rate, shift float64
@@ -63,7 +63,7 @@
 type outcome struct {
 	at, id int
 	boot   uint64
-	r      replica.Record
+	r      replication.Record
 	need   int
 	until  float64
 }
@@ -107,7 +107,7 @@
 func newWorld(seed uint64, d Declaration, nodes, writers, readers int, fault string) *world {
 	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), d: d, ledger: NewLedger(), token: 1, sent: map[string]Entry{}, acked: map[string]bool{}, fault: fault}
 	for range nodes {
-		w.nodes = append(w.nodes, &node{real: newReal(), store: map[string]replica.Record{}, rate: 0.99 + 0.02*w.rng.Float64(), shift: 100 * w.rng.Float64()})
+		w.nodes = append(w.nodes, &node{real: newReal(), store: map[string]replication.Record{}, rate: 0.99 + 0.02*w.rng.Float64(), shift: 100 * w.rng.Float64()})
 	}
 	w.saved = w.ledger.Save()
 	if err := w.ledger.Apply(&Command{Declare: &d}); err != nil {
@@ -152,7 +152,7 @@
 	}
 }
 
-func stands(a, b replica.Record) int {
+func stands(a, b replication.Record) int {
 	for _, k := range Kinds() {
 		if k.ID == a.Kind {
 			if c := k.Law(a.Value, b.Value); c != 0 {
@@ -166,7 +166,7 @@
 	return bytes.Compare(a.Value, b.Value)
 }
 
-func (w *world) give(i int, r replica.Record) bool {
+func (w *world) give(i int, r replication.Record) bool {
 	n := w.nodes[i]
 	if was, ok := n.store[r.Key]; ok && stands(r, was) <= 0 {
 		return false
@@ -189,11 +189,11 @@
 	return w.nodes[i].up && k > len(w.nodes)/2
 }
 
-func (w *world) fleet(i int) replica.Fleet {
-	f := replica.Fleet{Of: len(w.nodes), Decides: w.majority(i)}
+func (w *world) fleet(i int) replication.Fleet {
+	f := replication.Fleet{Of: len(w.nodes), Decides: w.majority(i)}
 	for j, o := range w.nodes {
 		if j != i {
-			f.Others = append(f.Others, replica.Member{Name: fmt.Sprint("n", j), Zone: "z", Alive: o.up && o.side == w.nodes[i].side, Counted: true})
+			f.Others = append(f.Others, replication.Member{Name: fmt.Sprint("n", j), Zone: "z", Alive: o.up && o.side == w.nodes[i].side, Counted: true})
 		}
 	}
 	return f
@@ -261,7 +261,7 @@
 		r := n.m.Ready()
 		if r.Relearn && w.fault == "real" {
 			for _, k := range Kinds() {
-				n.real.m.Each(k.ID, "", func(o replica.Record) bool { n.m.Learn(w.clock(i), o); return true })
+				n.real.m.Each(k.ID, "", func(o replication.Record) bool { n.m.Learn(w.clock(i), o); return true })
 			}
 		} else if r.Relearn {
 			for _, k := range slices.Sorted(maps.Keys(n.store)) {
@@ -280,7 +280,7 @@
 					if l.Epoch != c.Epoch {
 						e.Since = l.Next
 					}
-					n.m.Learn(w.clock(i), replica.Record{Kind: EntryKind, Key: e.key(), Value: packEntry(&e)})
+					n.m.Learn(w.clock(i), replication.Record{Kind: EntryKind, Key: e.key(), Value: packEntry(&e)})
 				}
 			}
 		}
@@ -321,18 +321,18 @@
 		w.putReal(i, p)
 		return
 	}
-	p.Record.Dot = replica.Dot{Writer: fmt.Sprint("n", i), Era: w.nodes[i].boot, Number: w.dots}
+	p.Record.Dot = replication.Dot{Writer: fmt.Sprint("n", i), Era: w.nodes[i].boot, Number: w.dots}
 	w.dots++
 	ok := w.give(i, p.Record)
 	if p.ID == 0 {
 		return
 	}
 	if !ok {
-		w.nodes[i].m.Written(w.clock(i), p.ID, replica.Outcome{}, replica.ErrLower)
+		w.nodes[i].m.Written(w.clock(i), p.ID, replication.Outcome{}, replication.ErrLower)
 		return
 	}
 	need := p.Sure.Copies
-	if p.Sure.Level == replica.Majority {
+	if p.Sure.Level == replication.Majority {
 		need = len(w.nodes)/2 + 1
 	}
 	w.outs = append(w.outs, outcome{i, int(p.ID), w.nodes[i].boot, p.Record, need, w.now + p.Sure.Within})
@@ -351,7 +351,7 @@
 	if has < o.need && w.now < o.until {
 		return false
 	}
-	n.m.Written(w.clock(o.at), uint64(o.id), replica.Outcome{Met: has >= o.need, Copies: has}, nil)
+	n.m.Written(w.clock(o.at), uint64(o.id), replication.Outcome{Met: has >= o.need, Copies: has}, nil)
 	return true
 }
 
@@ -587,7 +587,7 @@
 			}
 		case 7:
 			if n := w.nodes[w.rng.IntN(len(w.nodes))]; !emptied && k > 100 { // one disk is lost: of what was acknowledged another has it
-				emptied, n.up, n.store, n.real = true, false, map[string]replica.Record{}, newReal()
+				emptied, n.up, n.store, n.real = true, false, map[string]replication.Record{}, newReal()
 				if s := w.writers[w.rng.IntN(len(w.writers))]; k%2 == 0 { // and who might have sent again never does
 					s.name, s.next = s.name+"'", 1
 				}
--- a/fleet/duties/granter.go
+++ b/core/cluster/lease/granter.go
@@ -1,4 +1,4 @@
-package duties
+package lease
 
 import (
 	"math"
--- a/fleet/duties/state.go
+++ b/core/cluster/lease/state.go
@@ -1,13 +1,13 @@
-// Package duties decides who holds what only one dispatcher may hold at a time. The State is what the replicated log keeps:
+// Package lease decides who holds what only one dispatcher may hold at a time. The State is what the replicated log keeps:
 // duties, holders, tokens and who else stands; it knows no clock. The Granter is the leader's part: it counts leases on its
 // own clock, and proposes their end. The Holder is each dispatcher's part, with the guard that every act asks. All of them are
-// pure: internal/fleet drives them, with the log of go.etcd.io/raft; tests play them on one clock.
+// pure: internal/cluster drives them, with the log of go.etcd.io/raft; tests play them on one clock.
 //
 // Invariants, held by tests: a token rises with each grant and never comes twice; a duty has one holder at most by the state;
 // a holder counts its lease from before it asked, and the granter from after that, so that by the holder's own clock it
 // is over before another's begins, as long as clocks drift by no more than Drift; whatever takes acts and refuses tokens lower
 // than it has seen never sees two holders' acts out of order, whatever clocks do.
-package duties
+package lease
 
 import (
 	"cmp"
--- a/fleet/members/members_test.go
+++ b/core/cluster/membership/members_test.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"errors"
@@ -341,7 +341,7 @@
 
 // docs/members.md has the table of what is done in each view; it says what the program does.
 func TestTheTableInTheDocsIsTrue(t *testing.T) {
-	raw := need.Of(os.ReadFile("../../docs/members.md"))(t)
+	raw := need.Of(os.ReadFile("../../../docs/members.md"))(t)
 	for a, name := range Acts {
 		row := "| " + name + " |"
 		for _, l := range []Level{Whole, Majority, Minority, Alone} {
--- a/fleet/members/view.go
+++ b/core/cluster/membership/view.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"hash/fnv"
--- a/fleet/floors/floors.go
+++ b/core/cluster/purgefloor/floors.go
@@ -1,9 +1,9 @@
-// Package floors is the kind of records that remember purges: by object, or by group, when it was last purged, as the operator's change
+// Package purgefloor is the kind of records that remember purges: by object, or by group, when it was last purged, as the operator's change
 // log tells it. A dispatcher whose change log is silent learns purges from the others' floors. The time is the change log's own word, the
 // same to all who heard it; no dispatcher's clock comes into it.
 //
 // The invariant: a floor only rises, so what is learned from others only narrows which copies will do.
-package floors
+package purgefloor
 
 import (
 	"cmp"
@@ -12,7 +12,7 @@
 	"strconv"
 	"strings"
 
-	"elderwall/fleet/replica"
+	"elderwall/core/cluster/replication"
 )
 
 // Figures.
@@ -38,8 +38,8 @@
 )
 
 // Kind is what replica is told of it. Acknowledged is not synced: the change log has all of it, and so have the others.
-func Kind() replica.Kind {
-	return replica.Kind{ID: ID, Name: "floors", Records: records, Bytes: bytes, Longest: 1 + longestName + 20 + length, Law: Law, Check: Check}
+func Kind() replication.Kind {
+	return replication.Kind{ID: ID, Name: "floors", Records: records, Bytes: bytes, Longest: 1 + longestName + 20 + length, Law: Law, Check: Check}
 }
 
 // Law has the later purge stand.
--- a/fleet/floors/floors_test.go
+++ b/core/cluster/purgefloor/floors_test.go
@@ -1,4 +1,4 @@
-package floors
+package purgefloor
 
 import (
 	"math/rand/v2"
--- a/fleet/budgets/divider.go
+++ b/core/cluster/quota/divider.go
@@ -1,4 +1,4 @@
-package budgets
+package quota
 
 import (
 	"cmp"
--- a/fleet/replica/cost_test.go
+++ b/core/cluster/replication/cost_test.go
@@ -1,4 +1,4 @@
-package replica
+package replication
 
 import (
 	"fmt"
--- a/fleet/replica/message.go
+++ b/core/cluster/replication/message.go
@@ -1,4 +1,4 @@
-package replica
+package replication
 
 // Message goes between two members. Each part may be absent. It is to be shorter than MostMessage where Stream is not set, than MostStream where it is.
 type Message struct {
--- a/fleet/replica/types.go
+++ b/core/cluster/replication/types.go
@@ -1,8 +1,8 @@
-// Package replica keeps records of several kinds the same at every dispatcher: deltas by need, digests of ranges where those are
+// Package replication keeps records of several kinds the same at every dispatcher: deltas by need, digests of ranges where those are
 // gone, whole snapshots for whoever was away for longer. It is a state machine with no I/O, no clock and no goroutine.
-// Messages come by Step, time by Tick; what is to be kept, sent and told is taken by Ready. internal/fleet drives it over sockets and a disk,
+// Messages come by Step, time by Tick; what is to be kept, sent and told is taken by Ready. internal/cluster drives it over sockets and a disk,
 // emulate without any. It knows no kind by name: kinds are handed to it with bound and law.
-package replica
+package replication
 
 import (
 	"cmp"
--- a/fleet/variants/beats.go
+++ b/core/cluster/variant/beats.go
@@ -1,4 +1,4 @@
-package variants
+package variant
 
 const (
 	maxRounds = 16   // questions for beats that are remembered: facts that were longer under way may split, not join
--- a/fleet/variants/checker_test.go
+++ b/core/cluster/variant/checker_test.go
@@ -1,4 +1,4 @@
-package variants_test
+package variant_test
 
 import (
 	"container/heap"
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"elderwall/fleet/variants"
+	"elderwall/core/cluster/variant"
 )
 
 // A stand-in origin that knows what each class of each object was, ever; hosts that keep copies by key and drop them some time after a purge;
@@ -68,11 +68,11 @@
 	queue   events
 	origin  [objects][]state
 	hosts   [hosts]map[uint64]copied
-	modules [dispatchers]*variants.Module
+	modules [dispatchers]*variant.Module
 	known   [dispatchers][objects]uint64         // newest purge that a dispatcher knows
 	heard   [dispatchers][shards][objects]uint64 // that a shard knows: no older copy will do for it
 	order   [dispatchers]uint64                  // of events
-	givers  [2]*variants.Giver                   // of beats: dispatchers may hold different ones for it, and each may end and come anew
+	givers  [2]*variant.Giver                   // of beats: dispatchers may hold different ones for it, and each may end and come anew
 	lives   uint64
 	newest  [dispatchers][shards]uint64
 	line    [dispatchers][shards][]uint64
@@ -86,8 +86,8 @@
 
 func (w *world) in(s float64, do func()) { heap.Push(&w.queue, event{w.now + s, do}) }
 
-func (w *world) object(o int) variants.Object {
-	return variants.Object{Object: uint64(o) + 1, Group: o % 2}
+func (w *world) object(o int) variant.Object {
+	return variant.Object{Object: uint64(o) + 1, Group: o % 2}
 }
 
 func (w *world) fresh64() uint64 { w.content++; return w.content }
@@ -115,7 +115,7 @@
 		for h := range w.hosts {
 			w.in(w.rng.Float64()*3, func() {
 				for c := range 3 {
-					if key := variants.KeyOf(w.object(o).Object, c); w.hosts[h][key].purge < s.purge {
+					if key := variant.KeyOf(w.object(o).Object, c); w.hosts[h][key].purge < s.purge {
 						delete(w.hosts[h], key)
 					}
 				}
@@ -159,7 +159,7 @@
 }
 
 func (w *world) answer(host, o, c int, bound uint64) copied {
-	key := variants.KeyOf(w.object(o).Object, c)
+	key := variant.KeyOf(w.object(o).Object, c)
 	s := w.origin[o][len(w.origin[o])-1]
 	x, ok := w.hosts[host][key]
 	if !ok || float64(x.until) < w.now*1000 || x.purge < bound {
@@ -170,10 +170,10 @@
 }
 
 // forward asks a host for an object by a class, and gives what came, with the generation that it is labelled by.
-func (w *world) forward(d, o, c, beside int, then func(a variants.Answer, x copied)) {
+func (w *world) forward(d, o, c, beside int, then func(a variant.Answer, x copied)) {
 	s, began := w.rng.IntN(shards), w.now
 	label, known, bound := w.modules[d].Told(w.object(o)), w.newest[d][s], w.heard[d][s][o]
-	host := int((variants.PlaceOf(uint64(o), c, beside)%hosts + uint64(w.rng.IntN(w.spread))) % hosts)
+	host := int((variant.PlaceOf(uint64(o), c, beside)%hosts + uint64(w.rng.IntN(w.spread))) % hosts)
 	w.in(w.rng.Float64()*transit/2, func() {
 		x := w.answer(host, o, c, bound)
 		proof := x.content
@@ -184,7 +184,7 @@
 				proof = x.content
 			}
 		}
-		a := variants.Answer{Object: w.object(o), Class: c, Beside: beside, Host: uint32(host), Proof: proof, Generation: variants.Generation{Purge: label}, Known: known, Sent: began}
+		a := variant.Answer{Object: w.object(o), Class: c, Beside: beside, Host: uint32(host), Proof: proof, Generation: variant.Generation{Purge: label}, Known: known, Sent: began}
 		if w.versions {
 			a.Generation.Version = x.version
 		}
@@ -195,7 +195,7 @@
 		w.in(back, func() {
 			w.modules[d].Answered(w.now, a)
 			for other := range 3 { // it may be for who waits for it with another class
-				if other != c && w.modules[d].Fits(w.now, other, variants.Key{Class: c}, &a) && !w.right(d, o, other, x) {
+				if other != c && w.modules[d].Fits(w.now, other, variant.Key{Class: c}, &a) && !w.right(d, o, other, x) {
 					w.judge("%.1f s: dispatcher %d, object %d, class %d by class %d: content %d of version %d", w.now, d, o, other, c, x.content, x.version)
 				}
 			}
@@ -216,7 +216,7 @@
 	if k.Beside > 0 {
 		w.beside++
 	}
-	w.forward(d, o, k.Class, k.Beside, func(a variants.Answer, x copied) {
+	w.forward(d, o, k.Class, k.Beside, func(a variant.Answer, x copied) {
 		if k.Class == c {
 			return
 		}
@@ -225,7 +225,7 @@
 			if !w.right(d, o, c, x) {
 				w.held++
 			}
-			w.forward(d, o, c, 0, func(variants.Answer, copied) {})
+			w.forward(d, o, c, 0, func(variant.Answer, copied) {})
 			return
 		}
 		w.rewritten++
@@ -259,7 +259,7 @@
 	w.in(w.rng.Float64()*slow, func() {
 		if w.givers[g] == nil || w.rng.IntN(40) == 0 {
 			w.lives++
-			w.givers[g] = variants.NewGiver(w.lives)
+			w.givers[g] = variant.NewGiver(w.lives)
 		}
 		for range 1 + w.rng.IntN(1+g*20) { // one of them has told much more
 			w.givers[g].Next()
@@ -272,7 +272,7 @@
 // tell spreads what a dispatcher has to tell.
 func (w *world) tell(d int) {
 	for _, f := range w.modules[d].Facts(16) {
-		b := variants.EncodeFact(&f)
+		b := variant.EncodeFact(&f)
 		for p := range w.modules {
 			for copies := w.rng.IntN(3); p != d && copies > 0; copies-- {
 				late := 30.0
@@ -283,9 +283,9 @@
 					if w.cut == d || w.cut == p {
 						return
 					}
-					f, err := variants.DecodeFact(b)
+					f, err := variant.DecodeFact(b)
 					if err == nil {
-						w.modules[p].Learn(w.now, []variants.Fact{f})
+						w.modules[p].Learn(w.now, []variant.Fact{f})
 					}
 				})
 			}
@@ -306,11 +306,11 @@
 		w.hosts[h] = map[uint64]copied{}
 	}
 	for d := range w.modules {
-		s := variants.Settings{Objects: m.room, Seed: seed + uint64(d), Self: strconv.Itoa(d), Services: []variants.Service{{
-			Classes: []string{"a", "b", "c"}, Proof: variants.ByTag, Witnesses: m.witnesses, Repeats: true, Fresh: m.fresh,
+		s := variant.Settings{Objects: m.room, Seed: seed + uint64(d), Self: strconv.Itoa(d), Services: []variant.Service{{
+			Classes: []string{"a", "b", "c"}, Proof: variant.ByTag, Witnesses: m.witnesses, Repeats: true, Fresh: m.fresh,
 		}}}
 		var err error
-		w.modules[d], err = variants.New(s)
+		w.modules[d], err = variant.New(s)
 		require.NoError(t, err)
 	}
 	var gets, changes, facts, cuts func()
@@ -458,22 +458,22 @@
 				return
 			}
 			orders++
-			var m [2]*variants.Module
+			var m [2]*variant.Module
 			for d := range m {
-				m[d], _ = variants.New(variants.Settings{Objects: 4, Self: strconv.Itoa(d), Services: []variants.Service{{
-					Classes: []string{"a", "b"}, Proof: variants.ByTag, Witnesses: 1, Repeats: true, Fresh: math.Inf(1)}}})
+				m[d], _ = variant.New(variant.Settings{Objects: 4, Self: strconv.Itoa(d), Services: []variant.Service{{
+					Classes: []string{"a", "b"}, Proof: variant.ByTag, Witnesses: 1, Repeats: true, Fresh: math.Inf(1)}}})
 			}
-			o := variants.Object{Object: 5}
+			o := variant.Object{Object: 5}
 			content, version, purge := [2]uint64{1, 1}, uint64(1), uint64(0)
 			truth := map[[2]uint64]uint64{{1, 0}: 1, {1, 1}: 1, {2, 0}: 1, {2, 1}: 2} // by version and class
-			var facts []variants.Fact
+			var facts []variant.Fact
 			var known [2]uint64
-			ask := func(d, c int) variants.Answer {
-				g := variants.Generation{Purge: m[d].Told(o)}
+			ask := func(d, c int) variant.Answer {
+				g := variant.Generation{Purge: m[d].Told(o)}
 				if versions {
 					g.Version = version
 				}
-				return variants.Answer{Object: o, Class: c, Host: uint32(c), Proof: content[c], Generation: g, Known: known[d]}
+				return variant.Answer{Object: o, Class: c, Host: uint32(c), Proof: content[c], Generation: g, Known: known[d]}
 			}
 			early := ask(0, 1) // began before all, comes at its time
 			for n, e := range done {
@@ -498,7 +498,7 @@
 				for d := range m {
 					for c := range 2 {
 						a := ask(d, 1-c)
-						if !m[d].Fits(now, c, variants.Key{Class: 1 - c}, &a) {
+						if !m[d].Fits(now, c, variant.Key{Class: 1 - c}, &a) {
 							continue
 						}
 						right := truth[[2]uint64{version, uint64(c)}] == a.Proof
@@ -522,11 +522,11 @@
 	for seed := range uint64(seeds) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		contrary := rng.Float64() // uniform: what the rule of succession supposes
-		m, err := variants.New(variants.Settings{Objects: 1 << 12, Seed: seed, Self: "x", Services: []variants.Service{{
-			Classes: []string{"a", "b"}, Proof: variants.ByTag, Witnesses: 1, Repeats: true, Presume: &variants.Presumed{Objects: 5, Checks: 0.05}}}})
+		m, err := variant.New(variant.Settings{Objects: 1 << 12, Seed: seed, Self: "x", Services: []variant.Service{{
+			Classes: []string{"a", "b"}, Proof: variant.ByTag, Witnesses: 1, Repeats: true, Presume: &variant.Presumed{Objects: 5, Checks: 0.05}}}})
 		require.NoError(t, err)
 		for n := range uint64(400) {
-			o := variants.Object{Object: n + 1}
+			o := variant.Object{Object: n + 1}
 			differs := rng.Float64() < contrary
 			if chance := m.Wrong(0, 0); chance > 0 { // each object that is presumed anew
 				stated += chance
@@ -545,7 +545,7 @@
 				if k.Class == 1 && differs {
 					proof += 1 << 20
 				}
-				m.Answered(float64(n), variants.Answer{Object: o, Class: k.Class, Proof: proof, Generation: variants.Generation{Version: 1}})
+				m.Answered(float64(n), variant.Answer{Object: o, Class: k.Class, Proof: proof, Generation: variant.Generation{Version: 1}})
 			}
 		}
 	}
--- a/fleet/variants/facts.go
+++ b/core/cluster/variant/facts.go
@@ -1,4 +1,4 @@
-package variants
+package variant
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"strconv"
 	"strings"
 
-	"elderwall/fleet/replica"
+	"elderwall/core/cluster/replication"
 )
 
 var errFact = errors.New("not a fact: spoilt, or of another version")
@@ -37,8 +37,8 @@
 )
 
 // Kind is what replica is told of facts. Acknowledged is not synced: evidence comes anew with the next answers.
-func Kind() replica.Kind {
-	return replica.Kind{ID: ID, Name: "variants", Records: records, Bytes: size, Longest: longKey + factHead + factBeat + 2*maxWitness, Law: FactLaw, Check: CheckFact}
+func Kind() replication.Kind {
+	return replication.Kind{ID: ID, Name: "variants", Records: records, Bytes: size, Longest: longKey + factHead + factBeat + 2*maxWitness, Law: FactLaw, Check: CheckFact}
 }
 
 // CheckFact tells what is wrong with a record from outside.
--- a/fleet/variants/module.go
+++ b/core/cluster/variant/module.go
@@ -1,4 +1,4 @@
-package variants
+package variant
 
 import (
 	"math"
--- a/fleet/variants/types.go
+++ b/core/cluster/variant/types.go
@@ -1,10 +1,10 @@
-// Package variants decides by which key a GET of a device class is looked for: its own class's, or that of the class whose answers have
+// Package variant decides by which key a GET of a device class is looked for: its own class's, or that of the class whose answers have
 // the same bytes. It stands on evidence: answers of one generation of an object that bore the same proof. It is pure: GETs, answers, purges
 // and facts of other dispatchers come in with their time, keys and facts go out.
 //
 // The invariant, claimed by checkers that know the truth of each variant: without presume no client ever gets bytes of a class that are
 // not its own class's in the generation at hand, as far as the proof is one.
-package variants
+package variant
 
 // Proof is what sameness is proven by.
 type Proof uint8
--- a/stages/joint/joint.go
+++ b/core/coalescing/joint.go
@@ -1,16 +1,16 @@
-// Package joint decides which GETs for the same part of the same object share one forward while they wait. It is pure.
+// Package coalescing decides which GETs for the same part of the same object share one forward while they wait. It is pure.
 //
 // What holds:
 //   - a GET leads, follows or is alone, and has one end;
 //   - what is done for a flight goes on for as long as anybody needs it, and is stopped with the last who does;
 //   - who comes after a purge never follows what was begun before it;
 //   - one that fails is gone on with by one of those that wait, never by all at once.
-package joint
+package coalescing
 
 import (
 	"math"
 
-	"elderwall/internal/due"
+	"elderwall/core/timerwheel"
 )
 
 const (
@@ -56,7 +56,7 @@
 	until  float64
 	flight *Flight[W] // nil once it has its end
 	leads  bool
-	last   due.Timer[*Waiter[W]]
+	last   timerwheel.Timer[*Waiter[W]]
 }
 
 // Flight is one forward, or several one after the other, with all that wait for it.
@@ -74,7 +74,7 @@
 	flights   map[Key]*Flight[W] // that may be followed
 	followers int
 	usual     float64 // s; that a flight takes
-	due       due.Wheel[*Waiter[W]]
+	due       timerwheel.Wheel[*Waiter[W]]
 }
 
 // New is empty.
--- a/stages/joint/joint_test.go
+++ b/core/coalescing/joint_test.go
@@ -1,4 +1,4 @@
-package joint
+package coalescing
 
 import (
 	"fmt"
--- a/hosts/dials.go
+++ b/core/endpoints/dials.go
@@ -1,11 +1,11 @@
-// Package hosts decides what drivers ask of lists and connections. A list is taken in by steps (steps.go). A connection may be begun: so many a second to all hosts together, and the first
+// Package endpoints decides what drivers ask of lists and connections. A list is taken in by steps (steps.go). A connection may be begun: so many a second to all hosts together, and the first
 // ones to hosts that were listed together spread by chance from the seed. It is pure.
-package hosts
+package endpoints
 
 import (
 	"math"
 
-	"elderwall/control/order"
+	"elderwall/core/routing/rendezvous"
 )
 
 const (
@@ -39,5 +39,5 @@
 	if window <= 0 {
 		return 0
 	}
-	return window * float64(order.Mix(seed^order.Mix(uint64(host)))>>11) / (1 << 53)
+	return window * float64(rendezvous.Mix(seed^rendezvous.Mix(uint64(host)))>>11) / (1 << 53)
 }
--- a/hosts/hosts_test.go
+++ b/core/endpoints/hosts_test.go
@@ -1,4 +1,4 @@
-package hosts
+package endpoints
 
 import (
 	"slices"
--- a/hosts/steps.go
+++ b/core/endpoints/steps.go
@@ -1,4 +1,4 @@
-package hosts
+package endpoints
 
 // MostTaken is how many hosts of a list are taken in at a time: GETs wait for less than a millisecond then.
 const MostTaken = 64
--- a/stages/calls/before_test.go
+++ b/core/proxycall/before_test.go
@@ -1,4 +1,4 @@
-package calls
+package proxycall
 
 import (
 	"testing"
--- a/stages/calls/calls.go
+++ b/core/proxycall/calls.go
@@ -1,4 +1,4 @@
-// Package calls keeps the life of GETs that a proxy asks about and sends itself: what an answer, a silence or a stream that
+// Package proxycall keeps the life of GETs that a proxy asks about and sends itself: what an answer, a silence or a stream that
 // ends proves of a forward, how long a GET waits for its proxy's further call, and how many may be open. It is pure: time
 // comes in as float seconds, and chance from the seed.
 //
@@ -7,13 +7,13 @@
 //   - a forward that was named stays out until its proxy has told of it or has come again, or the hold is over: no stream
 //     that just ends proves that a host did not get it;
 //   - a further call belongs to a GET only if the same proxy brings the id that it was given.
-package calls
+package proxycall
 
 import (
 	"math"
 	"math/rand/v2"
 
-	"elderwall/internal/due"
+	"elderwall/core/timerwheel"
 )
 
 // ID is what a proxy is given for a GET, and brings for a further forward of it.
@@ -65,7 +65,7 @@
 	SendBy   float64 // the forward that is named must be sent by then
 	Forward  int     // the number of that
 	out      bool    // whether its end is still to be told
-	held     due.Timer[*Call]
+	held     timerwheel.Timer[*Call]
 	Forwards int
 }
 
@@ -75,7 +75,7 @@
 	ids   *rand.ChaCha8 // ids are not to be guessed: a GET that waits would go on with another's call
 	calls map[ID]*Call
 	by    map[uint64]int
-	due   due.Wheel[*Call]
+	due   timerwheel.Wheel[*Call]
 }
 
 // New makes a table.
--- a/stages/calls/line.go
+++ b/core/proxycall/line.go
@@ -1,4 +1,4 @@
-package calls
+package proxycall
 
 // Line is GETs that wait for their decision: first forwards before further ones, and of each the oldest that can still be
 // in time. It is bounded; what is not decided by its time is passed over, as it has had the operator's choice by then.
--- a/control/api.go
+++ b/core/routing/api.go
@@ -1,6 +1,6 @@
-package control
+package routing
 
-import "elderwall/control/retries"
+import "elderwall/core/routing/retrybudget"
 
 // Effect tells what a repeat of a GET may do.
 type Effect int
@@ -113,7 +113,7 @@
 	ParentColdFrom, ParentRamp, ParentTip float64
 	OldCopies                             float64 // after this long no copy older than a purge is left
 
-	Retries retries.Settings // bounds forwards after failed ones; the zero value does not
+	Retries retrybudget.Settings // bounds forwards after failed ones; the zero value does not
 
 	Shards int   // that this dispatcher's process has, each with its part of the GETs; 0 for one
 	Peers  Peers // what they have in common, nil for one alone
--- a/control/paces/paces.go
+++ b/core/routing/congestion/paces.go
@@ -1,11 +1,11 @@
-// Package paces tells from the bytes and times of answers how crowded hosts are. It is pure: no I/O and no clock.
+// Package congestion tells from the bytes and times of answers how crowded hosts are. It is pure: no I/O and no clock.
 //
 // A dispatcher among hundreds has hardly anything out at one host, and an answer's time alone tells more of its size
 // than of the host. Its bytes tell the size, so one answer is enough: time over bytes is the pace at which the host's
 // link let it through. The usual pace is learned from all hosts' hits together, and a host counts as so many times as
 // slow as that. What is known of a host fades towards the usual pace, or a host that nothing is sent to for its
 // slowness would never be asked again.
-package paces
+package congestion
 
 import (
 	"math"
--- a/control/paces/paces_test.go
+++ b/core/routing/congestion/paces_test.go
@@ -1,4 +1,4 @@
-package paces_test
+package congestion_test
 
 import (
 	"math"
@@ -7,11 +7,11 @@
 	"github.com/stretchr/testify/assert"
 	"pgregory.net/rapid"
 
-	"elderwall/control/paces"
+	"elderwall/core/routing/congestion"
 )
 
 // used is what a dispatcher knows after hits of many sizes at the usual pace of 0.2 s a KB.
-func used() (p paces.Paces, cache paces.Pace) {
+func used() (p congestion.Paces, cache congestion.Pace) {
 	for i := range 50 {
 		kb := float64(1 + i%7)
 		p.Hit(float64(i)*0.1, &cache, kb, 0.2*kb)
@@ -23,7 +23,7 @@
 func TestOneAnswerTellsThatAHostIsCrowded(t *testing.T) {
 	for _, kb := range []float64{0.3, 3, 200} {
 		p, _ := used()
-		var host, other paces.Pace
+		var host, other congestion.Pace
 		assert.InDelta(t, 0.2*kb, p.Expected(kb), 0.02*kb)
 		assert.Equal(t, 1.0, p.Slow(5, &host), "nothing is known")
 		p.Hit(5, &other, kb, 0.2*kb)
@@ -37,24 +37,24 @@
 }
 
 func TestLateFillsAreLaidOnWhatIsSlow(t *testing.T) {
-	const u, s, w = paces.Unknown, paces.Source, paces.WayIn
+	const u, s, w = congestion.Unknown, congestion.Source, congestion.WayIn
 	for _, tt := range []struct {
 		name  string
 		slow  [4]float64 // of each source; 0 for fills that do not come, negative for refusals
-		blame [4]paces.Blame
+		blame [4]congestion.Blame
 		in    float64
 	}{
-		{"nothing", [4]float64{1, 1, 1, 1}, [4]paces.Blame{u, u, u, u}, 1},
-		{"one source of four", [4]float64{5, 1, 1, 1}, [4]paces.Blame{s, u, u, u}, 1},
-		{"a source that refuses", [4]float64{1, -1, 1, 1}, [4]paces.Blame{u, s, u, u}, 1},
-		{"the way in", [4]float64{8, 8, 8, 8}, [4]paces.Blame{w, w, w, w}, 8},
-		{"fills that do not come", [4]float64{}, [4]paces.Blame{w, w, w, w}, 8}, // only quick ones would tell else
+		{"nothing", [4]float64{1, 1, 1, 1}, [4]congestion.Blame{u, u, u, u}, 1},
+		{"one source of four", [4]float64{5, 1, 1, 1}, [4]congestion.Blame{s, u, u, u}, 1},
+		{"a source that refuses", [4]float64{1, -1, 1, 1}, [4]congestion.Blame{u, s, u, u}, 1},
+		{"the way in", [4]float64{8, 8, 8, 8}, [4]congestion.Blame{w, w, w, w}, 8},
+		{"fills that do not come", [4]float64{}, [4]congestion.Blame{w, w, w, w}, 8}, // only quick ones would tell else
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			p, cache := used()
 			assert.Equal(t, 1.0, p.Share(5))
 			assert.Zero(t, p.Excess(5))
-			var sources [4]paces.Pace
+			var sources [4]congestion.Pace
 			now := 5.0
 			for i := range 40 {
 				now += 0.5
@@ -83,8 +83,8 @@
 // Whatever answers tell, times, shares and multiples stay finite and in their ranges.
 func TestRangesHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var p paces.Paces
-		hosts, now := make([]paces.Pace, 3), 0.0
+		var p congestion.Paces
+		hosts, now := make([]congestion.Pace, 3), 0.0
 		for range rapid.IntRange(1, 60).Draw(t, "answers") {
 			now += rapid.Float64Range(-1, 30).Draw(t, "later")
 			kb, took := rapid.Float64Range(0, 240).Draw(t, "kb"), rapid.Float64Range(-1, 100).Draw(t, "took")
--- a/control/control.go
+++ b/core/routing/control.go
@@ -1,7 +1,7 @@
-// Package control decides, for each GET of one dispatcher, which cache host answers it and where a miss is
+// Package routing decides, for each GET of one dispatcher, which cache host answers it and where a miss is
 // filled from. It is pure: no I/O, clock or global. Settle ends the calls of one moment; answers go out by
 // Wire. The design (docs/design.md) decides the ordinary path; what departs from it says so where it stands.
-package control
+package routing
 
 import (
 	"cmp"
--- a/control/fills.go
+++ b/core/routing/fills.go
@@ -1,10 +1,10 @@
-package control
+package routing
 
 import (
 	"cmp"
 	"slices"
 
-	"elderwall/control/paces"
+	"elderwall/core/routing/congestion"
 )
 
 // fill names the source of a miss: the object's parent, the next one, or the origin. While fills are at their
@@ -56,9 +56,9 @@
 		case slices.Contains(g.bad, h) || !d.open(h, work) || !h.under.allowed():
 		case home == nil:
 			home, slow = h, d.paces.Slow(d.now, &h.pace)
-			return !h.under.room(work) || slow > paces.Crowded
+			return !h.under.room(work) || slow > congestion.Crowded
 		case h.under.room(work) && (h.under.most > clearlyMore*home.under.most ||
-			slow > paces.Crowded && d.paces.Slow(d.now, &h.pace) < slow*spareUnder):
+			slow > congestion.Crowded && d.paces.Slow(d.now, &h.pace) < slow*spareUnder):
 			other = h
 			return false
 		}
--- a/control/fleet_test.go
+++ b/core/routing/fleet_test.go
@@ -1,4 +1,4 @@
-package control
+package routing
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"elderwall/control/beliefs"
+	"elderwall/core/routing/grouphealth"
 )
 
 // end is how a forward ends at a moment.
@@ -253,11 +253,11 @@
 	l.d.Hosts(2, Changes, []HostEntry{e, e})
 	assert.Equal(t, id, first())
 	assert.Len(t, l.d.caches, 300, "named twice, it is there once")
-	assert.True(t, l.d.hosts[id].belief.In(beliefs.Group{Cell: 77}))
+	assert.True(t, l.d.hosts[id].belief.In(grouphealth.Group{Cell: 77}))
 	e.Cell = 78
 	l.d.Hosts(3, Changes, []HostEntry{e})
-	assert.True(t, l.d.hosts[id].belief.In(beliefs.Group{Cell: 78}))
-	l.d.Hosts(4, Complete, l.hosts[:3+beliefs.Few-1])
+	assert.True(t, l.d.hosts[id].belief.In(grouphealth.Group{Cell: 78}))
+	l.d.Hosts(4, Complete, l.hosts[:3+grouphealth.Few-1])
 	for _, h := range l.d.caches {
 		assert.Nil(t, h.belief, "they are few now")
 	}
--- a/control/beliefs/beliefs.go
+++ b/core/routing/grouphealth/beliefs.go
@@ -1,4 +1,4 @@
-// Package beliefs is what a dispatcher believes of hosts of which it hears seldom. With thousands of caches each gets a GET
+// Package grouphealth is what a dispatcher believes of hosts of which it hears seldom. With thousands of caches each gets a GET
 // in seconds, so that a host's own record comes too late: what is known of its group (the rack, or all of its kind and
 // zone) speaks for it, and the host's own word departs from that as far as it has any. It only narrows what control may
 // do, and says nothing where hosts are few. It is pure.
@@ -8,7 +8,7 @@
 //   - doubt by group never takes more than half of the hosts: a dispatcher to which most are silent has lost its own way;
 //   - hosts that are doubted or were left get a bounded share of GETs as trials, all of them together;
 //   - a group that answers trials is believed again by that, and never by time alone.
-package beliefs
+package grouphealth
 
 import "math"
 
--- a/control/beliefs/beliefs_test.go
+++ b/core/routing/grouphealth/beliefs_test.go
@@ -1,4 +1,4 @@
-package beliefs
+package grouphealth
 
 import (
 	"fmt"
--- a/control/limits.go
+++ b/core/routing/limits.go
@@ -1,9 +1,9 @@
-package control
+package routing
 
 import (
 	"math"
 
-	"elderwall/control/paces"
+	"elderwall/core/routing/congestion"
 )
 
 // room tells whether more may go; where nothing is under way something always may, or nothing is learned.
@@ -85,12 +85,12 @@
 	case !f.miss:
 	case !late && l.full && d.paces.Spare(d.now): // it grows back as it fell, with each fill
 		l.most += f.work * math.Min(1, l.known/l.most)
-	case blame == paces.Source:
+	case blame == congestion.Source:
 		return f.fill[:1]
-	case blame == paces.WayIn && f.at >= l.turn:
+	case blame == congestion.WayIn && f.at >= l.turn:
 		d.cut(l, d.paces.Excess(d.now)/lateCut)
 		fallthrough
-	case blame == paces.WayIn:
+	case blame == congestion.WayIn:
 		return f.fill[1:]
 	}
 	return limits
--- a/control/peers_test.go
+++ b/core/routing/peers_test.go
@@ -1,4 +1,4 @@
-package control
+package routing
 
 import (
 	"fmt"
--- a/control/order/order.go
+++ b/core/routing/rendezvous/order.go
@@ -1,7 +1,7 @@
-// Package order gives hosts in the order of highest random weight (rendezvous hashing) for the hash of an object: the
+// Package rendezvous gives hosts in the order of highest random weight (rendezvous hashing) for the hash of an object: the
 // same at every dispatcher that lists the same hosts, and with a host more or less only its own objects move. It is
 // pure, and gives the first hosts of an order in time that does not grow with hosts once an object has been asked for.
-package order
+package rendezvous
 
 import (
 	"cmp"
--- a/control/order/order_test.go
+++ b/core/routing/rendezvous/order_test.go
@@ -1,4 +1,4 @@
-package order
+package rendezvous
 
 import (
 	"fmt"
--- a/control/retries/retries.go
+++ b/core/routing/retrybudget/retries.go
@@ -1,6 +1,6 @@
-// Package retries bounds repeated attempts by what succeeds, so that on a bad day they do not multiply the load that made it
+// Package retrybudget bounds repeated attempts by what succeeds, so that on a bad day they do not multiply the load that made it
 // bad. It only narrows what control may do, and is pure.
-package retries
+package retrybudget
 
 import "math"
 
--- a/control/retries/retries_test.go
+++ b/core/routing/retrybudget/retries_test.go
@@ -1,4 +1,4 @@
-package retries
+package retrybudget
 
 import (
 	"testing"
--- a/control/popular/known.go
+++ b/core/routing/sketch/known.go
@@ -1,4 +1,4 @@
-package popular
+package sketch
 
 // Known remembers things by their hash with a figure each, in some 50 bytes a thing; beyond its size those that were put
 // first are let go. Two things with one hash pass for one, which 64 bits make as good as never.
--- a/control/popular/popular.go
+++ b/core/routing/sketch/popular.go
@@ -1,7 +1,7 @@
-// Package popular keeps count of how often objects are asked for, in memory that does not grow with their number: a
+// Package sketch keeps count of how often objects are asked for, in memory that does not grow with their number: a
 // count-min sketch with conservative update, in the turns of a window. It never counts too little within its window, and
 // too much by what falls on the same counters. It is pure.
-package popular
+package sketch
 
 import "math"
 
--- a/control/popular/popular_test.go
+++ b/core/routing/sketch/popular_test.go
@@ -1,4 +1,4 @@
-package popular
+package sketch
 
 import (
 	"container/list"
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"elderwall/control/order"
+	"elderwall/core/routing/rendezvous"
 	"elderwall/internal/standin/need"
 )
 
@@ -29,12 +29,12 @@
 		for range rapid.IntRange(1, 300).Draw(t, "GETs") {
 			now += rapid.SampledFrom([]float64{0, 0, 0.01, 0.5, 3, 3600}).Draw(t, "passes")
 			o := rapid.Uint64Range(0, 40).Draw(t, "object")
-			s.Add(now, order.Mix(o))
+			s.Add(now, rendezvous.Mix(o))
 			exact[asked{o, int(now / span)}]++
 		}
 		var got [turns]float64
 		for o := range uint64(41) {
-			sum, want := s.Turns(now, order.Mix(o), got[:]), 0.0
+			sum, want := s.Turns(now, rendezvous.Mix(o), got[:]), 0.0
 			for e := int(now / span); e > int(now/span)-turns && e >= 0; e-- {
 				one := min(most, exact[asked{o, e}])
 				want += one
@@ -123,10 +123,10 @@
 func (s *stream) ask() (rank, hash uint64) {
 	if s.r.IntN(2) == 0 {
 		s.next++
-		return s.next, order.Mix(s.next)
+		return s.next, rendezvous.Mix(s.next)
 	}
 	rank = s.zipf.Uint64()
-	return rank, order.Mix(rank)
+	return rank, rendezvous.Mix(rank)
 }
 
 // counted tells by rank how far counts are off, for 20,000 GETs a second over three windows; only objects asked for at
--- a/control/state.go
+++ b/core/routing/state.go
@@ -1,4 +1,4 @@
-package control
+package routing
 
 import (
 	"cmp"
@@ -10,12 +10,12 @@
 	"math"
 	"slices"
 
-	"elderwall/control/beliefs"
-	"elderwall/control/order"
-	"elderwall/control/paces"
-	"elderwall/control/popular"
-	"elderwall/control/retries"
-	"elderwall/internal/due"
+	"elderwall/core/routing/grouphealth"
+	"elderwall/core/routing/rendezvous"
+	"elderwall/core/routing/congestion"
+	"elderwall/core/routing/sketch"
+	"elderwall/core/routing/retrybudget"
+	"elderwall/core/timerwheel"
 )
 
 // sketchSize is the bytes of counts of objects that the table has let go: some 65,000 by turn, which a tenth of
@@ -50,7 +50,7 @@
 	holder     *host   // the cache that returned it last
 	heldTo     float64 // and until when it is thought to hold it
 
-	caches, parents *order.First // the beginnings of its orders
+	caches, parents *rendezvous.First // the beginnings of its orders
 }
 
 // itemKey names an item.
@@ -66,8 +66,8 @@
 	byName map[itemKey]*item
 	byUse  *list.List
 	rests  float64         // s; without a GET for so long an item rests
-	rest   *popular.Known  // the items that rest, with their sizes in KB
-	let    *popular.Sketch // what it has let go; nil until it was full
+	rest   *sketch.Known  // the items that rest, with their sizes in KB
+	let    *sketch.Sketch // what it has let go; nil until it was full
 }
 
 // newTable is empty. What was counted of an item is over a window after the last GET for it, and a holder a window after
@@ -77,7 +77,7 @@
 	for _, s := range services {
 		longest = math.Max(longest, s.ViewerTimeout)
 	}
-	return table{byName: map[itemKey]*item{}, byUse: list.New(), rests: (buckets+1)*bucketSpan + longest, rest: popular.NewKnown(tableSize)}
+	return table{byName: map[itemKey]*item{}, byUse: list.New(), rests: (buckets+1)*bucketSpan + longest, rest: sketch.NewKnown(tableSize)}
 }
 
 // settle has items rest, and lets the last of those go that are beyond the size.
@@ -114,7 +114,7 @@
 	if t.byUse.Len() > tableSize {
 		delete(t.byName, t.byUse.Remove(t.byUse.Back()).(*item).key)
 		if t.let == nil {
-			t.let = popular.New(buckets, bucketSpan, sketchSize)
+			t.let = sketch.New(buckets, bucketSpan, sketchSize)
 		}
 	}
 	return it
@@ -186,14 +186,14 @@
 	refusers    []*host         // some of those that did
 	refused     float64         // when the first of them did
 	gave        float64         // when a fill from it last came back
-	belief      *beliefs.Member // what its group tells of it; nil where hosts are few
+	belief      *grouphealth.Member // what its group tells of it; nil where hosts are few
 	left        bool            // left until a trial
 	leftAt      float64
 	listing     int // the last look over the list that had it as a cache
 	until, wait float64
 	streak      int
 	cold        bool
-	pace        paces.Pace
+	pace        congestion.Pace
 	taken       counter // s; sending time returned by it or filled from it
 	under       allowance
 	credit      float64 // s; what may be sent to it while it is cold
@@ -283,8 +283,8 @@
 	at, work     float64
 	objective    float64
 	crowd        int              // forwards out at the host when this one went
-	limit        due.Timer[event] // when it is overdue
-	objectiveIn  due.Timer[event] // when it is late
+	limit        timerwheel.Timer[event] // when it is overdue
+	objectiveIn  timerwheel.Timer[event] // when it is late
 	judges       []*allowance     // that its lateness counts against
 	underOf      [5]*allowance    // the room of under
 	fillOf       [2]*allowance    // and of fill
@@ -314,7 +314,7 @@
 	out, turned  int // forwards out, and times it was turned away
 	over, lined  bool
 	last         float64 // when it is given up at the latest
-	timeout      due.Timer[event]
+	timeout      timerwheel.Timer[event]
 	first        forward     // most have no other
 	forwardsOf   [2]*forward // the room of forwards
 	host, source *host
@@ -341,7 +341,7 @@
 	items    table
 	total    counter
 	purges   map[string]float64
-	due      due.Wheel[event]
+	due      timerwheel.Wheel[event]
 	further  []*get
 	chances  uint64
 	warm     float64   // s/s; what a warm cache returned to us, for when none is warm
@@ -351,10 +351,10 @@
 	all      allowance // of all that is under way to caches
 	origins  allowance // of those that may need the origin
 
-	order, parentOrder      order.Index[*host]
-	beliefs                 beliefs.Beliefs
-	retries                 retries.Budget
-	paces                   paces.Paces
+	order, parentOrder      rendezvous.Index[*host]
+	beliefs                 grouphealth.Beliefs
+	retries                 retrybudget.Budget
+	paces                   congestion.Paces
 	sorted, fresh           []*host // all of hosts by id, and those that are not among them yet
 	listing                 int
 	warmCaches, warmParents float64 // s/s; what warm ones return to us, as of the last tick
@@ -367,7 +367,7 @@
 		fills:   allowance{name: FillLimit, most: math.Inf(1)},
 		origins: allowance{name: OriginLimit, most: math.Inf(1)},
 		all:     allowance{name: AllLimit, most: math.Inf(1), bears: oneCrowded}}
-	d.retries = retries.New(s.Retries, now)
+	d.retries = retrybudget.New(s.Retries, now)
 	for _, ds := range s.Services {
 		d.services = append(d.services, &service{DeliveryService: ds})
 	}
@@ -476,7 +476,7 @@
 func hash(s string) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(s))
-	return order.Mix(sum.Sum64())
+	return rendezvous.Mix(sum.Sum64())
 }
 
 // listed is the hosts that the list has not taken out, by id; those it has are forgotten once nothing is out.
@@ -593,7 +593,7 @@
 	d.chances++
 	sum := fnv.New64a()
 	_ = binary.Write(sum, binary.LittleEndian, []uint64{d.Seed, uint64(d.Index), uint64(h.ID), d.chances})
-	return float64(order.Mix(sum.Sum64())>>11) / (1 << 53)
+	return float64(rendezvous.Mix(sum.Sum64())>>11) / (1 << 53)
 }
 
 // place takes caches and parents into the shared orders, and caches into what is believed of them by their groups; of
@@ -601,7 +601,7 @@
 func (d *Dispatcher) place(before []*host) {
 	d.parentOrder.Set(idsOf(d.parents), d.parents)
 	d.listing++
-	many := len(d.caches) >= beliefs.Few
+	many := len(d.caches) >= grouphealth.Few
 	var came, went []*host
 	for _, h := range d.caches {
 		if h.listing == 0 || h.listing != d.listing-1 {
@@ -633,7 +633,7 @@
 
 // believe has a cache in the group that it is in now, if it is one of many.
 func (d *Dispatcher) believe(h *host, many bool) {
-	group := beliefs.Group{Kind: h.Kind, Zone: h.Zone, Cell: h.Cell}
+	group := grouphealth.Group{Kind: h.Kind, Zone: h.Zone, Cell: h.Cell}
 	if many && h.belief.In(group) {
 		return
 	}
@@ -662,7 +662,7 @@
 // pick draws a number below n.
 func (d *Dispatcher) pick(n int) int {
 	d.chances++
-	return int(order.Mix(d.Seed^order.Mix(uint64(d.Index)<<32+d.chances)) % uint64(n))
+	return int(rendezvous.Mix(d.Seed^rendezvous.Mix(uint64(d.Index)<<32+d.chances)) % uint64(n))
 }
 
 // hear books a sign of life.
--- a/settings/settings.go
+++ b/core/settings/settings.go
@@ -6,12 +6,12 @@
 	"encoding/json"
 	"fmt"
 
-	"elderwall/control"
+	"elderwall/core/routing"
 )
 
 // Settings is what the object tells: what the module goes by, and what sockets need besides. Times are in seconds.
 type Settings struct {
-	control.Settings
+	routing.Settings
 	Zones, Kinds, Services []string // the names in the module's order
 
 	ConnectTimeout float64 // a connection not up by then counts as refused
@@ -60,7 +60,7 @@
 		ConnectTimeout: seconds(o.Limits.ConnectTimeout), IdleClose: seconds(o.Limits.IdleClose),
 		MaxStreams: o.Limits.MaxStreams, MostHeld: o.Limits.MostHeld,
 	}
-	s.Settings = control.Settings{
+	s.Settings = routing.Settings{
 		Index: o.Index, Dispatchers: o.Balancers, Zone: o.Zone,
 		ParentKind: kind(x.ShieldKind), OriginKind: kind(x.SourceKind),
 		FlowKB: x.FlowKbPerS, WeightsTold: o.Weights == "nominal" || o.Weights == "rough",
@@ -79,7 +79,7 @@
 	}
 	for i, c := range o.Classes {
 		s.Services = append(s.Services, c.Name)
-		s.Settings.Services = append(s.Settings.Services, control.DeliveryService{
+		s.Settings.Services = append(s.Settings.Services, routing.DeliveryService{
 			Objective: seconds(c.Aim), Stretch: c.AimStretch, ViewerTimeout: seconds(c.Deadline), Revenue: c.Worth,
 			Effect: effects[c.Effect], Scope: scopes[c.DedupScope], RepeatWindow: seconds(c.RepeatWindow),
 			FreshFor: seconds(at(x.GoodFor, i)),
@@ -89,9 +89,9 @@
 }
 
 var (
-	effects = map[string]control.Effect{"safe": control.Idempotent, "keyed": control.Tokened, "unsafe": control.NonIdempotent}
-	scopes  = map[string]control.Scope{"all": control.AllHosts, "zone": control.SameZone, "cell": control.SameCell}
-	details = map[string]control.Detail{"all": control.Full, "hit": control.HitOnly, "silent": control.Silent}
+	effects = map[string]routing.Effect{"safe": routing.Idempotent, "keyed": routing.Tokened, "unsafe": routing.NonIdempotent}
+	scopes  = map[string]routing.Scope{"all": routing.AllHosts, "zone": routing.SameZone, "cell": routing.SameCell}
+	details = map[string]routing.Detail{"all": routing.Full, "hit": routing.HitOnly, "silent": routing.Silent}
 )
 
 func seconds(us int64) float64 { return float64(us) / 1e6 }
--- a/stages/shards/hot.go
+++ b/core/sharding/hot.go
@@ -1,4 +1,4 @@
-package shards
+package sharding
 
 const (
 	watched = 4096 // items that a shard keeps count of in a turn: one that matters is among the first GETs
--- a/stages/shards/pots.go
+++ b/core/sharding/pots.go
@@ -1,4 +1,4 @@
-package shards
+package sharding
 
 import "math"
 
--- a/stages/shards/shards.go
+++ b/core/sharding/shards.go
@@ -1,4 +1,4 @@
-// Package shards decides how the GETs of one process are divided among several modules, each with a lock and state of
+// Package sharding decides how the GETs of one process are divided among several modules, each with a lock and state of
 // its own, and what those must have in common. It is pure: no I/O, clock, lock or goroutine; whoever calls it from
 // several goroutines locks.
 //
@@ -10,14 +10,14 @@
 //   - a shard that is not heard of gets nothing new;
 //   - what rule 4 allows one module to send to a cold host is spent from one pot by all (Pots), and one trial of a host
 //     that was left is out at a time.
-package shards
+package sharding
 
 import (
 	"cmp"
 	"math"
 	"slices"
 
-	"elderwall/control/order"
+	"elderwall/core/routing/rendezvous"
 )
 
 const (
@@ -63,7 +63,7 @@
 	for i := range len(name) {
 		h = (h ^ uint64(name[i])) * 1099511628211
 	}
-	return order.Mix(h ^ uint64(part)*0x9e3779b97f4a7c15)
+	return rendezvous.Mix(h ^ uint64(part)*0x9e3779b97f4a7c15)
 }
 
 // Of is the shard of a key; turn spreads the GETs of one that is hot, in turn.
--- a/stages/shards/shards_test.go
+++ b/core/sharding/shards_test.go
@@ -1,4 +1,4 @@
-package shards
+package sharding
 
 import (
 	"fmt"
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"elderwall/control"
-	"elderwall/control/order"
-	"elderwall/internal/due"
+	"elderwall/core/routing"
+	"elderwall/core/routing/rendezvous"
+	"elderwall/core/timerwheel"
 	"elderwall/internal/standin/need"
 )
 
@@ -227,7 +227,7 @@
 func BenchmarkTally(b *testing.B) {
 	zipf, keys := rand.NewZipf(rand.New(rand.NewPCG(1, 2)), 1.1, 1, 1<<20), make([]uint64, 1<<16)
 	for i := range keys {
-		keys[i] = order.Mix(zipf.Uint64())
+		keys[i] = rendezvous.Mix(zipf.Uint64())
 	}
 	var t Tally
 	need.Bench(b, "zipf", func(i int) {
@@ -248,14 +248,14 @@
 	answerAhead = 0.05
 )
 
-var rules = control.Settings{ParentKind: 1, OriginKind: 2, MayCancel: true, MaxForwards: 6, OldCopies: 3, WeightsTold: true, Joins: true,
+var rules = routing.Settings{ParentKind: 1, OriginKind: 2, MayCancel: true, MaxForwards: 6, OldCopies: 3, WeightsTold: true, Joins: true,
 	ColdFrom: 0.2, RampTime: 9, TipMultiple: 2, Fall: 1, ParentColdFrom: 0.2, ParentRamp: 9, ParentTip: 2, Seats: []int{1}, Dispatchers: 1,
-	FlowKB: 100, Services: []control.DeliveryService{{Objective: 0.5, ViewerTimeout: 1, Revenue: 1, Effect: control.Idempotent}}}
+	FlowKB: 100, Services: []routing.DeliveryService{{Objective: 0.5, ViewerTimeout: 1, Revenue: 1, Effect: routing.Idempotent}}}
 
 // world is a process of shards on a clock of its own; whatever breaks a rule is a fault.
 type world struct {
 	now            float64
-	due            due.Wheel[func()]
+	due            timerwheel.Wheel[func()]
 	chance         *rand.Rand
 	m              *Module
 	pots           Pots
@@ -271,7 +271,7 @@
 }
 
 type simHost struct {
-	control.HostEntry
+	routing.HostEntry
 	told float64 // when it drained, or was gone; 0 for neither
 	sent []sent  // while it was cold
 	down bool
@@ -286,21 +286,21 @@
 	shard           *shard
 }
 
-// shard is one as internal/node runs it: a line that notices go to the head of.
+// shard is one as internal/dispatcher runs it: a line that notices go to the head of.
 type shard struct {
 	*world
 	number      int
-	d           *control.Dispatcher
+	d           *routing.Dispatcher
 	line        []func()
 	waits       []float64 // when each was put there
 	notices     []func()
-	found       []control.News
+	found       []routing.News
 	told, heard int
 	running     bool
 	still       float64 // until when it stands still
 	stood       float64 // since when
 	gets        map[uint32]*simGET
-	ended       []control.Answer
+	ended       []routing.Answer
 	last        uint32
 	tally       Tally
 	slots       [Slots]uint32
@@ -317,7 +317,7 @@
 	s := &shard{world: w, number: len(w.all), gets: map[uint32]*simGET{}, forwards: map[[2]int]func(){}}
 	settings := rules
 	settings.Shards, settings.Peers, settings.Seed = 8, s, uint64(s.number)
-	s.d = control.New(settings, w.now, s)
+	s.d = routing.New(settings, w.now, s)
 	for _, notice := range w.known() {
 		s.notices = append(s.notices, func() { notice(s) })
 		s.told++
@@ -329,11 +329,11 @@
 // known is the list and the purges, for a shard that is new.
 func (w *world) known() (all []func(*shard)) {
 	hosts, purges := w.memory.All(w.now)
-	entries := []control.HostEntry{}
+	entries := []routing.HostEntry{}
 	for _, h := range hosts {
-		entries = append(entries, h.(control.HostEntry))
+		entries = append(entries, h.(routing.HostEntry))
 	}
-	all = append(all, func(s *shard) { s.d.Hosts(w.now, control.Complete, entries) })
+	all = append(all, func(s *shard) { s.d.Hosts(w.now, routing.Complete, entries) })
 	for _, p := range purges {
 		name, at := p.(string), w.purged[p.(string)]
 		all = append(all, func(s *shard) { s.d.Purged(w.now, name, 0, w.now-at) })
@@ -403,7 +403,7 @@
 }
 
 // Forward checks what goes out against the rules, and has the host answer.
-func (s *shard) Forward(f control.Forward) {
+func (s *shard) Forward(f routing.Forward) {
 	if s.midway != nil {
 		now := s.midway
 		s.midway = nil
@@ -414,17 +414,17 @@
 		number++
 	}
 	key, over := [2]int{int(f.GET), number}, false
-	back := func(a control.Answer) {
+	back := func(a routing.Answer) {
 		if over {
 			return
 		}
 		over, a.GET, a.Forward = true, f.GET, number
 		s.ended = append(s.ended, a)
 	}
-	s.forwards[key] = func() { back(control.Answer{Outcome: control.Revoked}) }
+	s.forwards[key] = func() { back(routing.Answer{Outcome: routing.Revoked}) }
 	if s.told != s.heard {
 		s.behind++
-		back(control.Answer{Outcome: control.NotTaken})
+		back(routing.Answer{Outcome: routing.NotTaken})
 		return
 	}
 	h, g := s.hosts[f.Host], s.gets[f.GET]
@@ -441,11 +441,11 @@
 	from, serve := s.now, 0.01+0.05*s.chance.Float64()
 	s.after(serve, func() {
 		s.put(func() {
-			a := control.Answer{Outcome: control.Returned, Note: control.Hit, Elapsed: s.now - from}
+			a := routing.Answer{Outcome: routing.Returned, Note: routing.Hit, Elapsed: s.now - from}
 			if h.down || s.chance.IntN(40) == 0 {
-				a.Outcome, a.Note = control.HostError, control.NoNote
+				a.Outcome, a.Note = routing.HostError, routing.NoNote
 			}
-			if a.Outcome == control.Returned && !over {
+			if a.Outcome == routing.Returned && !over {
 				s.answer(g)
 			}
 			back(a)
@@ -486,8 +486,8 @@
 }
 func (s *shard) Spend(host uint32, work float64) bool { return s.pots.Spend(host, work) }
 func (s *shard) Trial(now float64, host uint32) bool  { return s.pots.Trial(now, host, s.number) }
-func (s *shard) Tell(n control.News) {
-	if !n.Left && n.Limit == control.NoLimit {
+func (s *shard) Tell(n routing.News) {
+	if !n.Left && n.Limit == routing.NoLimit {
 		s.pots.Done(n.Host)
 	}
 	for _, o := range s.all {
@@ -523,7 +523,7 @@
 		s.last++
 		id := s.last
 		s.gets[id] = g
-		s.d.GET(s.now, control.GET{ID: id, Object: object, ViewerTimeout: g.until, SizeKB: sending * rules.FlowKB})
+		s.d.GET(s.now, routing.GET{ID: id, Object: object, ViewerTimeout: g.until, SizeKB: sending * rules.FlowKB})
 	})
 	w.after(w.chance.ExpFloat64()/perSecond, w.arrive)
 }
@@ -571,14 +571,14 @@
 			w.tell(func(s *shard) { s.d.Purged(s.now, name, 0, s.now-at) })
 		case 1, 2: // it drains or comes back cold
 			if host.told == 0 {
-				host.told, host.Phase = w.now, control.Draining
+				host.told, host.Phase = w.now, routing.Draining
 			} else {
-				host.told, host.Phase, host.sent = 0, control.Ready, nil
+				host.told, host.Phase, host.sent = 0, routing.Ready, nil
 				host.OnlineSince, host.OnlineSinceIsTold = w.now, true
 			}
 			e := host.HostEntry
 			w.memory.Host(fmt.Sprint(e.ID), e)
-			w.tell(func(s *shard) { s.d.Hosts(s.now, control.Changes, []control.HostEntry{e}) })
+			w.tell(func(s *shard) { s.d.Hosts(s.now, routing.Changes, []routing.HostEntry{e}) })
 		case 3:
 			host.down = !host.down
 		default:
@@ -612,7 +612,7 @@
 	w := &world{chance: rand.New(rand.NewPCG(seed, 1)), hosts: map[uint32]*simHost{}, purged: map[string]float64{}, memory: Memory{Keep: rules.OldCopies}}
 	w.memory.Reset()
 	for id := range uint32(4) {
-		e := control.HostEntry{ID: id + 1, Phase: control.Ready, Weight: weight}
+		e := routing.HostEntry{ID: id + 1, Phase: routing.Ready, Weight: weight}
 		w.hosts[e.ID] = &simHost{HostEntry: e}
 		w.memory.Host(fmt.Sprint(e.ID), e)
 	}
--- a/internal/due/due.go
+++ b/core/timerwheel/due.go
@@ -1,5 +1,5 @@
-// Package due keeps things in the order of the times at which they fall due.
-package due
+// Package timerwheel keeps things in the order of the times at which they fall due.
+package timerwheel
 
 import (
 	"container/heap"
--- a/internal/due/due_test.go
+++ b/core/timerwheel/due_test.go
@@ -1,4 +1,4 @@
-package due
+package timerwheel
 
 import (
 	"fmt"
--- a/emulate/budgets.go
+++ b/emulator/budgets.go
@@ -1,4 +1,4 @@
-package emulate
+package emulator
 
 import (
 	"cmp"
@@ -7,8 +7,8 @@
 	"math/rand/v2"
 	"slices"
 
-	"elderwall/fleet/budgets"
-	"elderwall/internal/due"
+	"elderwall/core/cluster/quota"
+	"elderwall/core/timerwheel"
 )
 
 // Ways in which a whole may be divided, side by side.
@@ -38,7 +38,7 @@
 type BudgetScenario struct {
 	Seed        uint64
 	Way         string
-	Kind        budgets.Kind
+	Kind        quota.Kind
 	Dispatchers int
 	Zones       int
 	Whole       float64 // under way; GETs/s
@@ -68,7 +68,7 @@
 
 // BudgetDefault is a calm fleet.
 func BudgetDefault() BudgetScenario {
-	return BudgetScenario{Seed: 1, Way: Divided, Kind: budgets.UnderWay, Dispatchers: 300, Zones: 3, Whole: 3000, Demand: 1.5, Skew: 1, Takes: 0.5, Delay: 0.01,
+	return BudgetScenario{Seed: 1, Way: Divided, Kind: quota.UnderWay, Dispatchers: 300, Zones: 3, Whole: 3000, Demand: 1.5, Skew: 1, Takes: 0.5, Delay: 0.01,
 		Span: 120, Warm: 30, Tail: 5}
 }
 
@@ -89,7 +89,7 @@
 }
 
 type budgetDispatcher struct {
-	holder *budgets.Holder
+	holder *quota.Holder
 	boot   uint64
 	clock  float64 // runs so fast
 	part   float64 // of the demand
@@ -107,11 +107,11 @@
 	BudgetScenario
 	chance  *rand.Rand
 	now     float64
-	acts    due.Wheel[func()]
+	acts    timerwheel.Wheel[func()]
 	all     []*budgetDispatcher
-	ledger  *budgets.Ledger // the log
+	ledger  *quota.Ledger // the log
 	token   uint64
-	divider *budgets.Divider
+	divider *quota.Divider
 	gone    float64 // no divider until then
 	result  *BudgetResult
 	inUse   int
@@ -132,26 +132,26 @@
 func (w *budgetWorld) after(s float64, do func()) { w.acts.Add(w.now+s, do) }
 
 func (w *budgetWorld) units(x float64) int64 {
-	if w.Kind == budgets.Rate {
-		return int64(x * float64(budgets.Thousand))
+	if w.Kind == quota.Rate {
+		return int64(x * float64(quota.Thousand))
 	}
 	return int64(x)
 }
 
-func (w *budgetWorld) settings() []budgets.Budget {
-	return []budgets.Budget{{Name: budgetName, Kind: w.Kind, Whole: w.units(w.whole), Burst: int64(w.Burst)}}
+func (w *budgetWorld) settings() []quota.Budget {
+	return []quota.Budget{{Name: budgetName, Kind: w.Kind, Whole: w.units(w.whole), Burst: int64(w.Burst)}}
 }
 
 // RunBudgets plays one.
 func RunBudgets(s BudgetScenario) (*BudgetResult, error) {
-	if s.Dispatchers < 1 || s.Dispatchers > budgets.MostHolders || s.Span <= 0 || s.Kind == budgets.Amount {
+	if s.Dispatchers < 1 || s.Dispatchers > quota.MostHolders || s.Span <= 0 || s.Kind == quota.Amount {
 		return nil, fmt.Errorf("budgets: %d dispatchers over %g s of kind %d", s.Dispatchers, s.Span, s.Kind)
 	}
-	w := &budgetWorld{BudgetScenario: s, chance: rand.New(rand.NewPCG(s.Seed, 41)), ledger: budgets.NewLedger(), result: &BudgetResult{Follow: -1}, whole: s.Whole,
+	w := &budgetWorld{BudgetScenario: s, chance: rand.New(rand.NewPCG(s.Seed, 41)), ledger: quota.NewLedger(), result: &BudgetResult{Follow: -1}, whole: s.Whole,
 		before: s.Whole, generation: 1}
 	sum := 0.0
 	for i := range s.Dispatchers {
-		d := &budgetDispatcher{part: math.Exp(s.Skew * w.chance.NormFloat64()), clock: 1 + budgets.Drift*(2*w.chance.Float64()-1)*0.9}
+		d := &budgetDispatcher{part: math.Exp(s.Skew * w.chance.NormFloat64()), clock: 1 + quota.Drift*(2*w.chance.Float64()-1)*0.9}
 		sum += d.part
 		w.all = append(w.all, d)
 		w.start(i)
@@ -185,7 +185,7 @@
 	d := w.all[i]
 	d.boot++
 	d.inUse, d.ownAt = 0, w.now
-	d.holder = budgets.NewHolder(fmt.Sprint("n", i), d.boot, fmt.Sprint("z", i%max(1, w.Zones)), fmt.Sprint("a", i))
+	d.holder = quota.NewHolder(fmt.Sprint("n", i), d.boot, fmt.Sprint("z", i%max(1, w.Zones)), fmt.Sprint("a", i))
 	d.holder.Use(budgetName, w.Kind, w.now*d.clock)
 }
 
@@ -197,8 +197,8 @@
 			return
 		}
 		w.token++
-		w.ledger.Apply(&budgets.Command{Token: w.token, Seq: 1}) // what an earlier one has on its way comes too late from here on
-		w.divider = budgets.NewDivider(budgets.Restore(w.ledger.Save()), w.token, w.now, w.Tail, w.generation, w.settings())
+		w.ledger.Apply(&quota.Command{Token: w.token, Seq: 1}) // what an earlier one has on its way comes too late from here on
+		w.divider = quota.NewDivider(quota.Restore(w.ledger.Save()), w.token, w.now, w.Tail, w.generation, w.settings())
 	})
 }
 
@@ -251,7 +251,7 @@
 	})
 }
 
-func (w *budgetWorld) answer(all []budgets.Answered) {
+func (w *budgetWorld) answer(all []quota.Answered) {
 	for _, a := range all {
 		i := 0
 		_, _ = fmt.Sscanf(a.Name, "n%d", &i)
@@ -268,7 +268,7 @@
 	}
 }
 
-func (w *budgetWorld) took(d *budgetDispatcher, a budgets.Answered) {
+func (w *budgetWorld) took(d *budgetDispatcher, a quota.Answered) {
 	if d.boot == a.Boot && w.now >= d.down {
 		d.holder.Answer(w.now*d.clock, a.Answer)
 	}
@@ -278,7 +278,7 @@
 func (w *budgetWorld) arrive(i int) {
 	d := w.all[i]
 	rate := w.Demand * w.Whole * d.part
-	if w.Kind == budgets.UnderWay {
+	if w.Kind == quota.UnderWay {
 		rate /= w.Takes
 	}
 	w.after(w.chance.ExpFloat64()/max(rate, 1e-3), func() { w.arrive(i); w.get(i) })
@@ -291,7 +291,7 @@
 		return
 	}
 	cost := 1.0
-	if w.Kind == budgets.UnderWay {
+	if w.Kind == quota.UnderWay {
 		cost = w.Takes
 	}
 	second := min(int(w.now), len(w.wants)-1)
@@ -306,7 +306,7 @@
 		d.got++
 	}
 	w.uses[second][0] += cost
-	if w.Kind == budgets.Rate {
+	if w.Kind == quota.Rate {
 		w.result.Events = append(w.result.Events, w.now)
 		return
 	}
@@ -332,7 +332,7 @@
 		n := int64(1)
 		return d.holder.Take(w.now*d.clock, budgetName, n)
 	case Ideal:
-		if w.Kind == budgets.UnderWay {
+		if w.Kind == quota.UnderWay {
 			return float64(w.inUse) < w.whole
 		}
 		w.idle = min(max(1, w.Burst), w.idle+w.whole*(w.now-w.idleAt))
@@ -347,7 +347,7 @@
 	if w.Way == Separate {
 		part *= 2
 	}
-	if w.Kind == budgets.UnderWay {
+	if w.Kind == quota.UnderWay {
 		return float64(d.inUse) < math.Floor(part)
 	}
 	d.own = min(max(1, w.Burst/float64(w.Dispatchers)), d.own+part*(w.now-d.ownAt))
@@ -423,7 +423,7 @@
 // watch takes sights.
 func (w *budgetWorld) watch() {
 	w.after(BudgetWatch, w.watch)
-	if w.before > w.whole && w.now > w.shrunk+(budgets.Lease+w.Tail)*(1+budgets.Drift)+3*budgets.Lease {
+	if w.before > w.whole && w.now > w.shrunk+(quota.Lease+w.Tail)*(1+quota.Drift)+3*quota.Lease {
 		w.before = w.whole
 	}
 	sight := BudgetSight{At: w.now, InUse: w.inUse, Whole: max(w.whole, w.before)}
@@ -432,7 +432,7 @@
 			sight.Limits = append(sight.Limits, d.holder.Limit(w.now*d.clock, budgetName))
 		}
 	}
-	if w.Kind == budgets.UnderWay && w.now > w.Warm {
+	if w.Kind == quota.UnderWay && w.now > w.Warm {
 		w.result.Most = max(w.result.Most, float64(w.inUse)/max(1, sight.Whole))
 	}
 	if w.now > w.Warm {
@@ -489,7 +489,7 @@
 	}
 	r.Turned = 1 - all/max(1, asked)
 	r.Bytes, r.Entries = float64(w.bytes)/end, float64(w.entries)/end
-	if w.Kind == budgets.Rate {
+	if w.Kind == quota.Rate {
 		slices.SortFunc(r.Events, cmp.Compare[float64])
 		first := 0
 		for i, at := range r.Events { // the fullest second
--- a/emulate/channels.go
+++ b/emulator/channels.go
@@ -1,4 +1,4 @@
-package emulate
+package emulator
 
 import (
 	"fmt"
@@ -6,16 +6,16 @@
 	"math/rand/v2"
 	"slices"
 
-	"elderwall/fleet/channels"
-	"elderwall/fleet/replica"
-	"elderwall/internal/due"
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/replication"
+	"elderwall/core/timerwheel"
 )
 
 // ChannelsScenario is a fleet of channels' machines, each over a replica's, with writers and readers that come back. Times are in seconds.
 // The voters' log and the duty are modelled: a command stands after two messages and a sync, at who sees a majority; another holder follows after Lease.
 type ChannelsScenario struct {
 	Seed     uint64
-	Order    channels.Order
+	Order    channel.Order
 	Members  int
 	Zones    int
 	Readers  int
@@ -38,7 +38,7 @@
 
 // ChannelsDefault is a calm fleet.
 func ChannelsDefault() ChannelsScenario {
-	return ChannelsScenario{Seed: 1, Order: channels.BySender, Members: 30, Zones: 3, Readers: 100, Writers: 10, Rate: 20, Delay: 0.002, Sync: 0.005, Knows: 5, Notice: 0.5,
+	return ChannelsScenario{Seed: 1, Order: channel.BySender, Members: 30, Zones: 3, Readers: 100, Writers: 10, Rate: 20, Delay: 0.002, Sync: 0.005, Knows: 5, Notice: 0.5,
 		Patience: 1, Lease: 3, Wait: 5, Warm: 5, Span: 30, Settle: 40}
 }
 
@@ -67,10 +67,10 @@
 	up         bool
 	side       int
 	life       int
-	replica    *replica.Machine
-	channels   *channels.Machine
+	replica    *replication.Machine
+	channels   *channel.Machine
 	disk       *memoryDisk
-	ids        map[replica.Dot]uint64
+	ids        map[replication.Dot]uint64
 	readers    map[int]*channelReader
 }
 
@@ -93,7 +93,7 @@
 type channelWriter struct {
 	name  string
 	at    *channelMember
-	queue []*channels.Entry // to be written, the first of them is on its way
+	queue []*channel.Entry // to be written, the first of them is on its way
 	next  uint64
 	sent  int
 	after *channelReader
@@ -103,14 +103,14 @@
 type channelsWorld struct {
 	ChannelsScenario
 	now     float64
-	acts    due.Wheel[func()]
+	acts    timerwheel.Wheel[func()]
 	chance  *rand.Rand
 	all     []*channelMember
 	byName  map[string]*channelMember
 	readers []*channelReader
 	writers map[string]*channelWriter
 	names   []string
-	ledger  *channels.Ledger
+	ledger  *channel.Ledger
 	holder  *channelMember
 	token   uint64
 	electing,
@@ -131,16 +131,16 @@
 		return nil, fmt.Errorf("channels: %d members, %d readers, %d writers: out of range", s.Members, s.Readers, s.Writers)
 	}
 	w := &channelsWorld{ChannelsScenario: s, chance: rand.New(rand.NewPCG(s.Seed, 50)), byName: map[string]*channelMember{}, writers: map[string]*channelWriter{},
-		ledger: channels.NewLedger(), wrote: map[string]float64{}, after: map[string]map[string]uint64{}, acked: map[string]bool{}, places: map[[2]uint64]string{},
+		ledger: channel.NewLedger(), wrote: map[string]float64{}, after: map[string]map[string]uint64{}, acked: map[string]bool{}, places: map[[2]uint64]string{},
 		out: &ChannelsResult{Refusals: map[string]int{}, Course: make([][]float64, int(s.Warm+s.Span)+1)}}
-	d := channels.Declaration{Name: channelName, Generation: 1, Order: s.Order, Entries: 50_000, Bytes: 32 << 20, Seconds: 3600, Wait: s.Wait, Slow: true,
-		Told: s.Order == channels.Latest}
-	if err := w.ledger.Apply(&channels.Command{Declare: &d}); err != nil {
+	d := channel.Declaration{Name: channelName, Generation: 1, Order: s.Order, Entries: 50_000, Bytes: 32 << 20, Seconds: 3600, Wait: s.Wait, Slow: true,
+		Told: s.Order == channel.Latest}
+	if err := w.ledger.Apply(&channel.Command{Declare: &d}); err != nil {
 		return nil, fmt.Errorf("channels: %w", err)
 	}
 	for i := range s.Members {
 		m := &channelMember{index: i, name: fmt.Sprintf("n%04d", i), zone: fmt.Sprint("z", i%s.Zones),
-			disk: &memoryDisk{vector: map[[2]any]replica.Entry{}, records: map[replica.Name]replica.Carried{}}}
+			disk: &memoryDisk{vector: map[[2]any]replication.Entry{}, records: map[replication.Name]replication.Carried{}}}
 		w.all, w.byName[m.name] = append(w.all, m), m
 	}
 	for _, m := range w.all {
@@ -192,20 +192,20 @@
 
 func (w *channelsWorld) start(m *channelMember) {
 	m.life++
-	m.up, m.ids, m.readers = true, map[replica.Dot]uint64{}, map[int]*channelReader{}
-	var saved *replica.Saved
+	m.up, m.ids, m.readers = true, map[replication.Dot]uint64{}, map[int]*channelReader{}
+	var saved *replication.Saved
 	if m.disk.era > 0 {
 		saved = m.disk.saved(w.now)
 	}
 	var err error
-	if m.replica, err = replica.New(replica.Settings{Name: m.name, Zone: m.zone, Kinds: channels.Kinds(), Seed: w.Seed + uint64(m.index)<<20 + uint64(m.life)<<40}, saved, w.now); err != nil {
+	if m.replica, err = replication.New(replication.Settings{Name: m.name, Zone: m.zone, Kinds: channel.Kinds(), Seed: w.Seed + uint64(m.index)<<20 + uint64(m.life)<<40}, saved, w.now); err != nil {
 		w.wrong("%s does not start: %v", m.name, err)
 		m.up = false
 		return
 	}
-	m.channels = channels.New(m.name, w.Seed+uint64(m.index)<<20+uint64(m.life)<<40)
-	for _, k := range channels.Kinds() {
-		m.replica.Each(k.ID, "", func(r replica.Record) bool { m.channels.Learn(w.now, r); return true })
+	m.channels = channel.New(m.name, w.Seed+uint64(m.index)<<20+uint64(m.life)<<40)
+	for _, k := range channel.Kinds() {
+		m.replica.Each(k.ID, "", func(r replication.Record) bool { m.channels.Learn(w.now, r); return true })
 	}
 	m.channels.Declare(w.now, w.ledger.Declarations())
 	w.tell(m)
@@ -222,11 +222,11 @@
 }
 
 func (w *channelsWorld) tell(m *channelMember) {
-	f := replica.Fleet{Of: len(w.all), Decides: w.majority(m)}
+	f := replication.Fleet{Of: len(w.all), Decides: w.majority(m)}
 	f.Narrows = f.Decides
 	for _, o := range w.all {
 		if o != m {
-			f.Others = append(f.Others, replica.Member{Name: o.name, Zone: o.zone, Alive: o.up && o.side == m.side, Counted: true})
+			f.Others = append(f.Others, replication.Member{Name: o.name, Zone: o.zone, Alive: o.up && o.side == m.side, Counted: true})
 		}
 	}
 	m.replica.Fleet(f, w.now)
@@ -294,7 +294,7 @@
 		for _, p := range c.Puts {
 			dot, err := m.replica.Write(w.now, p.Record.Kind, p.Record.Key, p.Record.Value, p.Record.Dead, p.Sure)
 			if err != nil && p.ID > 0 {
-				m.channels.Written(w.now, p.ID, replica.Outcome{}, err)
+				m.channels.Written(w.now, p.ID, replication.Outcome{}, err)
 			} else if p.ID > 0 {
 				m.ids[dot] = p.ID
 			}
@@ -341,7 +341,7 @@
 	}
 }
 
-func (w *channelsWorld) send(from *channelMember, e *replica.Envelope) {
+func (w *channelsWorld) send(from *channelMember, e *replication.Envelope) {
 	to := w.byName[e.To]
 	if to == nil || !e.Stream && w.chance.Float64() < w.Loss {
 		return
@@ -368,10 +368,10 @@
 		w.act(w.Notice*w.chance.Float64(), func() { w.open(r) })
 		return
 	}
-	id, err := m.channels.Open(w.now, channels.Ask{Channel: channelName, Token: r.token})
+	id, err := m.channels.Open(w.now, channel.Ask{Channel: channelName, Token: r.token})
 	if err != nil {
 		after := w.Notice
-		if l, ok := err.(*channels.Later); ok { //nolint:errorlint // it is never wrapped
+		if l, ok := err.(*channel.Later); ok { //nolint:errorlint // it is never wrapped
 			after = l.Seconds
 			w.out.Waited++
 		} else {
@@ -420,19 +420,19 @@
 				r.token = n.Position
 			}
 			switch n.Word {
-			case channels.Shown:
+			case channel.Shown:
 				w.shown(r, n)
-			case channels.Gap:
+			case channel.Gap:
 				w.out.Told++
-				if w.Order != channels.Latest {
+				if w.Order != channel.Latest {
 					w.wrong("reader %d is told a gap of %s, and none are declared", r.index, n.Writer)
 				}
-			case channels.Reset, channels.Cut:
+			case channel.Reset, channel.Cut:
 				w.out.Resets++
 				w.leave(r)
 				r.anew()
 				w.act(w.Notice, func() { w.open(r) })
-			case channels.Behind:
+			case channel.Behind:
 				w.out.Behinds++
 				w.leave(r)
 				w.act(w.delay(), func() { w.open(r) })
@@ -444,7 +444,7 @@
 func entryName(writer string, number uint64) string { return fmt.Sprint(writer, "/", number) }
 
 // shown is the checker: it keeps what readers were shown and asks no machine.
-func (w *channelsWorld) shown(r *channelReader, n channels.Note) {
+func (w *channelsWorld) shown(r *channelReader, n channel.Note) {
 	e := n.Entry
 	name := entryName(e.Writer, e.Number)
 	at, ok := w.wrote[name]
@@ -456,17 +456,17 @@
 		w.wrong("reader %d is shown %s twice", r.index, name)
 	case e.Number <= r.last[e.Writer]:
 		w.wrong("reader %d is shown %s after %d", r.index, name, r.last[e.Writer])
-	case w.Order != channels.Latest && e.Number != r.last[e.Writer]+1:
+	case w.Order != channel.Latest && e.Number != r.last[e.Writer]+1:
 		w.wrong("reader %d is shown %s, %d was the last before it", r.index, name, r.last[e.Writer])
 	}
 	switch w.Order {
-	case channels.Causal:
+	case channel.Causal:
 		for o, k := range w.after[name] {
 			if r.last[o] < k && o != e.Writer {
 				w.wrong("reader %d is shown %s before %s, which its writer had seen", r.index, name, entryName(o, k))
 			}
 		}
-	case channels.Total:
+	case channel.Total:
 		if e.Place <= r.place {
 			w.wrong("reader %d is shown place %d after %d", r.index, e.Place, r.place)
 		}
@@ -474,7 +474,7 @@
 			w.wrong("reader %d is shown %s in place %d, others were shown %s", r.index, name, e.Place, was)
 		}
 		w.places[[2]uint64{e.Place}], r.place = name, e.Place
-	case channels.Latest:
+	case channel.Latest:
 		if e.Clock < r.newest[e.Key] && !n.Late {
 			w.wrong("reader %d is shown %s, older than what it was shown of %s", r.index, name, e.Key)
 		}
@@ -501,8 +501,8 @@
 	for _, c := range x.after.newest {
 		x.clock = max(x.clock, c+1)
 	}
-	e := &channels.Entry{Channel: channelName, Writer: x.name, Number: x.next, Key: fmt.Sprint("k", w.chance.IntN(20)), Body: make([]byte, 100), Clock: x.clock}
-	if w.Order == channels.Causal {
+	e := &channel.Entry{Channel: channelName, Writer: x.name, Number: x.next, Key: fmt.Sprint("k", w.chance.IntN(20)), Body: make([]byte, 100), Clock: x.clock}
+	if w.Order == channel.Causal {
 		e.After = maps.Clone(x.after.last)
 	}
 	name := entryName(x.name, x.next)
@@ -536,19 +536,19 @@
 					w.write(x)
 				}
 			})
-		} else if state == channels.Elsewhere {
+		} else if state == channel.Elsewhere {
 			w.act(w.delay(), func() {
 				if h := w.holder; h != nil && h.up && h.side == m.side {
-					if state, err := h.channels.Write(w.now, e); err == nil && state == channels.Known {
-						w.ack(channels.Ack{Writer: e.Writer, Number: e.Number, Met: true})
+					if state, err := h.channels.Write(w.now, e); err == nil && state == channel.Known {
+						w.ack(channel.Ack{Writer: e.Writer, Number: e.Number, Met: true})
 					} else if err != nil {
 						w.out.Refusals[err.Error()]++
 					}
 					w.step(h)
 				}
 			})
-		} else if state == channels.Known {
-			w.ack(channels.Ack{Writer: e.Writer, Number: e.Number, Met: true})
+		} else if state == channel.Known {
+			w.ack(channel.Ack{Writer: e.Writer, Number: e.Number, Met: true})
 		}
 		w.step(m)
 	})
@@ -561,7 +561,7 @@
 }
 
 // ack is what a writer hears.
-func (w *channelsWorld) ack(a channels.Ack) {
+func (w *channelsWorld) ack(a channel.Ack) {
 	x := w.writers[a.Writer]
 	if a.Err != nil {
 		w.out.Refusals[a.Err.Error()]++
@@ -611,7 +611,7 @@
 	for _, l := range w.out.Course {
 		slices.Sort(l)
 	}
-	if w.Order == channels.Latest {
+	if w.Order == channel.Latest {
 		return
 	}
 	for name := range w.acked {
--- a/emulate/channels_test.go
+++ b/emulator/channels_test.go
@@ -1,4 +1,4 @@
-package emulate
+package emulator
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"elderwall/fleet/channels"
+	"elderwall/core/cluster/channel"
 )
 
 // Readers that move through kills and cuts are shown what is declared, and all of it.
@@ -17,7 +17,7 @@
 		"cut":          {{Kind: Cut, At: 5, For: 8, Number: 2}},
 		"cut, and end": {{Kind: Cut, At: 3, For: 8, Number: 2}, {Kind: Die, At: 6, For: 3, Number: 2}},
 	} {
-		for order := channels.Latest; order <= channels.Total; order++ {
+		for order := channel.Latest; order <= channel.Total; order++ {
 			t.Run(name+", "+order.String(), func(t *testing.T) {
 				for seed := range uint64(schedules(1)) {
 					s := ChannelsDefault()
@@ -36,23 +36,23 @@
 // The checker finds what no declaration allows.
 func TestChannelsCheckerSeesFaults(t *testing.T) {
 	for name, tt := range map[string]struct {
-		order channels.Order
-		shown []channels.Entry
+		order channel.Order
+		shown []channel.Entry
 	}{
-		"twice":                 {channels.BySender, []channels.Entry{{Writer: "a", Number: 1}, {Writer: "a", Number: 1}}},
-		"passed over":           {channels.ByKey, []channels.Entry{{Writer: "a", Number: 1}, {Writer: "a", Number: 3}}},
-		"never written":         {channels.Latest, []channels.Entry{{Writer: "c", Number: 1}}},
-		"before what came":      {channels.Causal, []channels.Entry{{Writer: "b", Number: 1}}},
-		"place falls":           {channels.Total, []channels.Entry{{Writer: "a", Number: 1, Place: 2}, {Writer: "b", Number: 1, Place: 1}}},
-		"two in one place":      {channels.Total, []channels.Entry{{Writer: "a", Number: 1, Place: 7}}},
-		"older one of the same": {channels.Latest, []channels.Entry{{Writer: "a", Number: 1, Key: "k", Clock: 5}, {Writer: "b", Number: 1, Key: "k", Clock: 4}}},
+		"twice":                 {channel.BySender, []channel.Entry{{Writer: "a", Number: 1}, {Writer: "a", Number: 1}}},
+		"passed over":           {channel.ByKey, []channel.Entry{{Writer: "a", Number: 1}, {Writer: "a", Number: 3}}},
+		"never written":         {channel.Latest, []channel.Entry{{Writer: "c", Number: 1}}},
+		"before what came":      {channel.Causal, []channel.Entry{{Writer: "b", Number: 1}}},
+		"place falls":           {channel.Total, []channel.Entry{{Writer: "a", Number: 1, Place: 2}, {Writer: "b", Number: 1, Place: 1}}},
+		"two in one place":      {channel.Total, []channel.Entry{{Writer: "a", Number: 1, Place: 7}}},
+		"older one of the same": {channel.Latest, []channel.Entry{{Writer: "a", Number: 1, Key: "k", Clock: 5}, {Writer: "b", Number: 1, Key: "k", Clock: 4}}},
 	} {
 		w := &channelsWorld{ChannelsScenario: ChannelsScenario{Order: tt.order, Warm: 1}, out: &ChannelsResult{}, wrote: map[string]float64{"a/1": 0, "a/2": 0, "a/3": 0, "b/1": 0},
 			after: map[string]map[string]uint64{"b/1": {"a": 1}}, places: map[[2]uint64]string{{7}: "b/1"}}
 		r := &channelReader{}
 		r.anew()
 		for i := range tt.shown {
-			w.shown(r, channels.Note{Entry: &tt.shown[i]})
+			w.shown(r, channel.Note{Entry: &tt.shown[i]})
 		}
 		assert.Equal(t, 1, w.out.Broken, name)
 	}
--- a/emulate/copies.go
+++ b/emulator/copies.go
@@ -1,11 +1,11 @@
-package emulate
+package emulator
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"slices"
 
-	"elderwall/control/order"
+	"elderwall/core/routing/rendezvous"
 )
 
 // CopiesScenario is the other way to keep a fleet's memory: each record at the first k dispatchers of its order, read by a question from
@@ -44,7 +44,7 @@
 		return nil, fmt.Errorf("copies: %d of %d records at %d dispatchers: out of range", s.Copies, s.Records, s.Members)
 	}
 	chance, r := rand.New(rand.NewPCG(s.Seed, 48)), &CopiesResult{}
-	var index order.Index[uint32]
+	var index rendezvous.Index[uint32]
 	ids := make([]uint32, s.Members)
 	for i := range ids {
 		ids[i] = uint32(i)
@@ -52,7 +52,7 @@
 	index.Set(ids, ids)
 	k := min(s.Copies, s.Members)
 	holders := func(key int) (all []uint32) {
-		index.Walk(order.Mix(uint64(key)+1), nil, 0, func(h uint32) bool {
+		index.Walk(rendezvous.Mix(uint64(key)+1), nil, 0, func(h uint32) bool {
 			all = append(all, h)
 			return len(all) < k
 		})
--- a/emulate/dispatcher.go
+++ b/emulator/dispatcher.go
@@ -1,26 +1,26 @@
-package emulate
+package emulator
 
 import (
 	"maps"
 	"slices"
 
-	"elderwall/control"
-	"elderwall/internal/due"
+	"elderwall/core/routing"
+	"elderwall/core/timerwheel"
 )
 
 // dispatcher is one module, or one of several that a dispatcher has, with what an adapter keeps for it.
 type dispatcher struct {
 	*world
-	module *control.Dispatcher
+	module *routing.Dispatcher
 	gets   map[uint32]*get
 	lastID uint32
-	ended  []control.Answer
+	ended  []routing.Answer
 	used   map[*host]float64 // when something last came from a host: a connection is up
 	told   map[*host]float64 // since when it knows that a host drains
 	index  int
 	group  *group
 	dead   bool
-	timer  *due.Timer[func()]
+	timer  *timerwheel.Timer[func()]
 }
 
 // get is a GET of a client.
@@ -33,12 +33,12 @@
 	forwards []*forward
 	out      int
 	answers  int
-	expiry   *due.Timer[func()]
+	expiry   *timerwheel.Timer[func()]
 }
 
 // forward is one that went to a host.
 type forward struct {
-	out           control.Forward
+	out           routing.Forward
 	get           *get
 	number        int
 	at            float64
@@ -72,7 +72,7 @@
 	}
 }
 
-var _ control.Wire = (*dispatcher)(nil)
+var _ routing.Wire = (*dispatcher)(nil)
 
 func newDispatcher(w *world, index int, together *group) *dispatcher {
 	d := &dispatcher{world: w, index: index, group: together}
@@ -110,7 +110,7 @@
 func (d *dispatcher) begin() {
 	w := d.world
 	d.dead, d.gets, d.used, d.told = false, map[uint32]*get{}, map[*host]float64{}, map[*host]float64{}
-	var common control.Peers
+	var common routing.Peers
 	if w.Shards > 1 {
 		common = &peers{d.group, d, len(d.group.members) - 1}
 	}
@@ -118,16 +118,16 @@
 	for i := range w.Dispatchers {
 		seats[w.zone(i*w.Shards)]++
 	}
-	d.module = control.New(control.Settings{Index: d.index, Dispatchers: w.Dispatchers, Seed: w.Seed, Zone: w.zone(d.index), Seats: seats,
-		Services:   []control.DeliveryService{{Objective: w.Objective, ViewerTimeout: w.ViewerTimeout, Revenue: 1, Effect: control.Idempotent}},
-		ParentKind: 1, OriginKind: 2, Straight: true, Joins: true, Detail: control.Full, MaxForwards: w.MaxForwards, MayCancel: true,
+	d.module = routing.New(routing.Settings{Index: d.index, Dispatchers: w.Dispatchers, Seed: w.Seed, Zone: w.zone(d.index), Seats: seats,
+		Services:   []routing.DeliveryService{{Objective: w.Objective, ViewerTimeout: w.ViewerTimeout, Revenue: 1, Effect: routing.Idempotent}},
+		ParentKind: 1, OriginKind: 2, Straight: true, Joins: true, Detail: routing.Full, MaxForwards: w.MaxForwards, MayCancel: true,
 		SecondCopies: true, MaxRetryAfter: 1, ColdFrom: coldFrom, RampTime: ramp, TipMultiple: tip, Fall: fall,
 		ParentColdFrom: coldFrom, ParentRamp: ramp, ParentTip: tip, OldCopies: oldCopies, Retries: w.Retries, Shards: w.Shards, Peers: common}, w.now, d)
-	var entries []control.HostEntry
+	var entries []routing.HostEntry
 	for _, h := range w.hosts {
 		entries = append(entries, h.entry())
 	}
-	d.list(control.Complete, entries, nil)
+	d.list(routing.Complete, entries, nil)
 	for _, o := range w.items {
 		if o.purged > 0 && w.now < o.purged+oldCopies {
 			d.module.Purged(w.now, o.name, 0, w.now-o.purged)
@@ -136,12 +136,12 @@
 }
 
 // list tells the module of hosts.
-func (d *dispatcher) list(form control.ListForm, entries []control.HostEntry, hosts []*host) {
+func (d *dispatcher) list(form routing.ListForm, entries []routing.HostEntry, hosts []*host) {
 	if d.dead {
 		return
 	}
 	for i, h := range hosts {
-		if entries[i].Phase != control.Ready && d.told[h] == 0 {
+		if entries[i].Phase != routing.Ready && d.told[h] == 0 {
 			d.told[h] = d.now
 		}
 	}
@@ -175,7 +175,7 @@
 	}
 	g.expiry = d.at(d.now+d.ViewerTimeout, func() { d.expire(g) })
 	d.step(func(now float64) {
-		d.module.GET(now, control.GET{ID: g.id, Object: o.name, ViewerTimeout: now + d.ViewerTimeout})
+		d.module.GET(now, routing.GET{ID: g.id, Object: o.name, ViewerTimeout: now + d.ViewerTimeout})
 	})
 }
 
@@ -190,26 +190,26 @@
 		for _, f := range g.forwards {
 			if !f.back {
 				f.stop()
-				d.back(f, control.Expired, control.NoNote)
+				d.back(f, routing.Expired, routing.NoNote)
 			}
 		}
 	})
 }
 
 // back books the end of a forward.
-func (d *dispatcher) back(f *forward, outcome control.Outcome, note control.Note) {
+func (d *dispatcher) back(f *forward, outcome routing.Outcome, note routing.Note) {
 	if f.back {
 		return
 	}
 	f.back = true
 	f.get.out--
-	a := control.Answer{GET: f.get.id, Forward: f.number, Outcome: outcome, Note: note, Elapsed: d.now - f.at,
-		Last: f.get.answers > 0 || outcome == control.Returned}
-	if outcome == control.Returned && d.Tells {
+	a := routing.Answer{GET: f.get.id, Forward: f.number, Outcome: outcome, Note: note, Elapsed: d.now - f.at,
+		Last: f.get.answers > 0 || outcome == routing.Returned}
+	if outcome == routing.Returned && d.Tells {
 		a.SizeKB, a.Waited = f.get.object.kb, f.waited
 	}
 	d.ended = append(d.ended, a)
-	if outcome != control.Returned {
+	if outcome != routing.Returned {
 		d.world.out.tally(d.world).Wasted++
 	}
 	d.forget(f.get)
@@ -223,7 +223,7 @@
 }
 
 // answer has a host's answer on its way to the dispatcher.
-func (f *forward) answer(outcome control.Outcome, note control.Note, fetched float64) {
+func (f *forward) answer(outcome routing.Outcome, note routing.Note, fetched float64) {
 	d := f.get.d
 	if f.stopped {
 		return
@@ -234,7 +234,7 @@
 		}
 		d.used[f.host] = d.now
 		d.step(func(float64) {
-			if outcome == control.Returned && f.get.answers == 0 {
+			if outcome == routing.Returned && f.get.answers == 0 {
 				f.get.answers++
 				d.returned(f, note, fetched)
 			}
@@ -244,14 +244,14 @@
 }
 
 // returned is what the client gets.
-func (d *dispatcher) returned(f *forward, note control.Note, fetched float64) {
+func (d *dispatcher) returned(f *forward, note routing.Note, fetched float64) {
 	t, o := d.world.out.tally(d.world), f.get.object
 	took := d.now - f.get.from
 	t.Returned++
 	if d.world.out.took(d.world, took); took <= d.Objective {
 		t.InTime++
 	}
-	if note == control.Hit {
+	if note == routing.Hit {
 		t.Hits++
 	}
 	if told, ok := o.told[d]; ok && fetched < o.purged && d.now > told+purgeGrace && told >= o.purged {
@@ -261,7 +261,7 @@
 
 // Forward sends a GET to a host; one that says nothing is found out by the connection that does not come up, or by the
 // time that passes.
-func (d *dispatcher) Forward(out control.Forward) {
+func (d *dispatcher) Forward(out routing.Forward) {
 	g := d.gets[out.GET]
 	f := &forward{out: out, get: g, number: len(g.forwards), at: d.now, host: d.byID[out.Host], source: d.byID[out.Source]}
 	g.forwards = append(g.forwards, f)
@@ -279,9 +279,9 @@
 		switch {
 		case f.stopped:
 		case f.host.refuses:
-			d.at(d.now+d.link(), func() { d.step(func(float64) { d.back(f, control.Unreached, control.NoNote) }) })
+			d.at(d.now+d.link(), func() { d.step(func(float64) { d.back(f, routing.Unreached, routing.NoNote) }) })
 		case f.host.down && !connected:
-			d.at(f.at+d.Connect, func() { d.step(func(float64) { d.back(f, control.Unreached, control.NoNote) }) })
+			d.at(f.at+d.Connect, func() { d.step(func(float64) { d.back(f, routing.Unreached, routing.NoNote) }) })
 		default:
 			f.host.get(f)
 		}
@@ -292,7 +292,7 @@
 func (d *dispatcher) Cancel(id uint32, number int) {
 	if g := d.gets[id]; g != nil && number < len(g.forwards) && !g.forwards[number].back {
 		g.forwards[number].stop()
-		d.back(g.forwards[number], control.Revoked, control.NoNote)
+		d.back(g.forwards[number], routing.Revoked, routing.NoNote)
 	}
 }
 
--- a/emulate/emulate_test.go
+++ b/emulator/emulate_test.go
@@ -1,4 +1,4 @@
-package emulate
+package emulator
 
 import (
 	"math/rand/v2"
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"elderwall/control/retries"
-	"elderwall/fleet/budgets"
+	"elderwall/core/routing/retrybudget"
+	"elderwall/core/cluster/quota"
 )
 
 func run(t *testing.T, change func(*Scenario)) *Result {
@@ -135,7 +135,7 @@
 // Load stays, a trigger passes: most caches answer with errors for a while, and clients come again. With a bound on further
 // forwards it is over with the trigger; without, what is tried again keeps the rest busy for seconds more.
 func TestFailuresThatAreTriedAgain(t *testing.T) {
-	after := func(r retries.Settings) (share float64) {
+	after := func(r retrybudget.Settings) (share float64) {
 		got := run(t, func(s *Scenario) {
 			s.Dispatchers, s.Slots, s.Holds, s.Rate, s.Objects, s.Again, s.ViewerTimeout = 4, 4, 4000, 3600, 4000, 4, 1
 			s.Warm, s.Seconds, s.Retries, s.Troubles = 6, 8, r, []Trouble{{Kind: Err, At: 1, For: 3, Cells: 3}}
@@ -145,7 +145,7 @@
 		}
 		return share
 	}
-	without, with := after(retries.Settings{}), after(retries.Settings{Share: 0.1, Floor: 5})
+	without, with := after(retrybudget.Settings{}), after(retrybudget.Settings{Share: 0.1, Floor: 5})
 	t.Logf("in time in the two seconds after: %.3f without, %.3f with", without, with)
 	assert.Greater(t, with, 0.9)
 	assert.Greater(t, with, without+0.1)
@@ -260,7 +260,7 @@
 	for seed := range uint64(150) {
 		chance, s := rand.New(rand.NewPCG(seed, 5)), BudgetDefault()
 		s.Seed, s.Dispatchers, s.Span, s.Warm, s.Loss, s.Restarts = seed, 3+chance.IntN(10), 60, 5, 0.2*chance.Float64(), chance.Float64()*20
-		s.Kind = budgets.Kind(1 + seed%2)
+		s.Kind = quota.Kind(1 + seed%2)
 		s.Whole, s.Burst = float64([]int{0, 1, 3, 20, 200}[chance.IntN(5)]), float64(chance.IntN(20))
 		s.Demand = 0.5 + 2*chance.Float64()
 		kinds := []string{Cut, Stall, Die, NoDivider, NoDivider, Whole, Surge, Moving}
@@ -273,20 +273,20 @@
 				sum += l
 			}
 			whole := int64(at.Whole)
-			if s.Kind == budgets.Rate {
+			if s.Kind == quota.Rate {
 				whole = int64(at.Whole * 1000)
 			}
 			if sum > whole {
 				t.Fatalf("seed %d at %.2f s: %d may be used of %d\n%+v", seed, at.At, sum, whole, s)
 			}
-			if s.Kind == budgets.UnderWay && int64(at.InUse) > whole {
+			if s.Kind == quota.UnderWay && int64(at.InUse) > whole {
 				t.Fatalf("seed %d at %.2f s: %d are in use of %d\n%+v", seed, at.At, at.InUse, whole, s)
 			}
 		}
 		r, err := RunBudgets(s)
 		require.NoError(t, err)
 		assert.Zero(t, r.Overfull, "seed %d", seed)
-		if s.Kind == budgets.Rate {
+		if s.Kind == quota.Rate {
 			within(t, seed, r.Events, s)
 		}
 	}
@@ -308,7 +308,7 @@
 			for at-events[first] > span {
 				first++
 			}
-			if n := float64(i - first + 1); n > s.Burst+float64(s.Dispatchers)+most*span*(1+2*budgets.Drift)+1 {
+			if n := float64(i - first + 1); n > s.Burst+float64(s.Dispatchers)+most*span*(1+2*quota.Drift)+1 {
 				t.Fatalf("seed %d: %g events in %g s before %.2f, of %g and %g a second", seed, n, span, at, s.Burst, most)
 			}
 		}
--- a/emulate/flows.go
+++ b/emulator/flows.go
@@ -1,9 +1,9 @@
-package emulate
+package emulator
 
 import (
 	"math"
 
-	"elderwall/internal/due"
+	"elderwall/core/timerwheel"
 )
 
 // pipe is a link that its transfers share evenly, as far as each has use for its part.
@@ -18,7 +18,7 @@
 	left     float64 // KB, as of at
 	rate, at float64 // KB a second
 	pipes    []*pipe
-	timer    *due.Timer[func()]
+	timer    *timerwheel.Timer[func()]
 	done     func()
 }
 
--- a/emulate/host.go
+++ b/emulator/host.go
@@ -1,9 +1,9 @@
-package emulate
+package emulator
 
 import (
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 
-	"elderwall/control"
+	"elderwall/core/routing"
 )
 
 // host is a cache, a parent or the origin: so many transfers at a time, a line of those that wait, and what it holds.
@@ -16,7 +16,7 @@
 	slots      int
 	serve      float64
 	holds      int
-	phase      control.Phase // Gone is 0; add makes it Ready
+	phase      routing.Phase // Gone is 0; add makes it Ready
 	since      float64       // when it came with nothing, below 0 for before all
 	down       bool          // says nothing
 	refuses    bool          // its process has ended
@@ -26,7 +26,7 @@
 	busy    int
 	waiting []*work
 	held    *simplelru.LRU[*object, float64] // when each copy left the origin
-	filling map[*object][]func(fetched float64, note control.Note)
+	filling map[*object][]func(fetched float64, note routing.Note)
 	lives   int // how often it lost all it was at: what was begun before does not come back
 	arrived []float64
 }
@@ -39,7 +39,7 @@
 
 // empty lets go of all that it holds.
 func (h *host) empty() {
-	h.phase = control.Ready
+	h.phase = routing.Ready
 	if h.holds > 0 {
 		h.held, _ = simplelru.NewLRU[*object, float64](h.holds, nil)
 	}
@@ -54,8 +54,8 @@
 	}
 }
 
-func (h *host) entry() control.HostEntry {
-	e := control.HostEntry{ID: h.id, Zone: h.zone, Kind: h.kind, Cell: h.cell, Phase: h.phase, Weight: float64(h.slots)}
+func (h *host) entry() routing.HostEntry {
+	e := routing.HostEntry{ID: h.id, Zone: h.zone, Kind: h.kind, Cell: h.cell, Phase: h.phase, Weight: float64(h.slots)}
 	if h.since >= 0 {
 		e.OnlineSince, e.OnlineSinceIsTold = h.since, true
 	}
@@ -116,12 +116,12 @@
 	w.cold(h)
 	o := f.get.object
 	if fetched, ok := h.holdsFresh(o, f.out.MaxAge); ok {
-		h.transfer(f, fetched, control.Hit)
+		h.transfer(f, fetched, routing.Hit)
 		return
 	}
 	if f.source == h {
 		if h.kind == 0 {
-			f.answer(control.Empty, control.NoNote, 0)
+			f.answer(routing.Empty, routing.NoNote, 0)
 			return
 		}
 		h.fill(f, w.origin)
@@ -131,55 +131,55 @@
 }
 
 // transfer sends a copy to the dispatcher.
-func (h *host) transfer(f *forward, fetched float64, note control.Note) {
-	outcome := control.Returned
+func (h *host) transfer(f *forward, fetched float64, note routing.Note) {
+	outcome := routing.Returned
 	if h.errs {
-		outcome = control.HostError
+		outcome = routing.HostError
 	}
 	end := func() { f.answer(outcome, note, fetched) }
 	switch {
-	case h.world.KB > 0 && (note == control.Filled || note == control.FilledByOrigin || note == control.Joined):
+	case h.world.KB > 0 && (note == routing.Filled || note == routing.FilledByOrigin || note == routing.Joined):
 		end() // it was passed on while it came
 	case h.world.KB > 0 && len(h.out.flows) < h.slots+h.world.Queue:
 		f.flow = h.world.carry(f.get.object.kb, end, h.out)
 	case h.world.KB > 0 || !h.send(&f.stopped, end):
-		f.answer(control.NotTaken, control.NoNote, 0)
+		f.answer(routing.NotTaken, routing.NoNote, 0)
 	}
 }
 
 // fill gets a copy from a source; GETs for one that is on its way wait for it where they may.
 func (h *host) fill(f *forward, source *host) {
 	w, o, life := h.world, f.get.object, h.lives
-	then := func(fetched float64, note control.Note) {
+	then := func(fetched float64, note routing.Note) {
 		switch {
 		case life != h.lives:
-		case note == control.Filled || note == control.FilledByOrigin || note == control.Joined:
+		case note == routing.Filled || note == routing.FilledByOrigin || note == routing.Joined:
 			h.transfer(f, fetched, note)
 		default:
-			f.answer(control.Empty, note, 0)
+			f.answer(routing.Empty, note, 0)
 		}
 	}
 	if waiters, on := h.filling[o]; on && f.out.Join {
-		h.filling[o] = append(waiters, func(fetched float64, note control.Note) {
-			if note == control.Filled || note == control.FilledByOrigin {
-				note = control.Joined
+		h.filling[o] = append(waiters, func(fetched float64, note routing.Note) {
+			if note == routing.Filled || note == routing.FilledByOrigin {
+				note = routing.Joined
 			}
 			then(fetched, note)
 		})
 		return
 	}
 	if h.filling == nil {
-		h.filling = map[*object][]func(float64, control.Note){}
+		h.filling = map[*object][]func(float64, routing.Note){}
 	}
 	h.filling[o] = append(h.filling[o], then)
 	w.out.tally(w).Fills++
 	w.at(w.now+w.link(), func() {
-		source.source(f, h, func(fetched float64, note control.Note) {
+		source.source(f, h, func(fetched float64, note routing.Note) {
 			w.at(w.now+w.link(), func() {
 				if life != h.lives {
 					return
 				}
-				if note == control.Filled || note == control.FilledByOrigin {
+				if note == routing.Filled || note == routing.FilledByOrigin {
 					h.keep(o, fetched)
 				}
 				waiters := h.filling[o]
@@ -199,14 +199,14 @@
 }
 
 // source gives a copy to a cache: what it holds, or what the origin has where it may ask for it.
-func (h *host) source(f *forward, to *host, done func(fetched float64, note control.Note)) {
+func (h *host) source(f *forward, to *host, done func(fetched float64, note routing.Note)) {
 	w, o, life := h.world, f.get.object, h.lives
 	if h.down || h.refuses {
 		return
 	}
 	w.checkDrain(h, f)
 	w.cold(h)
-	send := func(fetched float64, note control.Note) {
+	send := func(fetched float64, note routing.Note) {
 		switch {
 		case life != h.lives:
 		case w.KB > 0 && f.stopped && len(f.host.filling[o]) < 2: // its client has left, and nobody else waits
@@ -214,26 +214,26 @@
 		case w.KB > 0 && len(h.out.flows) < h.slots+w.Queue:
 			f.begins(to, []*pipe{h.out, w.waysIn[to.zone], to.out}, func() { done(fetched, note) })
 		case w.KB > 0 || !h.send(new(bool), func() { done(fetched, note) }):
-			done(0, control.SourceRefused)
+			done(0, routing.SourceRefused)
 		}
 	}
 	if fetched, ok := h.holdsFresh(o, f.out.MaxAge); ok {
-		note := control.Filled
+		note := routing.Filled
 		if h.kind == 2 {
-			note = control.FilledByOrigin
+			note = routing.FilledByOrigin
 		}
 		send(fetched, note)
 		return
 	}
 	if f.out.HeldOnly {
-		done(0, control.SourceLacks)
+		done(0, routing.SourceLacks)
 		return
 	}
 	w.at(w.now+w.link(), func() {
-		w.origin.source(f, h, func(fetched float64, note control.Note) {
+		w.origin.source(f, h, func(fetched float64, note routing.Note) {
 			w.at(w.now+w.link(), func() {
-				if note != control.FilledByOrigin {
-					done(0, control.OriginFailed)
+				if note != routing.FilledByOrigin {
+					done(0, routing.OriginFailed)
 					return
 				}
 				h.keep(o, fetched)
--- a/emulate/links_test.go
+++ b/emulator/links_test.go
@@ -1,4 +1,4 @@
-package emulate
+package emulator
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"elderwall/fleet/members"
+	"elderwall/core/cluster/membership"
 	"elderwall/internal/contract"
 )
 
@@ -40,7 +40,7 @@
 	if len(b) > l.longest || l.of.gone {
 		return errors.New("too long, or closed")
 	}
-	l.w.send(l.of, members.Envelope{To: l.peer.address, Message: members.Message{From: members.Member{Name: string(b)}}})
+	l.w.send(l.of, membership.Envelope{To: l.peer.address, Message: membership.Message{From: membership.Member{Name: string(b)}}})
 	return nil
 }
 
--- a/emulate/members.go
+++ b/emulator/members.go
@@ -1,4 +1,4 @@
-package emulate
+package emulator
 
 import (
 	"cmp"
@@ -7,8 +7,8 @@
 	"math/rand/v2"
 	"slices"
 
-	"elderwall/fleet/members"
-	"elderwall/internal/due"
+	"elderwall/core/cluster/membership"
+	"elderwall/core/timerwheel"
 )
 
 // Protocols by which an emulated fleet may know itself.
@@ -83,7 +83,7 @@
 type fleetWorld struct {
 	MembersScenario
 	now     float64
-	events  due.Wheel[func()]
+	events  timerwheel.Wheel[func()]
 	chance  *rand.Rand
 	all     []*emulated
 	byAddr  map[string]*emulated
@@ -110,12 +110,12 @@
 	name, address string
 	zone          string
 	boots         uint64
-	machine       *members.Machine
+	machine       *membership.Machine
 	side          int // of a cut
 	deaf, mute    bool
 	lossy         bool
 	stalled       bool
-	inbox         []members.Message // while it stands still
+	inbox         []membership.Message // while it stands still
 	gone          bool
 	leaving       bool
 	wrong         map[string]bool
@@ -128,7 +128,7 @@
 
 // RunMembers plays a fleet of members.
 func RunMembers(s MembersScenario) (*MembersResult, error) {
-	if s.Members < 1 || s.Members > members.Most || s.Zones < 1 || s.TickEach <= 0 || s.Loss < 0 || s.Loss >= 1 {
+	if s.Members < 1 || s.Members > membership.Most || s.Zones < 1 || s.TickEach <= 0 || s.Loss < 0 || s.Loss >= 1 {
 		return nil, fmt.Errorf("members: %d of them in %d zones, loss %g: out of range", s.Members, s.Zones, s.Loss)
 	}
 	w := &fleetWorld{MembersScenario: s, chance: rand.New(rand.NewPCG(s.Seed, 2)), byAddr: map[string]*emulated{},
@@ -170,7 +170,7 @@
 		for i := range w.Peers {
 			peers = append(peers, w.all[min(i*len(w.all)/max(1, w.Peers), len(w.all)-1)].address)
 		}
-		e.machine = members.New(members.Settings{Name: e.name, Address: e.address, Zone: e.zone, Peers: peers, Interval: 1,
+		e.machine = membership.New(membership.Settings{Name: e.name, Address: e.address, Zone: e.zone, Peers: peers, Interval: 1,
 			Boot: e.boots<<16 + uint64(w.chance.IntN(1<<15))<<20 + uint64(e.index), Seed: w.Seed, Plain: w.Protocol == PlainSWIM}, w.now)
 	}
 	if !e.ticking {
@@ -182,7 +182,7 @@
 func (w *fleetWorld) tick(e *emulated) {
 	if !e.gone {
 		if !e.stalled {
-			w.step(e, func(m *members.Machine) { m.Tick(w.now) })
+			w.step(e, func(m *membership.Machine) { m.Tick(w.now) })
 		}
 	}
 	each := w.TickEach
@@ -193,7 +193,7 @@
 }
 
 // step has a member act, and sends what comes of it.
-func (w *fleetWorld) step(e *emulated, do func(*members.Machine)) {
+func (w *fleetWorld) step(e *emulated, do func(*membership.Machine)) {
 	if w.Protocol == Heartbeats {
 		w.beat(e)
 		return
@@ -215,7 +215,7 @@
 	return from.side == to.side && !from.mute && !to.deaf && !to.gone
 }
 
-func (w *fleetWorld) send(from *emulated, m members.Envelope) {
+func (w *fleetWorld) send(from *emulated, m membership.Envelope) {
 	size := 60
 	for i := range m.News {
 		size += m.News[i].Bytes()
@@ -246,7 +246,7 @@
 			to.beats[m.From.Name] = w.now
 			return
 		}
-		w.step(to, func(x *members.Machine) { x.Step(m.Message, w.now) })
+		w.step(to, func(x *membership.Machine) { x.Step(m.Message, w.now) })
 	})
 }
 
@@ -254,7 +254,7 @@
 func (w *fleetWorld) beat(e *emulated) {
 	for _, o := range w.all {
 		if o != e {
-			w.send(e, members.Envelope{To: o.address, Message: members.Message{From: members.Member{Name: e.name}}})
+			w.send(e, membership.Envelope{To: o.address, Message: membership.Message{From: membership.Member{Name: e.name}}})
 			last := math.Max(e.beats[o.name], e.beatsFrom)
 			e.failedByBeat[o.name] = w.now-last > beatsLost
 		}
@@ -304,7 +304,7 @@
 		begin, end = func(e *emulated) { e.stalled = true }, w.wake
 	case Leave:
 		begin = func(e *emulated) {
-			w.step(e, func(m *members.Machine) { m.Leave(w.now) })
+			w.step(e, func(m *membership.Machine) { m.Leave(w.now) })
 			e.gone, e.leaving = true, true
 		}
 	case Die:
@@ -335,7 +335,7 @@
 			e.beats[m.From.Name] = w.now
 			continue
 		}
-		w.step(e, func(x *members.Machine) { x.Step(m, w.now) })
+		w.step(e, func(x *membership.Machine) { x.Step(m, w.now) })
 	}
 }
 
--- a/emulate/memory.go
+++ b/emulator/memory.go
@@ -1,4 +1,4 @@
-package emulate
+package emulator
 
 import (
 	"bytes"
@@ -12,9 +12,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"elderwall/control/order"
-	"elderwall/fleet/replica"
-	"elderwall/internal/due"
+	"elderwall/core/routing/rendezvous"
+	"elderwall/core/cluster/replication"
+	"elderwall/core/timerwheel"
 )
 
 // More kinds of trouble, of a fleet's memory: what a member that ended finds on its disk.
@@ -34,7 +34,7 @@
 	Writes   float64
 	Dead     float64 // share of the writes that delete
 	Fresh    float64 // share of the writes to keys that were never written
-	Sure     replica.Sure
+	Sure     replication.Sure
 	Loss     float64 // of datagrams; streams come, once both ways are open
 	Delay    float64 // in the mean
 	Knows    float64
@@ -44,13 +44,13 @@
 	TickEach float64
 	Troubles []MemberTrouble // after Warm
 	Quiet    float64         // writes of a burst at one member, at the beginning of the first trouble, in place of Writes
-	Size     func(*replica.Message) int
+	Size     func(*replication.Message) int
 	Checks   bool // look at every record of every member at the end
 }
 
 // MemoryDefault is a calm fleet.
 func MemoryDefault() MemoryScenario {
-	return MemoryScenario{Seed: 1, Members: 30, Zones: 3, Records: 1000, Value: 100, Writes: 10, Fresh: 0.1, Sure: replica.Sure{Level: replica.Copies, Copies: 2, Within: 5},
+	return MemoryScenario{Seed: 1, Members: 30, Zones: 3, Records: 1000, Value: 100, Writes: 10, Fresh: 0.1, Sure: replication.Sure{Level: replication.Copies, Copies: 2, Within: 5},
 		Delay: 0.002, Knows: 5, Warm: 10, Span: 60, Settle: 120, TickEach: 0.1, Checks: true}
 }
 
@@ -90,7 +90,7 @@
 type memoryMember struct {
 	index      int
 	name, zone string
-	machine    *replica.Machine
+	machine    *replication.Machine
 	gone       bool
 	side       int
 	deaf, mute bool
@@ -106,8 +106,8 @@
 // memoryDisk is what saves have left, one upon the other.
 type memoryDisk struct {
 	era     uint64
-	vector  map[[2]any]replica.Entry
-	records map[replica.Name]replica.Carried
+	vector  map[[2]any]replication.Entry
+	records map[replication.Name]replication.Carried
 	lacks   []uint8
 	last    float64 // when the fleet was heard
 }
@@ -116,10 +116,10 @@
 	return &memoryDisk{d.era, maps.Clone(d.vector), maps.Clone(d.records), d.lacks, d.last}
 }
 
-func (d *memoryDisk) save(now float64, s *replica.Save) {
+func (d *memoryDisk) save(now float64, s *replication.Save) {
 	d.last, d.era, d.lacks = now-s.Away, max(d.era, s.Era), s.Lacks
 	for _, c := range s.Records {
-		d.records[replica.Name{Kind: c.Record.Kind, Key: c.Record.Key}] = c
+		d.records[replication.Name{Kind: c.Record.Kind, Key: c.Record.Key}] = c
 	}
 	for _, n := range s.Drops {
 		delete(d.records, n)
@@ -132,36 +132,36 @@
 	}
 }
 
-func (d *memoryDisk) saved(now float64) *replica.Saved {
-	s := &replica.Saved{Era: d.era, Lacks: d.lacks, Away: now - d.last}
+func (d *memoryDisk) saved(now float64) *replication.Saved {
+	s := &replication.Saved{Era: d.era, Lacks: d.lacks, Away: now - d.last}
 	for _, e := range d.vector {
 		s.Vector = append(s.Vector, e)
 	}
-	slices.SortFunc(s.Vector, func(a, b replica.Entry) int {
-		return replica.Dot{Writer: a.Writer, Era: a.Era}.Compare(replica.Dot{Writer: b.Writer, Era: b.Era})
+	slices.SortFunc(s.Vector, func(a, b replication.Entry) int {
+		return replication.Dot{Writer: a.Writer, Era: a.Era}.Compare(replication.Dot{Writer: b.Writer, Era: b.Era})
 	})
 	for _, c := range d.records {
 		s.Records = append(s.Records, c)
 	}
-	slices.SortFunc(s.Records, func(a, b replica.Carried) int { return bytes.Compare([]byte(a.Record.Key), []byte(b.Record.Key)) })
+	slices.SortFunc(s.Records, func(a, b replication.Carried) int { return bytes.Compare([]byte(a.Record.Key), []byte(b.Record.Key)) })
 	return s
 }
 
 type memoryWorld struct {
 	MemoryScenario
 	now     float64
-	acts    due.Wheel[func()]
+	acts    timerwheel.Wheel[func()]
 	chance  *rand.Rand
 	all     []*memoryMember
 	byName  map[string]*memoryMember
 	out     *MemoryResult
-	kind    replica.Kind
-	initial *replica.Saved
-	dots    map[replica.Dot]*written
-	best    map[int]replica.Record // by key's number: the highest of what was acknowledged, by a law written anew here
-	acked   map[replica.Dot]replica.Record
-	deleted map[int]replica.Record // by key's number: the highest that deletes, whatever its outcome
-	order   map[replica.Dot]int    // in which they were written, from 1
+	kind    replication.Kind
+	initial *replication.Saved
+	dots    map[replication.Dot]*written
+	best    map[int]replication.Record // by key's number: the highest of what was acknowledged, by a law written anew here
+	acked   map[replication.Dot]replication.Record
+	deleted map[int]replication.Record // by key's number: the highest that deletes, whatever its outcome
+	order   map[replication.Dot]int    // in which they were written, from 1
 	keys    int
 	tally   map[uint64]int // members by fold
 	last    float64        // end of the last trouble
@@ -184,10 +184,10 @@
 	if s.Members < 1 || s.Zones < 1 || s.Records < 1 || s.Value < 8 || s.TickEach <= 0 || s.Size == nil || s.Loss < 0 || s.Loss >= 1 {
 		return nil, fmt.Errorf("memory: %d members, %d records of %d bytes, loss %g: out of range", s.Members, s.Records, s.Value, s.Loss)
 	}
-	w := &memoryWorld{MemoryScenario: s, chance: rand.New(rand.NewPCG(s.Seed, 49)), byName: map[string]*memoryMember{}, dots: map[replica.Dot]*written{},
-		best: map[int]replica.Record{}, acked: map[replica.Dot]replica.Record{}, order: map[replica.Dot]int{}, deleted: map[int]replica.Record{}, tally: map[uint64]int{}, keys: s.Records,
+	w := &memoryWorld{MemoryScenario: s, chance: rand.New(rand.NewPCG(s.Seed, 49)), byName: map[string]*memoryMember{}, dots: map[replication.Dot]*written{},
+		best: map[int]replication.Record{}, acked: map[replication.Dot]replication.Record{}, order: map[replication.Dot]int{}, deleted: map[int]replication.Record{}, tally: map[uint64]int{}, keys: s.Records,
 		out: &MemoryResult{Members: s.Members, Agree: -1, Refused: map[string]int{}, Events: map[string]int{}}}
-	w.kind = replica.Kind{ID: memoryKind, Name: "played", Records: 4*s.Records + 100_000, Bytes: 1 << 30, Longest: s.Value + 100, Sync: true, Law: memoryLaw}
+	w.kind = replication.Kind{ID: memoryKind, Name: "played", Records: 4*s.Records + 100_000, Bytes: 1 << 30, Longest: s.Value + 100, Sync: true, Law: memoryLaw}
 	w.begin()
 	hits := make([][]int, len(s.Troubles))
 	for i, t := range s.Troubles { // who ends is known from the start: only those need a disk
@@ -252,19 +252,19 @@
 
 // begin makes the members, and what all of them hold to begin with.
 func (w *memoryWorld) begin() {
-	w.initial = &replica.Saved{Era: 1}
+	w.initial = &replication.Saved{Era: 1}
 	numbers := make([]uint64, w.Members)
 	names := func(i int) string { return fmt.Sprintf("n%04d", i) }
 	for i := range w.Records {
 		by := i % w.Members
 		numbers[by]++
-		r := replica.Record{Kind: memoryKind, Key: memoryKey(i), Value: w.value(), Dot: replica.Dot{Writer: names(by), Era: 1, Number: numbers[by]}}
-		w.initial.Records = append(w.initial.Records, replica.Carried{Record: r})
+		r := replication.Record{Kind: memoryKind, Key: memoryKey(i), Value: w.value(), Dot: replication.Dot{Writer: names(by), Era: 1, Number: numbers[by]}}
+		w.initial.Records = append(w.initial.Records, replication.Carried{Record: r})
 		w.best[i] = r
 	}
 	for i, n := range numbers {
 		if n > 0 {
-			w.initial.Vector = append(w.initial.Vector, replica.Entry{Writer: names(i), Era: 1, Number: n})
+			w.initial.Vector = append(w.initial.Vector, replication.Entry{Writer: names(i), Era: 1, Number: n})
 		}
 	}
 	for i := range w.Members {
@@ -290,12 +290,12 @@
 	if m.disk != nil {
 		return
 	}
-	m.disk = &memoryDisk{era: 1, vector: map[[2]any]replica.Entry{}, records: map[replica.Name]replica.Carried{}}
-	m.disk.save(0, &replica.Save{Era: 1, Records: w.initial.Records, Vector: w.initial.Vector})
+	m.disk = &memoryDisk{era: 1, vector: map[[2]any]replication.Entry{}, records: map[replication.Name]replication.Carried{}}
+	m.disk.save(0, &replication.Save{Era: 1, Records: w.initial.Records, Vector: w.initial.Vector})
 	m.older = m.disk.clone()
 }
 
-func (w *memoryWorld) savedOf(m *memoryMember) *replica.Saved {
+func (w *memoryWorld) savedOf(m *memoryMember) *replication.Saved {
 	if m.disk == nil {
 		return w.initial
 	}
@@ -303,11 +303,11 @@
 }
 
 // hashOf is what the checker knows a record by; what is deleted is as good as nothing.
-func hashOf(r *replica.Record) uint64 {
+func hashOf(r *replication.Record) uint64 {
 	if r.Dead {
 		return 0
 	}
-	return order.Mix(xxhash.Sum64(r.Value) ^ order.Mix(xxhash.Sum64String(r.Dot.Writer)^r.Dot.Era<<32^r.Dot.Number))
+	return rendezvous.Mix(xxhash.Sum64(r.Value) ^ rendezvous.Mix(xxhash.Sum64String(r.Dot.Writer)^r.Dot.Era<<32^r.Dot.Number))
 }
 
 // hold keeps what stands for a key at a member, as the checker sees it: by what was told, no call to the machine.
@@ -319,16 +319,16 @@
 		if h == 0 {
 			return 0
 		}
-		return order.Mix(h ^ uint64(key+1)*0x9e3779b97f4a7c15)
+		return rendezvous.Mix(h ^ uint64(key+1)*0x9e3779b97f4a7c15)
 	}
 	m.fold += part(hash) - part(m.holds[key])
 	m.holds[key] = hash
 }
 
-func (w *memoryWorld) start(m *memoryMember, saved *replica.Saved) {
+func (w *memoryWorld) start(m *memoryMember, saved *replication.Saved) {
 	m.life++
 	m.gone = false
-	machine, err := replica.New(replica.Settings{Name: m.name, Zone: m.zone, Kinds: []replica.Kind{w.kind}, Seed: w.Seed + uint64(m.index)<<20 + uint64(m.life)<<40}, saved, w.now)
+	machine, err := replication.New(replication.Settings{Name: m.name, Zone: m.zone, Kinds: []replication.Kind{w.kind}, Seed: w.Seed + uint64(m.index)<<20 + uint64(m.life)<<40}, saved, w.now)
 	if err != nil {
 		w.fault("%s does not start: %v", m.name, err)
 		return
@@ -350,29 +350,29 @@
 func (w *memoryWorld) tell(m *memoryMember) {
 	there := func(o *memoryMember) bool { return !o.gone && o.side == m.side && !o.deaf && !o.mute }
 	n := 0
-	f := replica.Fleet{Of: len(w.all)}
+	f := replication.Fleet{Of: len(w.all)}
 	for _, o := range w.all {
 		if there(o) {
 			n++
 		}
 		if o != m {
-			f.Others = append(f.Others, replica.Member{Name: o.name, Zone: o.zone, Alive: there(o) && there(m), Counted: true})
+			f.Others = append(f.Others, replication.Member{Name: o.name, Zone: o.zone, Alive: there(o) && there(m), Counted: true})
 		}
 	}
 	f.Decides = 2*n > len(w.all)
 	f.Narrows = f.Decides
-	w.step(m, func(x *replica.Machine) { x.Fleet(f, w.now) })
+	w.step(m, func(x *replication.Machine) { x.Fleet(f, w.now) })
 }
 
 func (w *memoryWorld) tick(m *memoryMember) {
 	if !m.gone {
-		w.step(m, func(x *replica.Machine) { x.Tick(w.now) })
+		w.step(m, func(x *replication.Machine) { x.Tick(w.now) })
 	}
 	w.act(w.TickEach, func() { w.tick(m) })
 }
 
 // step has a member act, and does what comes of it.
-func (w *memoryWorld) step(m *memoryMember, do func(*replica.Machine)) {
+func (w *memoryWorld) step(m *memoryMember, do func(*replication.Machine)) {
 	do(m.machine)
 	r := m.machine.Ready()
 	if r.Save != nil && m.disk != nil {
@@ -421,7 +421,7 @@
 func (w *memoryWorld) agreed() bool { return len(w.tally) == 1 }
 
 // take keeps an acknowledged write if it is the highest of its key: by number, a deletion over none, then bytes, then dot.
-func (w *memoryWorld) take(r replica.Record) {
+func (w *memoryWorld) take(r replication.Record) {
 	key, _ := strconv.Atoi(r.Key[1:])
 	if b, ok := w.best[key]; !ok || higher(&r, &b) {
 		w.best[key] = r
@@ -429,7 +429,7 @@
 }
 
 // higher is the rule, written anew for the checker.
-func higher(a, b *replica.Record) bool {
+func higher(a, b *replication.Record) bool {
 	x, y := binary.BigEndian.Uint64(a.Value), binary.BigEndian.Uint64(b.Value)
 	switch {
 	case x != y:
@@ -447,7 +447,7 @@
 }
 
 // reached counts a member that came to have a write.
-func (w *memoryWorld) reached(d replica.Dot) {
+func (w *memoryWorld) reached(d replication.Dot) {
 	x := w.dots[d]
 	if x == nil {
 		return
@@ -470,7 +470,7 @@
 	return from.side == to.side && !from.mute && !to.deaf && !to.gone
 }
 
-func (w *memoryWorld) send(from *memoryMember, e *replica.Envelope) {
+func (w *memoryWorld) send(from *memoryMember, e *replication.Envelope) {
 	size := w.Size(&e.Message)
 	from.sent += size
 	from.messages++
@@ -488,7 +488,7 @@
 		if !w.reaches(from, to) || e.Stream && (!w.reaches(to, from) || life != to.life) {
 			return
 		}
-		w.step(to, func(x *replica.Machine) {
+		w.step(to, func(x *replication.Machine) {
 			if err := x.Step(from.name, &e.Message, w.now); err != nil {
 				w.out.Events["refused: "+err.Error()]++
 			}
@@ -517,8 +517,8 @@
 	if b, ok := w.best[key]; ok && w.chance.Float64() < 0.9 { // most are news
 		binary.BigEndian.PutUint64(v, binary.BigEndian.Uint64(b.Value)+1)
 	}
-	r := replica.Record{Kind: memoryKind, Key: memoryKey(key), Value: v, Dead: w.chance.Float64() < w.Dead}
-	w.step(m, func(x *replica.Machine) {
+	r := replication.Record{Kind: memoryKind, Key: memoryKey(key), Value: v, Dead: w.chance.Float64() < w.Dead}
+	w.step(m, func(x *replication.Machine) {
 		dot, err := x.Write(w.now, memoryKind, r.Key, r.Value, r.Dead, w.Sure)
 		if err != nil {
 			w.out.Refused[err.Error()]++
@@ -562,7 +562,7 @@
 			w.move(m.fold, m.fold) // counted on: all are to agree once it is back
 		}
 		end = func(m *memoryMember) {
-			var saved *replica.Saved
+			var saved *replication.Saved
 			switch t.Kind {
 			case Die:
 				saved = m.disk.saved(w.now)
@@ -570,7 +570,7 @@
 				m.disk = m.older.clone()
 				saved = m.disk.saved(w.now)
 			default:
-				m.disk = &memoryDisk{vector: map[[2]any]replica.Entry{}, records: map[replica.Name]replica.Carried{}, last: w.now}
+				m.disk = &memoryDisk{vector: map[[2]any]replication.Entry{}, records: map[replication.Name]replication.Carried{}, last: w.now}
 			}
 			was := m.fold
 			for k := range m.holds {
@@ -634,7 +634,7 @@
 			continue
 		}
 		held := map[string]uint64{}
-		m.machine.Each(memoryKind, "", func(rec replica.Record) bool {
+		m.machine.Each(memoryKind, "", func(rec replication.Record) bool {
 			if !rec.Dead {
 				held[rec.Key] = hashOf(&rec)
 			}
--- a/emulate/memory_test.go
+++ b/emulator/memory_test.go
@@ -1,4 +1,4 @@
-package emulate
+package emulator
 
 import (
 	"os"
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"elderwall/fleet/replica"
+	"elderwall/core/cluster/replication"
 )
 
 // schedules is how many are played: few in CI, thousands once.
@@ -20,7 +20,7 @@
 	return few
 }
 
-func sized(m *replica.Message) int {
+func sized(m *replication.Message) int {
 	b, err := cbor.Marshal(m)
 	if err != nil {
 		panic(err)
@@ -83,7 +83,7 @@
 // What a cut kept apart meets as soon as it is known to have ended, however many there are.
 func TestMemoryHealsAsFastInALargeFleet(t *testing.T) {
 	s := MemoryDefault()
-	s.Members, s.Records, s.Span, s.Size, s.Troubles = 100, 200, 15, func(*replica.Message) int { return 0 }, []MemberTrouble{{Kind: Cut, At: 3, For: 12, Number: 50}}
+	s.Members, s.Records, s.Span, s.Size, s.Troubles = 100, 200, 15, func(*replication.Message) int { return 0 }, []MemberTrouble{{Kind: Cut, At: 3, For: 12, Number: 50}}
 	r, err := RunMemory(s)
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, r.Agree, 0.0)
@@ -99,7 +99,7 @@
 	assert.NotEqual(t, one, m.fold, "the same at another key is something else")
 	m.hold(1, 0)
 	assert.Equal(t, one, m.fold)
-	low, high := replica.Record{Value: []byte("00000001a")}, replica.Record{Value: []byte("00000001a"), Dead: true}
+	low, high := replication.Record{Value: []byte("00000001a")}, replication.Record{Value: []byte("00000001a"), Dead: true}
 	assert.True(t, higher(&high, &low))
 	assert.False(t, higher(&low, &high))
 }
--- a/emulate/peers.go
+++ b/emulator/peers.go
@@ -1,14 +1,14 @@
-package emulate
+package emulator
 
 import (
-	"elderwall/control"
-	"elderwall/stages/shards"
+	"elderwall/core/routing"
+	"elderwall/core/sharding"
 )
 
 // group is the modules of one dispatcher, with what they have in common: the same pots as in a process, and news that
 // the others hear within a tick.
 type group struct {
-	pots    shards.Pots
+	pots    sharding.Pots
 	members []*dispatcher
 }
 
@@ -19,7 +19,7 @@
 	at  int
 }
 
-var _ control.Peers = (*peers)(nil)
+var _ routing.Peers = (*peers)(nil)
 
 func (p *peers) Credit(host uint32, since, first, add, most float64) float64 {
 	return p.pots.Add(host, since, first, add, most)
@@ -30,8 +30,8 @@
 func (p *peers) Trial(now float64, host uint32) bool { return p.pots.Trial(now, host, p.at) }
 
 // Tell has the others hear of something with their next task.
-func (p *peers) Tell(n control.News) {
-	if !n.Left && n.Limit == control.NoLimit {
+func (p *peers) Tell(n routing.News) {
+	if !n.Left && n.Limit == routing.NoLimit {
 		p.pots.Done(n.Host)
 	}
 	for _, d := range p.members {
--- a/emulate/result.go
+++ b/emulator/result.go
@@ -1,4 +1,4 @@
-package emulate
+package emulator
 
 import (
 	"fmt"
--- a/emulate/scenario.go
+++ b/emulator/scenario.go
@@ -1,13 +1,13 @@
-// Package emulate plays dispatchers with clients, links, caches, parents and an origin on one clock and one seed, with no
+// Package emulator plays dispatchers with clients, links, caches, parents and an origin on one clock and one seed, with no
 // socket: the same scenario always comes out the same. Dispatchers are control's own modules; what surrounds them is a
 // model, each part by itself, so that figures from here are simulated. It is pure: no I/O, no clock, no goroutine.
-package emulate
+package emulator
 
 import (
 	"errors"
 	"fmt"
 
-	"elderwall/control/retries"
+	"elderwall/core/routing/retrybudget"
 )
 
 // Kinds of trouble that a scenario can have.
@@ -64,7 +64,7 @@
 	Objective     float64
 	ViewerTimeout float64
 	Again         int // times that a client comes again when it was shed, or its GET failed or came too late
-	Retries       retries.Settings
+	Retries       retrybudget.Settings
 	MaxForwards   int
 	Shards        int // modules of a dispatcher, divided by object; their cold budgets are divided
 	Zones         int // locations among which dispatchers and caches are divided
--- a/emulate/variants.go
+++ b/emulator/variants.go
@@ -1,4 +1,4 @@
-package emulate
+package emulator
 
 import (
 	"fmt"
@@ -8,9 +8,9 @@
 
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 
-	"elderwall/control/order"
-	"elderwall/fleet/variants"
-	"elderwall/internal/due"
+	"elderwall/core/routing/rendezvous"
+	"elderwall/core/cluster/variant"
+	"elderwall/core/timerwheel"
 )
 
 // Ways by which GETs of device classes may be looked for, side by side.
@@ -134,12 +134,12 @@
 	VariantsScenario
 	chance *rand.Rand
 	now    float64
-	acts   due.Wheel[func()]
+	acts   timerwheel.Wheel[func()]
 	items  []*item
 	upTo   []float64 // popularity, summed up
 	hosts  []*simplelru.LRU[hostKey, copyOf]
-	index  order.Index[uint32]
-	first  map[placeKey]*order.First
+	index  rendezvous.Index[uint32]
+	first  map[placeKey]*rendezvous.First
 	all    []keys
 	heard  [][]uint64 // by dispatcher and item: the highest purge
 	next   uint64
@@ -160,7 +160,7 @@
 	if s.Dispatchers < 1 || s.Hosts < 1 || s.Objects < 1 || s.Rate <= 0 || len(s.Same) < 1 || s.Holds < 1 || s.Span <= 0 {
 		return nil, fmt.Errorf("variants: %d dispatchers, %d hosts, %d objects of %d classes: out of range", s.Dispatchers, s.Hosts, s.Objects, len(s.Same))
 	}
-	w := &variantsWorld{VariantsScenario: s, chance: rand.New(rand.NewPCG(s.Seed, 47)), first: map[placeKey]*order.First{}, known: map[*item]*borne{}, out: &VariantsResult{}, bins: make([]int, int(s.Warm+s.Span)+1)}
+	w := &variantsWorld{VariantsScenario: s, chance: rand.New(rand.NewPCG(s.Seed, 47)), first: map[placeKey]*rendezvous.First{}, known: map[*item]*borne{}, out: &VariantsResult{}, bins: make([]int, int(s.Warm+s.Span)+1)}
 	sum := 0.0
 	for i := range s.Objects {
 		w.items = append(w.items, w.item(i))
@@ -179,9 +179,9 @@
 		w.heard = append(w.heard, make([]uint64, s.Objects))
 	}
 	if s.Way == Beats {
-		giver := variants.NewGiver(s.Seed)
+		giver := variant.NewGiver(s.Seed)
 		for i := range w.all {
-			w.acts.Add(w.chance.Float64()*variants.BeatEach, func() { w.ask(giver, i) })
+			w.acts.Add(w.chance.Float64()*variant.BeatEach, func() { w.ask(giver, i) })
 		}
 	}
 	w.every(s.Changes, w.change)
@@ -215,7 +215,7 @@
 	if w.OfOneService {
 		service = named
 	}
-	o := &item{index: place, id: order.Mix(w.next), service: service, floors: map[uint64]int{}}
+	o := &item{index: place, id: rendezvous.Mix(w.next), service: service, floors: map[uint64]int{}}
 	same := w.Same
 	if w.chance.Float64() < w.Odd {
 		same = make([]int, len(w.Same))
@@ -258,13 +258,13 @@
 }
 
 // ask has a dispatcher ask for a beat, over a way and back as long as facts take.
-func (w *variantsWorld) ask(g *variants.Giver, i int) {
+func (w *variantsWorld) ask(g *variant.Giver, i int) {
 	sent := w.now
 	w.acts.Add(w.now+w.FactDelay*w.chance.ExpFloat64(), func() {
 		b := g.Next()
 		w.acts.Add(w.now+w.FactDelay*w.chance.ExpFloat64(), func() { w.all[i].(*program).Beat(sent, w.now, b) })
 	})
-	w.acts.Add(w.now+variants.BeatEach, func() { w.ask(g, i) })
+	w.acts.Add(w.now+variant.BeatEach, func() { w.ask(g, i) })
 }
 
 // purge empties the hosts of an object at once; dispatchers hear of it one by one.
@@ -425,7 +425,7 @@
 		spread = 3
 	}
 	skip := w.chance.IntN(spread)
-	w.index.Walk(order.Mix(o.id+uint64(class+variants.MaxClasses*beside)), &first, skip, func(h uint32) bool { host = h; return false })
+	w.index.Walk(rendezvous.Mix(o.id+uint64(class+variant.MaxClasses*beside)), &first, skip, func(h uint32) bool { host = h; return false })
 	w.first[at] = first
 	held := w.hosts[host-1]
 	if a, hit = held.Get(k); hit && w.now < a.at+w.Lasts {
@@ -533,13 +533,13 @@
 }
 
 // variantFact is what one dispatcher tells the others.
-type variantFact = variants.Fact
+type variantFact = variant.Fact
 
 // program is the product's module at one dispatcher.
 type program struct {
-	*variants.Module
+	*variant.Module
 	floor uint64
-	key1  variants.Key
+	key1  variant.Key
 	order uint64 // of purges that were heard
 	known uint64 // of them when the key was given
 }
@@ -552,17 +552,17 @@
 	for c := range w.Same {
 		classes = append(classes, fmt.Sprint("c", c))
 	}
-	all := make([]variants.Service, services)
+	all := make([]variant.Service, services)
 	for s := range all {
-		all[s] = variants.Service{Classes: classes, Proof: variants.ByTag, Witnesses: w.Witnesses, Repeats: s != tokened, Fresh: math.Inf(1)}
+		all[s] = variant.Service{Classes: classes, Proof: variant.ByTag, Witnesses: w.Witnesses, Repeats: s != tokened, Fresh: math.Inf(1)}
 		if w.Silent > 0 {
 			all[s].Fresh = w.Lapses
 		}
 		if w.Way == Presumed {
-			all[s].Presume = &variants.Presumed{Objects: 20, Checks: w.Checks}
+			all[s].Presume = &variant.Presumed{Objects: 20, Checks: w.Checks}
 		}
 	}
-	m, err := variants.New(variants.Settings{Services: all, Objects: w.TablesHold, Seed: w.Seed + uint64(i)<<16, Self: fmt.Sprint("n", i)})
+	m, err := variant.New(variant.Settings{Services: all, Objects: w.TablesHold, Seed: w.Seed + uint64(i)<<16, Self: fmt.Sprint("n", i)})
 	if err != nil {
 		panic(err) // the settings stand above
 	}
@@ -572,8 +572,8 @@
 	return &program{Module: m}
 }
 
-func named1(o *item) variants.Object {
-	return variants.Object{Service: o.service, Object: o.id, Group: o.service}
+func named1(o *item) variant.Object {
+	return variant.Object{Service: o.service, Object: o.id, Group: o.service}
 }
 
 func (p *program) key(now float64, o *item, class int) (stands, beside int, checks bool) {
@@ -583,11 +583,11 @@
 }
 
 func (p *program) answered(now float64, o *item, class, asked, beside int, host uint32, a copyOf) bool {
-	answer := variants.Answer{Object: named1(o), Class: asked, Beside: beside, Host: host, Proof: a.proof, Generation: variants.Generation{Purge: p.floor, Version: a.version}, Known: p.known, Sent: now}
+	answer := variant.Answer{Object: named1(o), Class: asked, Beside: beside, Host: host, Proof: a.proof, Generation: variant.Generation{Purge: p.floor, Version: a.version}, Known: p.known, Sent: now}
 	p.Answered(now, answer)
 	k := p.key1
 	if asked == class {
-		k = variants.Key{Class: class, Own: true}
+		k = variant.Key{Class: class, Own: true}
 	}
 	return p.Fits(now, class, k, &answer)
 }
@@ -597,5 +597,5 @@
 	p.Purged(o.service, o.id, -1, purge, p.order)
 }
 func (p *program) facts() []variantFact             { return p.Facts(1000) }
-func (p *program) learn(now float64, f variantFact) { p.Learn(now, []variants.Fact{f}) }
+func (p *program) learn(now float64, f variantFact) { p.Learn(now, []variant.Fact{f}) }
 func (p *program) objects() int                     { return p.Objects() }
--- a/emulate/world.go
+++ b/emulator/world.go
@@ -1,13 +1,13 @@
-package emulate
+package emulator
 
 import (
 	"fmt"
 	"math"
 	"math/rand/v2"
 
-	"elderwall/control"
-	"elderwall/control/order"
-	"elderwall/internal/due"
+	"elderwall/core/routing"
+	"elderwall/core/routing/rendezvous"
+	"elderwall/core/timerwheel"
 )
 
 const (
@@ -24,7 +24,7 @@
 type world struct {
 	Scenario
 	now         float64
-	events      due.Wheel[func()]
+	events      timerwheel.Wheel[func()]
 	chance      *rand.Rand
 	zipf        *rand.Zipf
 	hosts       []*host // caches, then parents, then the origin
@@ -55,7 +55,7 @@
 	}
 	w := &world{Scenario: s, chance: rand.New(rand.NewPCG(s.Seed, 1)), byID: map[uint32]*host{}, out: newResult(s), rate: s.Rate}
 	for i := range s.Objects {
-		w.items = append(w.items, w.object(order.Mix(uint64(i)+s.Seed<<32)))
+		w.items = append(w.items, w.object(rendezvous.Mix(uint64(i)+s.Seed<<32)))
 	}
 	if s.Zipf > 0 {
 		w.zipf = rand.NewZipf(w.chance, s.Zipf, 1, uint64(s.Objects-1))
@@ -82,7 +82,7 @@
 }
 
 // at has something done at a moment.
-func (w *world) at(when float64, what func()) *due.Timer[func()] {
+func (w *world) at(when float64, what func()) *timerwheel.Timer[func()] {
 	return w.events.Add(max(when, w.now), what)
 }
 
@@ -115,7 +115,7 @@
 // add puts a host into the world, under an id that spreads.
 func (w *world) add(h *host) *host {
 	h.world, h.since = w, -1
-	h.id = uint32(order.Mix(uint64(len(w.hosts))+w.Seed<<32) >> 33)
+	h.id = uint32(rendezvous.Mix(uint64(len(w.hosts))+w.Seed<<32) >> 33)
 	for w.byID[h.id] != nil {
 		h.id++
 	}
@@ -128,7 +128,7 @@
 // caches is the caches that are listed, in the order in which they came.
 func (w *world) caches() (all []*host) {
 	for _, h := range w.hosts {
-		if h.kind == 0 && h.phase == control.Ready {
+		if h.kind == 0 && h.phase == routing.Ready {
 			all = append(all, h)
 		}
 	}
@@ -137,12 +137,12 @@
 
 // tell has the dispatchers hear of hosts, each in its time.
 func (w *world) tell(hosts ...*host) {
-	entries := make([]control.HostEntry, len(hosts))
+	entries := make([]routing.HostEntry, len(hosts))
 	for i, h := range hosts {
 		entries[i] = h.entry()
 	}
 	for _, d := range w.dispatchers {
-		w.at(w.now+w.News*w.chance.Float64(), func() { d.list(control.Changes, entries, hosts) })
+		w.at(w.now+w.News*w.chance.Float64(), func() { d.list(routing.Changes, entries, hosts) })
 	}
 }
 
@@ -174,7 +174,7 @@
 	if w.Shards > 1 {
 		sum := uint64(0)
 		for _, b := range []byte(o.name) {
-			sum = order.Mix(sum ^ uint64(b))
+			sum = rendezvous.Mix(sum ^ uint64(b))
 		}
 		d += int(sum % uint64(w.Shards))
 	}
@@ -226,7 +226,7 @@
 	case Scan:
 		w.repeat(t, func() {
 			w.scanned++
-			w.ask(w.object(order.Mix(w.scanned|1<<63)), 0)
+			w.ask(w.object(rendezvous.Mix(w.scanned|1<<63)), 0)
 		})
 	case Burst:
 		w.rate = w.Rate * t.Factor
@@ -292,12 +292,12 @@
 
 // replace drains a host, has another come in its cell, and lets the first go after the grace.
 func (w *world) replace(h *host) {
-	h.phase = control.Draining
+	h.phase = routing.Draining
 	fresh := w.add(&host{kind: 0, zone: h.zone, cell: h.cell, slots: w.Slots, serve: w.Serve, holds: w.Holds, out: &pipe{kb: w.CacheKB}})
 	fresh.since = w.now
 	w.tell(h, fresh)
 	w.at(w.now+w.News+drainGrace+1, func() {
-		h.phase, h.refuses = control.Gone, true
+		h.phase, h.refuses = routing.Gone, true
 		h.drop()
 		w.tell(h)
 	})
--- a/internal/gate/gate.go
+++ b/internal/authn/gate.go
@@ -1,6 +1,6 @@
-// Package gate is the stage that asks who is calling: it has tokens' signatures checked and calls on the module
+// Package authn is the stage that asks who is calling: it has tokens' signatures checked and calls on the module
 // callers under a lock of its own. It decides nothing.
-package gate
+package authn
 
 import (
 	"crypto/sha256"
@@ -13,13 +13,13 @@
 
 	"github.com/rs/zerolog"
 
-	"elderwall/fleet/budgets"
+	"elderwall/core/cluster/quota"
 	"elderwall/internal/call"
 	"elderwall/internal/certs"
 	"elderwall/internal/clock"
 	"elderwall/internal/counters"
 	"elderwall/internal/token"
-	"elderwall/stages/callers"
+	"elderwall/core/admission"
 )
 
 // Fleet is what all dispatchers together let a tenant have.
@@ -41,7 +41,7 @@
 	Fleet  Fleet // nil where tenants have no budgets of the whole fleet
 
 	mu     sync.Mutex
-	module *callers.Module
+	module *admission.Module
 	keys   map[string]*token.Key
 	level  bool // a fair level holds
 }
@@ -54,11 +54,11 @@
 }
 
 // Take puts settings and keys in force together; with an error the old ones stay.
-func (g *Gate) Take(s callers.Settings, keys map[string]*token.Key) (err error) {
+func (g *Gate) Take(s admission.Settings, keys map[string]*token.Key) (err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.module == nil {
-		g.module, err = callers.New(g.Clock.Now(), g.wall(), s)
+		g.module, err = admission.New(g.Clock.Now(), g.wall(), s)
 	} else {
 		err = g.module.Reload(g.Clock.Now(), g.wall(), s)
 	}
@@ -69,8 +69,8 @@
 }
 
 // Connected takes a connection whose handshake is done.
-func (g *Gate) Connected(remote netip.Addr, socket net.Conn) *callers.Conn {
-	c := &callers.Conn{Remote: remote}
+func (g *Gate) Connected(remote netip.Addr, socket net.Conn) *admission.Conn {
+	c := &admission.Conn{Remote: remote}
 	if over, ok := socket.(*tls.Conn); ok {
 		c.Certificate = certs.Facts(over.ConnectionState())
 	}
@@ -78,32 +78,32 @@
 }
 
 // Identify takes a token for all GETs of a connection that bring none.
-func (g *Gate) Identify(c *callers.Conn, text string) (reason string) {
-	if _, refusal := g.byToken(c, text); refusal != callers.Passed {
+func (g *Gate) Identify(c *admission.Conn, text string) (reason string) {
+	if _, refusal := g.byToken(c, text); refusal != admission.Passed {
 		return refusal.String()
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.module.Give(c, sha256.Sum256([]byte(text))) {
-		return callers.ChecksUsed.String()
+		return admission.ChecksUsed.String()
 	}
 	return ""
 }
 
 // Standing tells whether a connection may stay.
-func (g *Gate) Standing(c *callers.Conn) callers.Standing {
+func (g *Gate) Standing(c *admission.Conn) admission.Standing {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.module.Standing(g.Clock.Now(), g.wall(), c)
 }
 
 // Admit says whether a GET is passed on, and with what End is to be called if so.
-func (g *Gate) Admit(in call.GET, service int) (t callers.Ticket, r callers.Refusal, wait float64) {
+func (g *Gate) Admit(in call.GET, service int) (t admission.Ticket, r admission.Refusal, wait float64) {
 	object, err := strconv.ParseUint(in.Object, 16, 64)
 	if err != nil || in.Conn == nil {
-		return t, callers.Nobody, 0
+		return t, admission.Nobody, 0
 	}
-	var c callers.Caller
+	var c admission.Caller
 	if in.Token != "" {
 		c, r = g.byToken(in.Conn, in.Token)
 	}
@@ -112,14 +112,14 @@
 	if in.Token == "" {
 		c, r = g.module.ByConn(g.wall(), in.Conn)
 	}
-	if r == callers.Passed {
-		t, r, wait = g.module.Admit(g.Clock.Now(), c, in.Conn.Remote, callers.GET{Service: service, Object: object, Group: in.Group})
+	if r == admission.Passed {
+		t, r, wait = g.module.Admit(g.Clock.Now(), c, in.Conn.Remote, admission.GET{Service: service, Object: object, Group: in.Group})
 	}
-	if r == callers.Passed && g.Fleet != nil {
+	if r == admission.Passed && g.Fleet != nil {
 		var ok bool
-		if t.Budgets, ok = g.Fleet.Spend(budgets.UseTenant + c.Tenant()); !ok {
+		if t.Budgets, ok = g.Fleet.Spend(quota.UseTenant + c.Tenant()); !ok {
 			g.module.End(g.Clock.Now(), t, false, false)
-			t, r, wait = callers.Ticket{}, callers.FleetUsed, backFleet
+			t, r, wait = admission.Ticket{}, admission.FleetUsed, backFleet
 		}
 	}
 	g.count(r)
@@ -127,11 +127,11 @@
 }
 
 // byToken names the caller of a token; its signature is checked unless that was done before.
-func (g *Gate) byToken(conn *callers.Conn, text string) (callers.Caller, callers.Refusal) {
+func (g *Gate) byToken(conn *admission.Conn, text string) (admission.Caller, admission.Refusal) {
 	if len(text) > token.Longest { // not even its sum is worth making
-		return callers.Caller{}, callers.BadToken
+		return admission.Caller{}, admission.BadToken
 	}
-	sum := callers.Sum(sha256.Sum256([]byte(text)))
+	sum := admission.Sum(sha256.Sum256([]byte(text)))
 	g.mu.Lock()
 	c, r, known := g.module.ByToken(g.wall(), sum)
 	g.mu.Unlock()
@@ -140,18 +140,18 @@
 	}
 	t, err := token.Parse(text)
 	if err != nil {
-		return callers.Caller{}, callers.BadToken
+		return admission.Caller{}, admission.BadToken
 	}
 	g.mu.Lock()
 	r, k := g.module.MayCheck(g.Clock.Now(), g.wall(), conn, t.KeyID, t.Algorithm), g.keys[t.KeyID]
 	g.mu.Unlock()
-	if r != callers.Passed {
-		return callers.Caller{}, r
+	if r != admission.Passed {
+		return admission.Caller{}, r
 	}
 	g.Counts.SignatureChecks.Add(1)
 	claims, err := t.Verify(k)
 	if err != nil {
-		return callers.Caller{}, callers.BadToken
+		return admission.Caller{}, admission.BadToken
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -159,7 +159,7 @@
 }
 
 // End settles a GET that was passed on.
-func (g *Gate) End(t callers.Ticket, ran, shed bool) {
+func (g *Gate) End(t admission.Ticket, ran, shed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.module.End(g.Clock.Now(), t, ran, shed)
@@ -170,18 +170,18 @@
 }
 
 // count books why a GET ended here.
-func (g *Gate) count(r callers.Refusal) {
+func (g *Gate) count(r admission.Refusal) {
 	switch r {
-	case callers.Passed:
-	case callers.Denied:
+	case admission.Passed:
+	case admission.Denied:
 		g.Counts.Denied.Add(1)
-	case callers.ShareUsed:
+	case admission.ShareUsed:
 		g.Counts.OverShare.Add(1)
-	case callers.Pressed:
+	case admission.Pressed:
 		g.Counts.OverLevel.Add(1)
-	case callers.FleetUsed:
+	case admission.FleetUsed:
 		g.Counts.OverFleet.Add(1)
-	case callers.ChecksUsed:
+	case admission.ChecksUsed:
 		g.Counts.Unchecked.Add(1)
 	default:
 		g.Counts.NotNamed.Add(1)
--- a/internal/gate/gate_test.go
+++ b/internal/authn/gate_test.go
@@ -1,4 +1,4 @@
-package gate
+package authn
 
 import (
 	"fmt"
@@ -15,7 +15,7 @@
 	"elderwall/internal/counters"
 	"elderwall/internal/standin/need"
 	"elderwall/internal/token"
-	"elderwall/stages/callers"
+	"elderwall/core/admission"
 )
 
 const noon = 1764590400.0 // Unix s
@@ -28,9 +28,9 @@
 }
 
 func take(t testing.TB, g *Gate, keys ...*token.Key) {
-	s := callers.Defaults()
+	s := admission.Defaults()
 	s.Limits.Checks, s.Limits.ChecksByConn, s.Limits.CheckBurst = 100, 20, 10
-	s.Tenants = []callers.Tenant{{Name: "a", Rules: []callers.Rule{{}}}}
+	s.Tenants = []admission.Tenant{{Name: "a", Rules: []admission.Rule{{}}}}
 	by := map[string]*token.Key{}
 	for _, k := range keys {
 		s.Keys = append(s.Keys, k.Key)
@@ -41,17 +41,17 @@
 
 func key(t testing.TB, id, algorithm string) *token.Key {
 	k := need.Of(token.NewKey(id, algorithm))(t)
-	k.State = callers.Active
+	k.State = admission.Active
 	return k
 }
 
 func sign(t testing.TB, k *token.Key, subject string) string {
-	return need.Of(k.Sign(callers.Claims{Subject: subject, Tenant: "a", IssuedAt: noon, Expiry: noon + 60}))(t)
+	return need.Of(k.Sign(admission.Claims{Subject: subject, Tenant: "a", IssuedAt: noon, Expiry: noon + 60}))(t)
 }
 
-func ask(g *Gate, c *callers.Conn, text string) callers.Refusal {
+func ask(g *Gate, c *admission.Conn, text string) admission.Refusal {
 	t, r, _ := g.Admit(call.GET{Object: "7f3a9c21e0b4d655", Token: text, Conn: c}, 0)
-	if r == callers.Passed {
+	if r == admission.Passed {
 		g.End(t, true, false)
 	}
 	return r
@@ -70,29 +70,29 @@
 		{"long ones", func(int) string { return strings.Repeat("A.", 1<<19) }, 0},
 		{"bad signatures", func(int) string { return forged }, 11},
 		{"valid ones that all differ", func(i int) string { return sign(t, k, fmt.Sprint(i)) }, 11}} {
-		g, flooding, other := newGate(t, &wall, k, rsa), &callers.Conn{}, &callers.Conn{}
-		require.Equal(t, callers.Passed, ask(g, other, good), tt.name)
+		g, flooding, other := newGate(t, &wall, k, rsa), &admission.Conn{}, &admission.Conn{}
+		require.Equal(t, admission.Passed, ask(g, other, good), tt.name)
 		before, began := g.Counts.SignatureChecks.Load(), time.Now()
 		for i := range 300 {
 			ask(g, flooding, tt.text(i))
 		}
 		most := tt.checks + int64(20*time.Since(began).Seconds())
 		assert.LessOrEqual(t, g.Counts.SignatureChecks.Load()-before, most, tt.name)
-		assert.Equal(t, callers.Passed, ask(g, other, good), "%s: the other caller goes on", tt.name)
-		assert.Equal(t, callers.Passed, ask(g, other, sign(t, k, "new")), "%s: with another token too", tt.name)
+		assert.Equal(t, admission.Passed, ask(g, other, good), "%s: the other caller goes on", tt.name)
+		assert.Equal(t, admission.Passed, ask(g, other, sign(t, k, "new")), "%s: with another token too", tt.name)
 	}
 }
 
 // A token that ends while its GET is under way keeps its GET: it is judged when it comes.
 func TestATokenThatEndsWhileItsGETIsUnderWay(t *testing.T) {
 	wall, k := noon, key(t, "k1", "EdDSA")
-	g, conn := newGate(t, &wall, k), &callers.Conn{}
+	g, conn := newGate(t, &wall, k), &admission.Conn{}
 	in := call.GET{Object: "7f3a9c21e0b4d655", Token: sign(t, k, "till"), Conn: conn}
 	ticket, r, _ := g.Admit(in, 0)
-	require.Equal(t, callers.Passed, r)
+	require.Equal(t, admission.Passed, r)
 	wall += 60 + 31
 	_, r, _ = g.Admit(in, 0)
-	assert.Equal(t, callers.Ended, r, "a new one is refused")
+	assert.Equal(t, admission.Ended, r, "a new one is refused")
 	take(t, g, key(t, "k9", "EdDSA")) // and its key goes too
 	g.End(ticket, true, false)
 	assert.Equal(t, "token", g.Identify(conn, in.Token))
@@ -100,18 +100,18 @@
 
 func TestAKeyThatChangesWhileASignatureIsChecked(t *testing.T) {
 	wall, k := noon, key(t, "k1", "EdDSA")
-	g, conn := newGate(t, &wall, k), &callers.Conn{}
+	g, conn := newGate(t, &wall, k), &admission.Conn{}
 	text := sign(t, k, "till")
-	require.Equal(t, callers.Passed, ask(g, conn, text))
+	require.Equal(t, admission.Passed, ask(g, conn, text))
 	other := key(t, "k1", "EdDSA") // of the same id
 	take(t, g, other)
-	assert.Equal(t, callers.BadToken, ask(g, conn, text), "what the old key signed counts no more")
-	assert.Equal(t, callers.Passed, ask(g, conn, sign(t, other, "till")))
+	assert.Equal(t, admission.BadToken, ask(g, conn, text), "what the old key signed counts no more")
+	assert.Equal(t, admission.Passed, ask(g, conn, sign(t, other, "till")))
 }
 
 func BenchmarkAdmit(b *testing.B) {
 	wall, k := noon, key(b, "k1", "EdDSA")
-	g, conn, text := newGate(b, &wall, k), &callers.Conn{}, sign(b, k, "till")
+	g, conn, text := newGate(b, &wall, k), &admission.Conn{}, sign(b, k, "till")
 	need.Bench(b, "known", func(int) { ask(g, conn, text) })
 }
 
@@ -135,14 +135,14 @@
 // What the fleet lets a tenant have is asked last, and given back with the GET; what it turns away is charged nowhere.
 func TestTheFleetsBudgetOfATenant(t *testing.T) {
 	wall, k := noon, key(t, "k1", "EdDSA")
-	g, conn, left := newGate(t, &wall, k), &callers.Conn{}, &shares{left: 1}
+	g, conn, left := newGate(t, &wall, k), &admission.Conn{}, &shares{left: 1}
 	g.Fleet = left
 	get := call.GET{Object: "7f3a9c21e0b4d655", Token: sign(t, k, "till"), Conn: conn}
 	first, r, _ := g.Admit(get, 0)
-	require.Equal(t, callers.Passed, r)
+	require.Equal(t, admission.Passed, r)
 	for range 3 {
 		_, r, wait := g.Admit(get, 0)
-		assert.Equal(t, callers.FleetUsed, r)
+		assert.Equal(t, admission.FleetUsed, r)
 		assert.True(t, r.Shed())
 		assert.Equal(t, "fleet", r.String())
 		assert.Positive(t, wait)
@@ -150,6 +150,6 @@
 	assert.EqualValues(t, 3, g.Counts.OverFleet.Load())
 	g.End(first, true, false)
 	assert.Equal(t, shares{left: 1}, *left)
-	assert.Equal(t, callers.Passed, ask(g, conn, get.Token))
+	assert.Equal(t, admission.Passed, ask(g, conn, get.Token))
 	assert.Equal(t, shares{left: 1}, *left)
 }
