--- a/internal/benchwire/decode.go
+++ b/internal/benchwire/decode.go
@@ -7,8 +7,8 @@
 	"fmt"
 	"math"
 
-	"elderwall/control"
-	"elderwall/settings"
+	"elderwall/core/routing"
+	"elderwall/core/settings"
 )
 
 // Clock turns the wire's instants into seconds from a base and back.
@@ -82,11 +82,11 @@
 type optional struct{ target any }
 
 // PowerOn reads the seed and the settings of an instance that starts.
-func (m Message) PowerOn() (control.Settings, error) {
+func (m Message) PowerOn() (routing.Settings, error) {
 	var seed int64
 	var options json.RawMessage
 	if err := m.read(&seed, &options); err != nil {
-		return control.Settings{}, err
+		return routing.Settings{}, err
 	}
 	s, err := settings.Decode(options)
 	s.Seed = uint64(seed)
@@ -94,25 +94,25 @@
 }
 
 // Hosts reads a list of hosts.
-func (m Message) Hosts(c Clock) (control.ListForm, []control.HostEntry, error) {
-	var form control.ListForm
+func (m Message) Hosts(c Clock) (routing.ListForm, []routing.HostEntry, error) {
+	var form routing.ListForm
 	var epoch json.RawMessage
 	var rows [][]json.RawMessage
 	if err := m.read(&form, &epoch, optional{&rows}); err != nil {
 		return 0, nil, err
 	}
-	if form < control.Changes || form > control.FailedCall {
+	if form < routing.Changes || form > routing.FailedCall {
 		return 0, nil, fmt.Errorf("%s: unknown form %d", m.Name, form)
 	}
-	var entries []control.HostEntry
+	var entries []routing.HostEntry
 	for _, row := range rows {
-		var e control.HostEntry
+		var e routing.HostEntry
 		var since int64
 		fields := Message{Name: m.Name + " entry", values: row}
 		if err := fields.read(&e.ID, &e.Zone, &e.Kind, &e.Cell, &e.Phase, optional{&e.Weight}, optional{&since}); err != nil {
 			return 0, nil, err
 		}
-		if e.Phase < control.Gone || e.Phase > control.Draining {
+		if e.Phase < routing.Gone || e.Phase > routing.Draining {
 			return 0, nil, fmt.Errorf("%s: unknown phase %d", m.Name, e.Phase)
 		}
 		if since != 0 {
@@ -124,8 +124,8 @@
 }
 
 // GET reads a GET.
-func (m Message) GET(c Clock) (control.GET, error) {
-	var g control.GET
+func (m Message) GET(c Clock) (routing.GET, error) {
+	var g routing.GET
 	var account json.RawMessage
 	var until int64
 	err := m.read(&g.ID, &g.Service, &account, &g.Object, &until, optional{&g.SizeKB}, optional{&g.Group}, optional{&g.Part})
@@ -134,8 +134,8 @@
 }
 
 // Answer reads how a forward ended, and from a load report how crowded the way in is.
-func (m Message) Answer() (control.Answer, error) {
-	var a control.Answer
+func (m Message) Answer() (routing.Answer, error) {
+	var a routing.Answer
 	var host, waited json.RawMessage
 	var how string
 	var elapsed int64
@@ -153,10 +153,10 @@
 	return a, nil
 }
 
-var outcomes = map[string]control.Outcome{
-	"delivered": control.Returned, "app_error": control.HostError, "shed": control.NotTaken,
-	"expired": control.Expired, "dial_failed": control.Unreached, "dropped": control.Dropped,
-	"revoked": control.Revoked, "unused": control.Unused, "empty": control.Empty,
+var outcomes = map[string]routing.Outcome{
+	"delivered": routing.Returned, "app_error": routing.HostError, "shed": routing.NotTaken,
+	"expired": routing.Expired, "dial_failed": routing.Unreached, "dropped": routing.Dropped,
+	"revoked": routing.Revoked, "unused": routing.Unused, "empty": routing.Empty,
 }
 
 // Streaming reads which forward's answer has started.
--- a/internal/benchwire/reply.go
+++ b/internal/benchwire/reply.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"strconv"
 
-	"elderwall/control"
+	"elderwall/core/routing"
 )
 
 // Reply gathers the actions of one batch, as text.
@@ -39,10 +39,10 @@
 	Who int64
 }
 
-var _ control.Wire = Wire{}
+var _ routing.Wire = Wire{}
 
 // Forward writes a forward.
-func (w Wire) Forward(f control.Forward) {
+func (w Wire) Forward(f routing.Forward) {
 	bits := 0
 	for i, set := range []bool{f.Join, f.HeldOnly, false, f.Renew} {
 		if set {
--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -4,7 +4,7 @@
 import (
 	"time"
 
-	"elderwall/stages/callers"
+	"elderwall/core/admission"
 )
 
 // Call is one open call of a client. One answer goes out for it; whatever comes after that is dropped.
@@ -39,5 +39,5 @@
 	IdempotencyKey string // by which hosts tell a repeat, "" for none
 
 	Token string        // that came with it and names its caller, "" for none
-	Conn  *callers.Conn // what is known of its connection; nil where nobody asks who is calling
+	Conn  *admission.Conn // what is known of its connection; nil where nobody asks who is calling
 }
--- a/internal/call/router.go
+++ b/internal/call/router.go
@@ -1,8 +1,8 @@
 package call
 
 import (
-	"elderwall/control"
-	"elderwall/internal/lines"
+	"elderwall/core/routing"
+	"elderwall/internal/hostproto"
 )
 
 // Router is a Call whose forwards are sent by a proxy in front: its front is told where to, and tells how they ended.
@@ -32,7 +32,7 @@
 	// End tells how it ended. What proves it is asked under the node's lock, with the age in seconds that a copy may have
 	// after the purges that are known by then, 0 for any; ok false tells that it has not ended. Once the GET is
 	// over nothing is asked; of a forward that was withdrawn a copy alone counts.
-	End func(proof func(oldest float64) (outcome control.Outcome, note control.Note, ok bool))
+	End func(proof func(oldest float64) (outcome routing.Outcome, note routing.Note, ok bool))
 	// Good tells whether a copy with such proofs will do for the client; nil where any does. It is asked by proof alone, before a copy counts.
-	Good func(p lines.Proofs) bool
+	Good func(p hostproto.Proofs) bool
 }
--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -16,7 +16,7 @@
 	"sync/atomic"
 	"time"
 
-	"elderwall/stages/callers"
+	"elderwall/core/admission"
 )
 
 const (
@@ -32,7 +32,7 @@
 	Only13      bool           // TLS 1.2 is refused
 
 	Prints  []string         // of the authorities
-	Revoked []callers.Serial // by their lists
+	Revoked []admission.Serial // by their lists
 	Stale   []time.Time      // ends of lists; one that is past still counts, and is told of
 }
 
@@ -139,9 +139,9 @@
 	return false
 }
 
-func serial(issuer []byte, number *big.Int) callers.Serial {
+func serial(issuer []byte, number *big.Int) admission.Serial {
 	sum := sha256.Sum256(issuer)
-	return callers.Serial{Issuer: hex.EncodeToString(sum[:]), Number: number.Text(16)}
+	return admission.Serial{Issuer: hex.EncodeToString(sum[:]), Number: number.Text(16)}
 }
 
 func print(c *x509.Certificate) string {
@@ -197,12 +197,12 @@
 }
 
 // Facts is what the certificate of a connection says; nil without one.
-func Facts(s tls.ConnectionState) *callers.Certificate {
+func Facts(s tls.ConnectionState) *admission.Certificate {
 	if len(s.PeerCertificates) == 0 {
 		return nil
 	}
 	c := s.PeerCertificates[0]
-	f := &callers.Certificate{Serial: serial(c.RawIssuer, c.SerialNumber), From: float64(c.NotBefore.Unix()),
+	f := &admission.Certificate{Serial: serial(c.RawIssuer, c.SerialNumber), From: float64(c.NotBefore.Unix()),
 		Until: float64(c.NotAfter.Unix())}
 	for _, uri := range c.URIs {
 		f.Names = append(f.Names, "uri:"+uri.String())
--- a/internal/fleet/ask.go
+++ b/internal/cluster/ask.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"bufio"
@@ -13,13 +13,13 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"elderwall/fleet/budgets"
-	"elderwall/fleet/channels"
-	"elderwall/fleet/duties"
-	"elderwall/fleet/members"
-	"elderwall/fleet/replica"
-	"elderwall/internal/fleet/council"
-	"elderwall/internal/snake"
+	"elderwall/core/cluster/quota"
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/lease"
+	"elderwall/core/cluster/membership"
+	"elderwall/core/cluster/replication"
+	"elderwall/internal/cluster/raftvoter"
+	"elderwall/internal/snakejson"
 )
 
 // What can be asked of a member over its fleet address.
@@ -63,18 +63,18 @@
 
 	Number   uint64                `cbor:"3,keyasint,omitempty"`
 	Hops     uint8                 `cbor:"4,keyasint,omitempty"`
-	Turn     *duties.Turn          `cbor:"5,keyasint,omitempty"`
-	Commands []duties.Command      `cbor:"6,keyasint,omitempty"`
-	Seat     duties.Change         `cbor:"7,keyasint,omitempty"`
-	Ledger   *budgets.Command      `cbor:"8,keyasint,omitempty"`
+	Turn     *lease.Turn          `cbor:"5,keyasint,omitempty"`
+	Commands []lease.Command      `cbor:"6,keyasint,omitempty"`
+	Seat     lease.Change         `cbor:"7,keyasint,omitempty"`
+	Ledger   *quota.Command      `cbor:"8,keyasint,omitempty"`
 	Whole    bool                  `cbor:"9,keyasint,omitempty"` // the ledger is to be told after it
 	Duty     string                `cbor:"10,keyasint,omitempty"`
-	Records  []replica.Record      `cbor:"11,keyasint,omitempty"` // to be written; or whose keys are to be read
-	Channels *channels.Command     `cbor:"13,keyasint,omitempty"`
-	Sure     replica.Sure          `cbor:"12,keyasint,omitempty"`
-	Follow   *channels.Ask         `cbor:"14,keyasint,omitempty"`
-	Entries  []channels.Entry      `cbor:"15,keyasint,omitempty"`
-	Declare  *channels.Declaration `cbor:"16,keyasint,omitempty"`
+	Records  []replication.Record      `cbor:"11,keyasint,omitempty"` // to be written; or whose keys are to be read
+	Channels *channel.Command     `cbor:"13,keyasint,omitempty"`
+	Sure     replication.Sure          `cbor:"12,keyasint,omitempty"`
+	Follow   *channel.Ask         `cbor:"14,keyasint,omitempty"`
+	Entries  []channel.Entry      `cbor:"15,keyasint,omitempty"`
+	Declare  *channel.Declaration `cbor:"16,keyasint,omitempty"`
 }
 
 // Told is what a member answers.
@@ -82,25 +82,25 @@
 	Error    string           `cbor:"1,keyasint,omitempty" json:",omitempty"`
 	Number   uint64           `cbor:"2,keyasint" json:"-"` // of the last change
 	Now      float64          `cbor:"3,keyasint"`          // s since its start
-	Self     members.Member   `cbor:"4,keyasint"`
+	Self     membership.Member   `cbor:"4,keyasint"`
 	Standing string           `cbor:"5,keyasint"`
 	Level    string           `cbor:"6,keyasint"`
-	View     members.View     `cbor:"7,keyasint"`
-	Members  []members.Known  `cbor:"8,keyasint"`
+	View     membership.View     `cbor:"7,keyasint"`
+	Members  []membership.Known  `cbor:"8,keyasint"`
 	Counts   map[string]int64 `cbor:"9,keyasint" snake:"names"`
 
 	Duties   []ToldDuty         `cbor:"10,keyasint,omitempty" json:",omitempty"`
 	Rest     map[string]float64 `cbor:"11,keyasint,omitempty" json:",omitempty"` // s of each lease, by the leader's clock
-	Council  *council.Status    `cbor:"12,keyasint,omitempty" json:",omitempty"`
-	Seats    []duties.Seat      `cbor:"13,keyasint,omitempty" json:",omitempty"`
-	Leases   []duties.Lease     `cbor:"14,keyasint,omitempty" json:",omitempty"`
+	Council  *raftvoter.Status    `cbor:"12,keyasint,omitempty" json:",omitempty"`
+	Seats    []lease.Seat      `cbor:"13,keyasint,omitempty" json:",omitempty"`
+	Leases   []lease.Lease     `cbor:"14,keyasint,omitempty" json:",omitempty"`
 	Changed  bool               `cbor:"15,keyasint,omitempty" json:",omitempty"`
-	Ledger   *budgets.Saved     `cbor:"17,keyasint,omitempty" json:",omitempty"`
+	Ledger   *quota.Saved     `cbor:"17,keyasint,omitempty" json:",omitempty"`
 	Budgets  []ToldBudget       `cbor:"18,keyasint,omitempty" json:",omitempty"`
 	Memory   *ToldMemory        `cbor:"19,keyasint,omitempty" json:",omitempty"`
-	Records  []replica.Record   `cbor:"20,keyasint,omitempty" json:",omitempty"`
-	Ended    []replica.Outcome  `cbor:"21,keyasint,omitempty" json:",omitempty"` // of the writes, in their order
-	Channels *channels.Saved    `cbor:"22,keyasint,omitempty" json:",omitempty"`
+	Records  []replication.Record   `cbor:"20,keyasint,omitempty" json:",omitempty"`
+	Ended    []replication.Outcome  `cbor:"21,keyasint,omitempty" json:",omitempty"` // of the writes, in their order
+	Channels *channel.Saved    `cbor:"22,keyasint,omitempty" json:",omitempty"`
 	Refused  string             `cbor:"23,keyasint,omitempty" json:",omitempty"` // why a command of channels did nothing
 	Leads    string             `cbor:"16,keyasint,omitempty" json:",omitempty"` // the address of who answered as the leader
 	Written  []Written          `cbor:"26,keyasint,omitempty" json:",omitempty"` // what became of the entries, in their order
@@ -111,12 +111,12 @@
 // MarshalJSON writes it in the style of the command line, whoever prints it.
 func (t Told) MarshalJSON() ([]byte, error) {
 	type plain Told
-	return snake.JSON(plain(t))
+	return snakejson.JSON(plain(t))
 }
 
 // ToldDuty is a duty with how many wait for it beyond those that are named.
 type ToldDuty struct {
-	duties.Duty
+	lease.Duty
 	More int `json:",omitempty"`
 }
 
@@ -261,12 +261,12 @@
 }
 
 // AskDo has commands put into the log, by any member.
-func AskDo(ctx context.Context, at string, k *Keys, commands ...duties.Command) (t Told, err error) {
+func AskDo(ctx context.Context, at string, k *Keys, commands ...lease.Command) (t Told, err error) {
 	return askAt(ctx, at, k, ask{What: AskCommand, Commands: commands})
 }
 
 // AskChange has who votes changed.
-func AskChange(ctx context.Context, at string, k *Keys, c duties.Change) (t Told, err error) {
+func AskChange(ctx context.Context, at string, k *Keys, c lease.Change) (t Told, err error) {
 	return askAt(ctx, at, k, ask{What: AskSeat, Seat: c})
 }
 
@@ -277,12 +277,12 @@
 }
 
 // AskMemory has records written as sure as is wanted, or read.
-func AskMemory(ctx context.Context, at string, k *Keys, what string, records []replica.Record, sure replica.Sure) (t Told, err error) {
+func AskMemory(ctx context.Context, at string, k *Keys, what string, records []replication.Record, sure replication.Sure) (t Told, err error) {
 	return askAt(ctx, at, k, ask{What: what, Records: records, Sure: sure})
 }
 
 // AskTake asks a turn for one who stands and is no dispatcher.
-func AskTake(ctx context.Context, at string, k *Keys, turn duties.Turn) (t Told, err error) {
+func AskTake(ctx context.Context, at string, k *Keys, turn lease.Turn) (t Told, err error) {
 	return askAt(ctx, at, k, ask{What: AskTurn, Turn: &turn})
 }
 
--- a/internal/fleet/budgets_test.go
+++ b/internal/cluster/budgets_test.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"elderwall/fleet/budgets"
+	"elderwall/core/cluster/quota"
 	"elderwall/internal/standin"
 	"elderwall/internal/standin/need"
 	"elderwall/internal/standin/processes"
@@ -325,12 +325,12 @@
 
 // BenchmarkSpend is what a GET pays where budgets are on: one tenant's, and the bound at the origin around each act of the module.
 func BenchmarkSpend(b *testing.B) {
-	f := &Fleet{Settings: Settings{Name: "x", Budgets: &Budgets{All: []budgets.Budget{{Name: "t", Kind: budgets.UnderWay, Whole: 9}, {Name: "o", Kind: budgets.UnderWay, Whole: 9}},
-		Uses: map[string][]string{"tenant:a": {"t"}, budgets.UseOrigin: {"o"}}}}}
+	f := &Fleet{Settings: Settings{Name: "x", Budgets: &Budgets{All: []quota.Budget{{Name: "t", Kind: quota.UnderWay, Whole: 9}, {Name: "o", Kind: quota.UnderWay, Whole: 9}},
+		Uses: map[string][]string{"tenant:a": {"t"}, quota.UseOrigin: {"o"}}}}}
 	f.beginSpending()
 	s := &f.spending
 	q, _ := s.holder.Tick(f.dutyNow())
-	s.holder.Answer(f.dutyNow(), budgets.Answer{ID: q.ID, Token: 1, Gives: []budgets.Give{{Budget: "t", Kind: budgets.UnderWay, Size: 9}, {Budget: "o", Kind: budgets.UnderWay, Size: 9}}})
+	s.holder.Answer(f.dutyNow(), quota.Answer{ID: q.ID, Token: 1, Gives: []quota.Give{{Budget: "t", Kind: quota.UnderWay, Size: 9}, {Budget: "o", Kind: quota.UnderWay, Size: 9}}})
 	b.Run("tenant", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
--- a/internal/fleet/contract_test.go
+++ b/internal/cluster/contract_test.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"encoding/base64"
@@ -12,7 +12,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"elderwall/fleet/members"
+	"elderwall/core/cluster/membership"
 	"elderwall/internal/contract"
 )
 
@@ -119,10 +119,10 @@
 		return err
 	}
 	maps.Copy(all, changes)
-	a := members.Agreed{Generation: r.generation.Add(1)}
+	a := membership.Agreed{Generation: r.generation.Add(1)}
 	for _, key := range slices.Sorted(maps.Keys(all)) {
 		if v := all[key]; v != nil {
-			a.Others = append(a.Others, members.Place{Name: key, Address: base64.StdEncoding.EncodeToString(v)})
+			a.Others = append(a.Others, membership.Place{Name: key, Address: base64.StdEncoding.EncodeToString(v)})
 		}
 	}
 	return keep(r.path, a)
--- a/internal/fleet/disk.go
+++ b/internal/cluster/disk.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"crypto/rand"
@@ -12,7 +12,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"elderwall/internal/fleet/council"
+	"elderwall/internal/cluster/raftvoter"
 )
 
 const logFile = "log.db"
@@ -26,7 +26,7 @@
 // believed.
 type disk struct {
 	*file
-	kept council.Kept
+	kept raftvoter.Kept
 }
 
 // openDisk opens the file of a folder, or makes one with an id drawn for it. Each opening is a later era.
@@ -61,7 +61,7 @@
 }
 
 // read reads all that is kept.
-func (d *disk) read() (k council.Kept, err error) {
+func (d *disk) read() (k raftvoter.Kept, err error) {
 	err = d.view(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(metaBucket)
 		if b == nil {
--- a/internal/fleet/divide.go
+++ b/internal/cluster/divide.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"elderwall/fleet/budgets"
+	"elderwall/core/cluster/quota"
 )
 
 const (
@@ -25,7 +25,7 @@
 // Budgets is what a dispatcher is told of budgets.
 type Budgets struct {
 	Generation uint64 // the highest in the fleet is in force
-	All        []budgets.Budget
+	All        []quota.Budget
 	Uses       map[string][]string // budgets by what uses them, those under way first
 	Tail       float64             // s; what is under way ends by then
 }
@@ -33,8 +33,8 @@
 // spending is a dispatcher's part in budgets. Its lock is held for a moment alone: GETs take it.
 type spending struct {
 	mu     sync.Mutex
-	holder *budgets.Holder // nil where nothing is divided
-	kinds  map[string]budgets.Kind
+	holder *quota.Holder // nil where nothing is divided
+	kinds  map[string]quota.Kind
 	uses   map[string][]string
 	bounds map[string][]string // budgets by host, "" for the origin
 	hosts  []string            // that were bounded since the start
@@ -47,7 +47,7 @@
 // dividing is the part of whoever divides.
 type dividing struct {
 	mu      sync.Mutex
-	divider *budgets.Divider
+	divider *quota.Divider
 	token   uint64
 	seq     uint64
 	full    map[string]bool // budgets whose whole was found to be exceeded: told once
@@ -55,17 +55,17 @@
 
 // spendMessage is a question on the wire.
 type spendMessage struct {
-	Question budgets.Question `cbor:"1,keyasint"`
+	Question quota.Question `cbor:"1,keyasint"`
 }
 
 // giveMessage is its answer.
 type giveMessage struct {
 	Boot   uint64         `cbor:"1,keyasint"`
-	Answer budgets.Answer `cbor:"2,keyasint"`
+	Answer quota.Answer `cbor:"2,keyasint"`
 }
 
 func (f *Fleet) beginSpending() {
-	f.spending.holder = budgets.NewHolder(f.Name, f.boot, f.Zone, f.Address)
+	f.spending.holder = quota.NewHolder(f.Name, f.boot, f.Zone, f.Address)
 	f.takeBudgets(f.Budgets)
 }
 
@@ -73,18 +73,18 @@
 func (f *Fleet) takeBudgets(b *Budgets) {
 	s := &f.spending
 	s.mu.Lock()
-	s.kinds, s.uses = map[string]budgets.Kind{}, b.Uses
+	s.kinds, s.uses = map[string]quota.Kind{}, b.Uses
 	s.bounds = map[string][]string{}
 	for _, host := range b.Hosts() { // one that is bounded no more has to be told so: it stays in the list
-		if s.bounds[host] = b.Uses[budgets.UseHost+host]; host == "" {
-			s.bounds[host] = b.Uses[budgets.UseOrigin]
+		if s.bounds[host] = b.Uses[quota.UseHost+host]; host == "" {
+			s.bounds[host] = b.Uses[quota.UseOrigin]
 		}
 		if !slices.Contains(s.hosts, host) {
 			s.hosts = append(slices.Clone(s.hosts), host)
 		}
 	}
 	s.holder.Only(func(name string) bool {
-		return slices.ContainsFunc(b.All, func(o budgets.Budget) bool { return o.Name == name })
+		return slices.ContainsFunc(b.All, func(o quota.Budget) bool { return o.Name == name })
 	}, f.dutyNow())
 	for _, o := range b.All {
 		s.kinds[o.Name] = o.Kind
@@ -135,7 +135,7 @@
 	switch {
 	case s.holder == nil || s.kinds[name] == 0:
 		return fmt.Errorf("no budget %q", name)
-	case s.kinds[name] == budgets.UnderWay:
+	case s.kinds[name] == quota.UnderWay:
 		return fmt.Errorf("budget %q counts what is under way: nothing says when that ends", name)
 	case !s.holder.Take(f.dutyNow(), name, n):
 		return errSpent
@@ -205,7 +205,7 @@
 // Hosts is the hosts that are bounded, in order; "" is the origin, itself or behind others.
 func (b *Budgets) Hosts() (all []string) {
 	for use := range b.Uses {
-		if name, ok := strings.CutPrefix(use, budgets.UseHost); ok || use == budgets.UseOrigin {
+		if name, ok := strings.CutPrefix(use, quota.UseHost); ok || use == quota.UseOrigin {
 			if !ok {
 				name = ""
 			}
@@ -261,7 +261,7 @@
 	for _, a := range all[:min(2, len(all))] {
 		var t Told
 		var err error
-		q := ask{What: askWhere, Duty: budgets.Duty}
+		q := ask{What: askWhere, Duty: quota.Duty}
 		if a == f.Address {
 			t = f.answerDuties(ctx, q)
 		} else {
@@ -281,7 +281,7 @@
 // takeQuestion takes a dispatcher's question, where this one divides.
 func (f *Fleet) takeQuestion(text []byte) {
 	var in spendMessage
-	if err := decoding.Unmarshal(text, &in); err != nil || len(in.Question.Asks) > budgets.MostBudgets || len(in.Question.Name) > budgets.LongestName {
+	if err := decoding.Unmarshal(text, &in); err != nil || len(in.Question.Asks) > quota.MostBudgets || len(in.Question.Name) > quota.LongestName {
 		f.Counts.Unusable.Add(1)
 		return
 	}
@@ -341,7 +341,7 @@
 		case <-ctx.Done():
 			return nil
 		}
-		token, ok := f.Guard(budgets.Duty)
+		token, ok := f.Guard(quota.Duty)
 		if !ok || token != d.token {
 			d.mu.Lock()
 			d.divider = nil
@@ -368,7 +368,7 @@
 func (f *Fleet) beginDividing(ctx context.Context, token uint64) error {
 	d := &f.dividing
 	d.seq += 1 << 16
-	t, err := f.ask(ctx, ask{What: AskCommand, Ledger: &budgets.Command{Token: token, Seq: d.seq}, Whole: true})
+	t, err := f.ask(ctx, ask{What: AskCommand, Ledger: &quota.Command{Token: token, Seq: d.seq}, Whole: true})
 	if err != nil {
 		return err
 	}
@@ -377,7 +377,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.divider = budgets.NewDivider(budgets.Restore(*t.Ledger), token, f.dutyNow(), f.Budgets.Tail, f.Budgets.Generation, f.Budgets.All)
+	d.divider = quota.NewDivider(quota.Restore(*t.Ledger), token, f.dutyNow(), f.Budgets.Tail, f.Budgets.Generation, f.Budgets.All)
 	f.Log.Info().Uint64("token", token).Int("seats", len(t.Ledger.Seats)).Uint64("generation", t.Ledger.Generation).Msg("budgets: divides")
 	return nil
 }
@@ -407,9 +407,9 @@
 }
 
 // give sends answers, as long as this one has the duty right now.
-func (f *Fleet) give(all []budgets.Answered, token uint64) {
+func (f *Fleet) give(all []quota.Answered, token uint64) {
 	for _, a := range all {
-		if now, ok := f.Guard(budgets.Duty); !ok || now != token {
+		if now, ok := f.Guard(quota.Duty); !ok || now != token {
 			return
 		}
 		if raw, err := encoding.Marshal(giveMessage{a.Boot, a.Answer}); err == nil {
@@ -434,7 +434,7 @@
 
 // ToldBudget is how a whole is divided.
 type ToldBudget struct {
-	budgets.Budget
+	quota.Budget
 	Generation uint64
 	Out, Spent int64
 	Gone       bool `json:",omitempty"`
--- a/internal/fleet/duties_test.go
+++ b/internal/cluster/duties_test.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"bufio"
@@ -27,7 +27,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"elderwall/fleet/duties"
+	"elderwall/core/cluster/lease"
 	"elderwall/internal/chart"
 	"elderwall/internal/standin/need"
 	"elderwall/internal/standin/processes"
@@ -499,7 +499,7 @@
 		name          string
 		holder, voter float64
 		late          bool
-	}{{"twice the share", 1 - 2*duties.Drift, 1 + 2*duties.Drift, false}, {"far off", 0.4, 1, true}} {
+	}{{"twice the share", 1 - 2*lease.Drift, 1 + 2*lease.Drift, false}, {"far off", 0.4, 1, true}} {
 		t.Run(tt.name, func(t *testing.T) {
 			d := duty(t, 4, 3, faulty(fmt.Sprint("ELDERWALL_FAULT_CLOCK=", tt.voter)))
 			one, first := d.hold(3, deafEnv+"=1", fmt.Sprint("ELDERWALL_FAULT_CLOCK=", tt.holder)), d.acts(0)
@@ -563,7 +563,7 @@
 		all.Go(func() {
 			name := fmt.Sprint("load-", i)
 			for boot := uint64(1); ; boot++ {
-				h := duties.NewHolder(name, boot, "", 0)
+				h := lease.NewHolder(name, boot, "", 0)
 				h.Want(name, 5, BootTime())
 				for gave := false; !gave || !h.Settled(); {
 					select {
@@ -945,7 +945,7 @@
 			s := processes.Draw(uint64(from+seed), n, 6, seconds)
 			t.Cleanup(func() {
 				if t.Failed() {
-					t.Logf("play it again: go test ./internal/fleet -run '%s' -schedule '%s'", strings.Split(t.Name(), "/")[0], s)
+					t.Logf("play it again: go test ./internal/cluster -run '%s' -schedule '%s'", strings.Split(t.Name(), "/")[0], s)
 				}
 			})
 			play(t, s)
--- a/internal/fleet/facts.go
+++ b/internal/cluster/facts.go
@@ -1,12 +1,12 @@
-package fleet
+package cluster
 
 import (
 	"encoding/json"
 	"fmt"
 	"time"
 
-	"elderwall/fleet/replica"
-	"elderwall/fleet/variants"
+	"elderwall/core/cluster/replication"
+	"elderwall/core/cluster/variant"
 )
 
 const (
@@ -20,15 +20,15 @@
 // Variants is what knows which device classes get the same bytes.
 type Variants interface {
 	// Facts takes what the others are to be told, the oldest first.
-	Facts(most int) []variants.Fact
+	Facts(most int) []variant.Fact
 	// Learn takes what others told.
-	Learn(now float64, facts []variants.Fact)
+	Learn(now float64, facts []variant.Fact)
 	// Keep tells whether a fact is still of use; own for one that was told here.
-	Keep(f *variants.Fact, own bool) bool
+	Keep(f *variant.Fact, own bool) bool
 	// Peers tells how many dispatchers share their facts, this one too.
 	Peers(n int)
 	// Notices takes the joins and splits since it was last asked.
-	Notices() []variants.Notice
+	Notices() []variant.Notice
 }
 
 // shares has facts of variants remembered by all, and learns those of others. All but the queue is of the memory's goroutine alone.
@@ -36,10 +36,10 @@
 	memory  *memory
 	of      Variants // nil where none are declared
 	now     func() float64
-	notices func([]variants.Notice)
+	notices func([]variant.Notice)
 
 	peers  int // that are there, with this one
-	unread []variants.Fact
+	unread []variant.Fact
 	all    bool // all that is remembered is to be learned
 	looked time.Time
 	swept  time.Time
@@ -47,7 +47,7 @@
 
 func (s *shares) begin(m *memory) {
 	s.memory, s.all, s.swept = m, true, time.Now()
-	m.follow[variants.ID] = append(m.follow[variants.ID], s.changed)
+	m.follow[variant.ID] = append(m.follow[variant.ID], s.changed)
 }
 
 // TakeVariants has what is known of variants told to the others and learned from them, before the fleet is served; now is the variants' time.
@@ -69,7 +69,7 @@
 }
 
 // tellVariants has joins and splits told in their channel, by object, part and class.
-func (f *Fleet) tellVariants(all []variants.Notice) {
+func (f *Fleet) tellVariants(all []variant.Notice) {
 	for _, n := range all {
 		o := n.Object
 		of := joined{o.Service, fmt.Sprintf("%016x", o.Object), o.Part, n.Class, n.Standing, n.Split}
@@ -82,10 +82,10 @@
 }
 
 // Notices has a function take the joins and splits that happen here, before the fleet is served. It may not wait.
-func (f *Fleet) Notices(take func([]variants.Notice)) { f.memory.shares.notices = take }
+func (f *Fleet) Notices(take func([]variant.Notice)) { f.memory.shares.notices = take }
 
 // changed takes facts that came to stand; they are learned at the next look.
-func (s *shares) changed(all []replica.Record) {
+func (s *shares) changed(all []replication.Record) {
 	if s.of == nil {
 		return
 	}
@@ -93,7 +93,7 @@
 		if r.Dead || r.Dot.Writer == s.memory.fleet.Name {
 			continue
 		}
-		if f, err := variants.DecodeFact(r.Value); err == nil {
+		if f, err := variant.DecodeFact(r.Value); err == nil {
 			s.unread = append(s.unread, f)
 		}
 	}
@@ -133,7 +133,7 @@
 	}
 	for _, f := range s.of.Facts(mostShared) {
 		// One that finds no room, or stands already, is not told: the others keep their own keys the longer.
-		_, _ = m.write(variants.ID, variants.FactKey(&f), variants.EncodeFact(&f), false, replica.Sure{})
+		_, _ = m.write(variant.ID, variant.FactKey(&f), variant.EncodeFact(&f), false, replication.Sure{})
 	}
 	if time.Since(s.swept) >= sweepEach {
 		s.swept = time.Now()
@@ -144,8 +144,8 @@
 func (s *shares) learn() {
 	if s.all {
 		s.all, s.unread = false, nil
-		s.memory.each(variants.ID, "", func(r replica.Record) bool {
-			if f, err := variants.DecodeFact(r.Value); err == nil && !r.Dead {
+		s.memory.each(variant.ID, "", func(r replication.Record) bool {
+			if f, err := variant.DecodeFact(r.Value); err == nil && !r.Dead {
 				s.unread = append(s.unread, f)
 			}
 			return true
@@ -159,15 +159,15 @@
 
 // sweep deletes facts that are of no use.
 func (s *shares) sweep() {
-	var old []replica.Record
-	s.memory.each(variants.ID, "", func(r replica.Record) bool {
-		f, err := variants.DecodeFact(r.Value)
+	var old []replication.Record
+	s.memory.each(variant.ID, "", func(r replication.Record) bool {
+		f, err := variant.DecodeFact(r.Value)
 		if err == nil && !r.Dead && !s.of.Keep(&f, r.Dot.Writer == s.memory.fleet.Name) {
 			old = append(old, r)
 		}
 		return len(old) < mostSwept
 	})
 	for _, r := range old {
-		_, _ = s.memory.write(variants.ID, r.Key, r.Value, true, replica.Sure{}) // it comes again at the next look
+		_, _ = s.memory.write(variant.ID, r.Key, r.Value, true, replication.Sure{}) // it comes again at the next look
 	}
 }
--- a/internal/fleet/faults.go
+++ b/internal/cluster/faults.go
@@ -1,6 +1,6 @@
 //go:build faults
 
-package fleet
+package cluster
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"elderwall/fleet/replica"
+	"elderwall/core/cluster/replication"
 )
 
 // Faults that no signal and no relay brings about, in a program that is built with the tag "faults" for tests alone: a clock that runs fast or
@@ -21,7 +21,7 @@
 )
 
 // faultKinds has a kind for tests whose acknowledged records are synced: the higher bytes stand.
-var faultKinds = []replica.Kind{{ID: 250, Name: "test", Records: 50_000, Bytes: 32 << 20, Longest: 4096, Sync: true, Law: bytes.Compare}}
+var faultKinds = []replication.Kind{{ID: 250, Name: "test", Records: 50_000, Bytes: 32 << 20, Longest: 4096, Sync: true, Law: bytes.Compare}}
 
 func init() {
 	if os.Getenv("ELDERWALL_FAULT_OLDER") != "" { // a version that doesn't know it
--- a/internal/fleet/file.go
+++ b/internal/cluster/file.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"encoding/binary"
--- a/internal/fleet/fleet.go
+++ b/internal/cluster/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet drives what dispatchers decide together (fleet/...) over sockets: datagrams, streams for what is longer,
+// Package cluster drives what dispatchers decide together (fleet/...) over sockets: datagrams, streams for what is longer,
 // seals and timers. It decides nothing. Nothing of it runs under the lock of a GET.
-package fleet
+package cluster
 
 import (
 	"bytes"
@@ -28,9 +28,9 @@
 	"golang.org/x/sync/semaphore"
 	"golang.org/x/time/rate"
 
-	"elderwall/fleet/budgets"
-	"elderwall/fleet/duties"
-	"elderwall/fleet/members"
+	"elderwall/core/cluster/quota"
+	"elderwall/core/cluster/lease"
+	"elderwall/core/cluster/membership"
 )
 
 const (
@@ -140,13 +140,13 @@
 	following *following // nil where no channels are kept
 
 	mu         sync.Mutex
-	machine    *members.Machine
+	machine    *membership.Machine
 	numbers    *numbers
 	reach      map[string]string
 	generation uint32
 	changed    chan struct{} // closed with the next change
 	changes    uint64
-	kept       members.Agreed // as the file has it
+	kept       membership.Agreed // as the file has it
 	watching   int
 }
 
@@ -177,16 +177,16 @@
 	if f.Address == "" {
 		f.Address = at.String()
 	}
-	var remembered members.Agreed
+	var remembered membership.Agreed
 	if s.Remember != "" {
 		if remembered, err = recall(s.Remember); err != nil { // it is worth no more than a start that knows nobody
 			log.Warn().Err(err).Msg("fleet: what was remembered can't be used")
 		}
 	}
 	f.kept = remembered
-	f.machine = members.New(members.Settings{Name: s.Name, Address: f.Address, Zone: s.Zone, Peers: s.Peers, Boot: f.boot,
+	f.machine = membership.New(membership.Settings{Name: s.Name, Address: f.Address, Zone: s.Zone, Peers: s.Peers, Boot: f.boot,
 		Seed: binary.BigEndian.Uint64(drawn[8:]), Wire: s.Wire, Generation: generation, Interval: s.Pace, Remembered: remembered}, 0)
-	f.holding.holder = duties.NewHolder(s.Name, f.boot, s.Zone, 0)
+	f.holding.holder = lease.NewHolder(s.Name, f.boot, s.Zone, 0)
 	if s.Budgets != nil {
 		f.beginSpending()
 	}
@@ -197,9 +197,9 @@
 		f.following = newFollowing(f)
 	}
 	if s.Duties != nil {
-		f.holding.holder = duties.NewHolder(s.Name, f.boot, s.Zone, s.Duties.Priority)
+		f.holding.holder = lease.NewHolder(s.Name, f.boot, s.Zone, s.Duties.Priority)
 		if s.Budgets != nil {
-			f.holding.holder.Want(budgets.Duty, divideLease, f.dutyNow())
+			f.holding.holder.Want(quota.Duty, divideLease, f.dutyNow())
 		}
 		for _, name := range slices.Sorted(maps.Keys(s.Duties.Stands)) {
 			f.holding.holder.Want(name, s.Duties.Stands[name], f.dutyNow())
@@ -268,7 +268,7 @@
 func (f *Fleet) Quiet() bool { return true }
 
 func (f *Fleet) leave() {
-	f.step(func(m *members.Machine, now float64) { m.Leave(now) })
+	f.step(func(m *membership.Machine, now float64) { m.Leave(now) })
 }
 
 // Take puts other keys and ways to reach members in force, and tells the settings' generation.
@@ -285,7 +285,7 @@
 }
 
 // step has the machine act, and does what comes of it.
-func (f *Fleet) step(do func(m *members.Machine, now float64)) {
+func (f *Fleet) step(do func(m *membership.Machine, now float64)) {
 	f.mu.Lock()
 	do(f.machine, f.now())
 	send, tell := f.machine.Ready()
@@ -308,7 +308,7 @@
 }
 
 // tell logs a change.
-func (f *Fleet) tell(e *members.Event) {
+func (f *Fleet) tell(e *membership.Event) {
 	line := f.Log.Info()
 	switch e.What {
 	case "ousted":
@@ -328,7 +328,7 @@
 }
 
 // send puts a message out: as a datagram, less news where it would be too long, or on a stream of its own.
-func (f *Fleet) send(e *members.Envelope, reach map[string]string) {
+func (f *Fleet) send(e *membership.Envelope, reach map[string]string) {
 	to := e.To
 	if at, ok := reach[to]; ok {
 		to = at
@@ -522,7 +522,7 @@
 		f.Counts.Unusable.Add(1)
 		return
 	}
-	f.step(func(machine *members.Machine, now float64) { machine.Step(m, now) })
+	f.step(func(machine *membership.Machine, now float64) { machine.Step(m, now) })
 }
 
 // accept takes streams until the listener is closed, so many at a time.
@@ -565,7 +565,7 @@
 func (f *Fleet) tick() error {
 	pace := f.Pace
 	if pace <= 0 {
-		pace = members.DefaultInterval
+		pace = membership.DefaultInterval
 	}
 	each := time.NewTicker(time.Duration(pace * float64(time.Second) / ticksEach))
 	defer each.Stop()
@@ -573,7 +573,7 @@
 		select {
 		case <-each.C:
 			load, told := f.load()
-			f.step(func(m *members.Machine, now float64) {
+			f.step(func(m *membership.Machine, now float64) {
 				vote := f.vote()
 				if self := m.Self(); told || f.generation != self.Generation || vote != self.Vote {
 					if !told {
@@ -611,17 +611,17 @@
 
 // remembered is the file: with a sum, as a name that was spoilt looks like another.
 type remembered struct {
-	members.Agreed
+	membership.Agreed
 	Sum string `json:",omitempty"` // of the rest; files of older versions have none
 }
 
-func sumUp(a members.Agreed) (string, error) {
+func sumUp(a membership.Agreed) (string, error) {
 	raw, err := json.Marshal(a)
 	return fmt.Sprintf("%016x", xxhash.Sum64(raw)), err
 }
 
 // recall reads what was remembered; none is no error.
-func recall(path string) (a members.Agreed, err error) {
+func recall(path string) (a membership.Agreed, err error) {
 	raw, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return a, nil
@@ -637,13 +637,13 @@
 		}
 	}
 	if err != nil {
-		return members.Agreed{}, fmt.Errorf("%s: %w", path, err)
+		return membership.Agreed{}, fmt.Errorf("%s: %w", path, err)
 	}
 	return in.Agreed, nil
 }
 
 // keep writes it beside the file, and then in its place: who reads it sees one or the other.
-func keep(path string, a members.Agreed) error {
+func keep(path string, a membership.Agreed) error {
 	sum, err := sumUp(a)
 	raw, err2 := json.Marshal(remembered{a, sum})
 	if err = errors.Join(err, err2); err != nil {
@@ -665,15 +665,15 @@
 }
 
 // vote is what is told of this one as a voter.
-func (f *Fleet) vote() members.Vote {
+func (f *Fleet) vote() membership.Vote {
 	if f.voter == nil {
-		return members.Vote{}
+		return membership.Vote{}
 	}
 	return f.voter.known.Load().Vote
 }
 
 // load is what there is to tell of the work of the last seconds, if it is time to.
-func (f *Fleet) load() (l members.Load, told bool) {
+func (f *Fleet) load() (l membership.Load, told bool) {
 	now := time.Now()
 	since := now.Sub(f.last.at)
 	if f.GETs == nil || since < loadEach {
--- a/internal/fleet/follow.go
+++ b/internal/cluster/follow.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 	"sync"
 	"time"
 
-	"elderwall/fleet/channels"
-	"elderwall/fleet/members"
-	"elderwall/fleet/replica"
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/membership"
+	"elderwall/core/cluster/replication"
 )
 
 const (
@@ -27,7 +27,7 @@
 
 // Channels is what a dispatcher is told of the fleet's channels; nil where none are kept.
 type Channels struct {
-	Declared []channels.Declaration // by the operator's file; a higher generation than the one in force is put into the log
+	Declared []channel.Declaration // by the operator's file; a higher generation than the one in force is put into the log
 }
 
 // writing is what waits for an entry's acknowledgement.
@@ -41,22 +41,22 @@
 	fleet   *Fleet
 	wake    chan struct{}
 	stale   chan struct{} // declarations have to be looked at
-	outs    chan replica.Outcome
+	outs    chan replication.Outcome
 	publish chan struct{} // places for writers that wait
 
 	mu       sync.Mutex
-	machine  *channels.Machine
-	waits    map[writing][]chan channels.Ack
+	machine  *channel.Machine
+	waits    map[writing][]chan channel.Ack
 	declared bool // what is declared was read
 	decides  bool
-	orders   map[string]channels.Declaration
+	orders   map[string]channel.Declaration
 	holders  map[string]holderAt
 	tells    []telling
 
 	entries, acknowledged int64 // since the start
 
 	// Of the goroutine alone.
-	puts      map[replica.Dot]uint64
+	puts      map[replication.Dot]uint64
 	held      map[string]uint64 // epochs by channel, as told to the machine
 	marked    map[string]uint64 // generations of total order whose place was asked for, by channel
 	proposing map[string]bool
@@ -76,25 +76,25 @@
 	epoch   uint64
 	began   bool // it only takes the log over
 	forgot  bool // names go
-	saved   *channels.Saved
+	saved   *channel.Saved
 	err     error
 }
 
 func newFollowing(f *Fleet) *following {
-	w := &following{fleet: f, wake: make(chan struct{}, 1), stale: make(chan struct{}, 1), outs: make(chan replica.Outcome, mostOutcome),
-		publish: make(chan struct{}, mostPublish), machine: channels.New(f.Name, f.boot), waits: map[writing][]chan channels.Ack{},
-		orders: map[string]channels.Declaration{}, holders: map[string]holderAt{}, puts: map[replica.Dot]uint64{}, held: map[string]uint64{}, marked: map[string]uint64{},
+	w := &following{fleet: f, wake: make(chan struct{}, 1), stale: make(chan struct{}, 1), outs: make(chan replication.Outcome, mostOutcome),
+		publish: make(chan struct{}, mostPublish), machine: channel.New(f.Name, f.boot), waits: map[writing][]chan channel.Ack{},
+		orders: map[string]channel.Declaration{}, holders: map[string]holderAt{}, puts: map[replication.Dot]uint64{}, held: map[string]uint64{}, marked: map[string]uint64{},
 		proposing: map[string]bool{}, ended: make(chan proposed, 2*mostProposing), mismatch: map[string]bool{}}
 	for range pumps {
 		w.pumps = append(w.pumps, newPump(w))
 	}
-	f.memory.subscribe(channels.EntryKind, w.learn)
-	f.memory.subscribe(channels.WriterKind, w.learn)
+	f.memory.subscribe(channel.EntryKind, w.learn)
+	f.memory.subscribe(channel.WriterKind, w.learn)
 	return w
 }
 
 // learn takes what came to stand in the memory.
-func (w *following) learn(all []replica.Record) {
+func (w *following) learn(all []replication.Record) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.fleet.dutyNow()
@@ -106,9 +106,9 @@
 
 // relearn takes all that stands: a memory was opened.
 func (w *following) relearn() {
-	for _, kind := range []uint8{channels.WriterKind, channels.EntryKind} {
-		var all []replica.Record
-		w.fleet.memory.each(kind, "", func(r replica.Record) bool {
+	for _, kind := range []uint8{channel.WriterKind, channel.EntryKind} {
+		var all []replication.Record
+		w.fleet.memory.each(kind, "", func(r replication.Record) bool {
 			all = append(all, r)
 			return true
 		})
@@ -117,7 +117,7 @@
 }
 
 // look tells the machine who is there.
-func (w *following) look(to replica.Fleet) {
+func (w *following) look(to replication.Fleet) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.decides = to.Decides; !to.Decides {
@@ -188,7 +188,7 @@
 }
 
 // ack tells the writers that wait. Called under the lock.
-func (w *following) ack(all []channels.Ack) {
+func (w *following) ack(all []channel.Ack) {
 	for _, a := range all {
 		key := writing{a.Channel, a.Writer, a.Number}
 		for _, to := range w.waits[key] {
@@ -198,7 +198,7 @@
 	}
 }
 
-func (w *following) written(o replica.Outcome) {
+func (w *following) written(o replication.Outcome) {
 	id, ok := w.puts[o.Dot]
 	if !ok {
 		return
@@ -210,14 +210,14 @@
 }
 
 // put writes records; how those with an ID end is told to the machine.
-func (w *following) put(all []channels.Put) {
+func (w *following) put(all []channel.Put) {
 	for _, p := range all {
 		dot, err := w.fleet.memory.writeTo(w.outs, p.Record.Kind, p.Record.Key, p.Record.Value, p.Record.Dead, p.Sure)
 		switch {
 		case p.ID == 0:
 		case err != nil:
 			w.mu.Lock()
-			w.machine.Written(w.fleet.dutyNow(), p.ID, replica.Outcome{}, err)
+			w.machine.Written(w.fleet.dutyNow(), p.ID, replication.Outcome{}, err)
 			w.mu.Unlock()
 			poke(w.wake)
 		default:
@@ -233,15 +233,15 @@
 	orders := w.orders
 	w.mu.Unlock()
 	for name, d := range orders {
-		if d.Order != channels.Total {
+		if d.Order != channel.Total {
 			continue
 		}
-		token, ok := w.fleet.Guard(channels.Duty + name)
+		token, ok := w.fleet.Guard(channel.Duty + name)
 		if !ok {
 			token = 0
 		}
 		if token != 0 && token == w.held[name] && d.Generation > w.marked[name] { // the declaration has a place of its own
-			w.propose(ctx, channels.Command{Channel: name, Epoch: token}, true)
+			w.propose(ctx, channel.Command{Channel: name, Epoch: token}, true)
 		}
 		if w.marked[name] = d.Generation; token != w.held[name] {
 			w.held[name] = token
@@ -250,18 +250,18 @@
 			w.mu.Unlock()
 			w.fleet.Log.Info().Str("channel", name).Uint64("epoch", token).Bool("holds", token != 0).Msg("channels: order")
 			if token != 0 {
-				w.propose(ctx, channels.Command{Channel: name, Epoch: token}, true)
+				w.propose(ctx, channel.Command{Channel: name, Epoch: token}, true)
 			}
 		}
 	}
 }
 
 // propose has a command put into the log. One that can't be now comes again from the machine.
-func (w *following) propose(ctx context.Context, c channels.Command, begins bool) {
+func (w *following) propose(ctx context.Context, c channel.Command, begins bool) {
 	if !begins && (w.proposing[c.Channel] || len(w.proposing) >= mostProposing) {
 		return
 	}
-	if token, ok := w.fleet.Guard(channels.Duty + c.Channel); !ok || token != c.Epoch {
+	if token, ok := w.fleet.Guard(channel.Duty + c.Channel); !ok || token != c.Epoch {
 		if begins {
 			w.unhold(c.Channel)
 		}
@@ -291,7 +291,7 @@
 }
 
 // letGo has names go, as agreed. One that can't now comes again from the machine.
-func (w *following) letGo(ctx context.Context, c channels.Command) {
+func (w *following) letGo(ctx context.Context, c channel.Command) {
 	if w.proposing[c.Channel] || len(w.proposing) >= mostProposing {
 		return
 	}
@@ -336,7 +336,7 @@
 }
 
 // take takes the agreed part in.
-func (w *following) take(s *channels.Saved) {
+func (w *following) take(s *channel.Saved) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.fleet.dutyNow()
@@ -345,7 +345,7 @@
 	for i := range s.Lines {
 		w.machine.Agreed(now, &s.Lines[i])
 	}
-	orders := map[string]channels.Declaration{}
+	orders := map[string]channel.Declaration{}
 	for _, d := range s.Declared {
 		if w.orders[d.Name].Generation > d.Generation {
 			d = w.orders[d.Name]
@@ -354,9 +354,9 @@
 		if w.orders[d.Name].Generation < d.Generation {
 			w.fleet.Log.Info().Str("channel", d.Name).Uint64("generation", d.Generation).Stringer("order", d.Order).Bool("ended", d.End).Msg("channels: declared")
 		}
-		if _, ok := w.orders[d.Name]; !ok && d.Order == channels.Total && w.fleet.voter != nil { // who votes has the log at hand
+		if _, ok := w.orders[d.Name]; !ok && d.Order == channel.Total && w.fleet.voter != nil { // who votes has the log at hand
 			w.fleet.holding.mu.Lock()
-			w.fleet.holding.holder.Want(channels.Duty+d.Name, channelLease, now)
+			w.fleet.holding.holder.Want(channel.Duty+d.Name, channelLease, now)
 			w.fleet.holding.mu.Unlock()
 		}
 	}
@@ -373,7 +373,7 @@
 func (w *following) declare(ctx context.Context) error {
 	began := time.Now()
 	for ctx.Err() == nil {
-		var s channels.Saved
+		var s channel.Saved
 		var err error
 		if first := time.Since(began) < leaderFirst; first && !w.known() { // a voter that was away would tell what was withdrawn meanwhile
 			c, cancel := context.WithTimeout(ctx, declaredEach/2)
@@ -406,19 +406,19 @@
 }
 
 // propagate puts declarations of the file into the log, each against the generation before it.
-func (w *following) propagate(ctx context.Context, now []channels.Declaration) {
+func (w *following) propagate(ctx context.Context, now []channel.Declaration) {
 	for _, d := range slices.Concat(builtIn, w.fleet.Channels.Declared) {
-		i := slices.IndexFunc(now, func(o channels.Declaration) bool { return o.Name == d.Name })
-		stands := channels.Declaration{}
+		i := slices.IndexFunc(now, func(o channel.Declaration) bool { return o.Name == d.Name })
+		stands := channel.Declaration{}
 		if i >= 0 {
 			stands = now[i]
 		}
 		d.Since, d.Place = stands.Since, stands.Place // the log's
 		switch {
 		case d.Generation == stands.Generation+1 && w.fleet.voter != nil:
-			if err := w.fleet.agree(ctx, channels.Command{Declare: &d, NoReuse: true}); err == nil {
+			if err := w.fleet.agree(ctx, channel.Command{Declare: &d, NoReuse: true}); err == nil {
 				poke(w.stale)
-			} else if stands.End && !d.End && d.Order == channels.Total && !w.mismatch[d.Name] {
+			} else if stands.End && !d.End && d.Order == channel.Total && !w.mismatch[d.Name] {
 				w.mismatch[d.Name] = true
 				w.fleet.Log.Warn().Err(err).Str("channel", d.Name).Msg("channels: declaration")
 			}
@@ -431,7 +431,7 @@
 }
 
 // declaredNow is what is declared, as a voter has it.
-func (f *Fleet) declaredNow(ctx context.Context) (s channels.Saved, err error) {
+func (f *Fleet) declaredNow(ctx context.Context) (s channel.Saved, err error) {
 	f.following.mu.Lock()
 	q := ask{What: askDeclared, Number: f.following.machine.Gone()}
 	f.following.mu.Unlock()
@@ -457,9 +457,9 @@
 }
 
 // holderOf is where the holder of a channel's duty is, as far as a voter knows.
-func (w *following) holderOf(ctx context.Context, channel string) string {
+func (w *following) holderOf(ctx context.Context, name string) string {
 	w.mu.Lock()
-	h := w.holders[channel]
+	h := w.holders[name]
 	w.mu.Unlock()
 	if h.address != "" && time.Since(h.at) < holderKnown {
 		return h.address
@@ -468,7 +468,7 @@
 	all := f.aliveVoters()
 	mrand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	for _, a := range all[:min(2, len(all))] {
-		q := ask{What: askWhere, Duty: channels.Duty + channel}
+		q := ask{What: askWhere, Duty: channel.Duty + name}
 		var t Told
 		var err error
 		if a == f.Address {
@@ -480,7 +480,7 @@
 		}
 		if err == nil && t.Leads != "" {
 			w.mu.Lock()
-			w.holders[channel] = holderAt{t.Leads, time.Now()}
+			w.holders[name] = holderAt{t.Leads, time.Now()}
 			w.mu.Unlock()
 			return t.Leads
 		}
@@ -493,7 +493,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, m := range f.machine.Members() {
-		if m.Vote.Council != 0 && m.State == members.Alive && m.Name < f.Name {
+		if m.Vote.Council != 0 && m.State == membership.Alive && m.Name < f.Name {
 			n++
 		}
 	}
--- a/internal/fleet/follow_figures_test.go
+++ b/internal/cluster/follow_figures_test.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"elderwall/fleet/channels"
+	"elderwall/core/cluster/channel"
 	"elderwall/internal/chart"
 )
 
@@ -27,7 +27,7 @@
 	if _, err := fmt.Sscan(os.Getenv("ELDERWALL_CHANNELS"), &n, &seconds, &list, &some); list == "" {
 		t.Skip("ELDERWALL_CHANNELS says how much: ", err)
 	}
-	c := channel(t, n, min(n, 5))
+	c := newChannelRig(t, n, min(n, 5))
 	orders := append([]string{"news"}, orderNames...)
 	if some != "" {
 		orders = strings.Split(some, ",")
@@ -74,7 +74,7 @@
 	for i := range readers {
 		wait.Go(func() {
 			var had atomic.Bool
-			_, _ = c.at(i%len(c.Processes), (i+1)%len(c.Processes)).Follow(ctx, name, 0, "", func(n channels.Note) error {
+			_, _ = c.at(i%len(c.Processes), (i+1)%len(c.Processes)).Follow(ctx, name, 0, "", func(n channel.Note) error {
 				if n.Entry == nil || !strings.HasPrefix(string(n.Entry.Body), run) {
 					return nil
 				}
--- a/internal/fleet/follow_test.go
+++ b/internal/cluster/follow_test.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"context"
@@ -19,9 +19,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"elderwall/fleet/channels"
-	"elderwall/fleet/floors"
-	"elderwall/fleet/replica"
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/purgefloor"
+	"elderwall/core/cluster/replication"
 	"elderwall/internal/standin/need"
 	"elderwall/internal/standin/processes"
 )
@@ -38,7 +38,7 @@
 
 var orderNames = []string{"key", "sender", "causal", "total"}
 
-func channel(t *testing.T, n, vote int, change ...func(*memberRig)) *channelRig {
+func newChannelRig(t *testing.T, n, vote int, change ...func(*memberRig)) *channelRig {
 	live, end := context.WithCancel(context.Background())
 	t.Cleanup(end)
 	c := &channelRig{live: live, dutyRig: duty(t, n, vote, func(m *memberRig) {
@@ -55,7 +55,7 @@
 			k, _ := ParseKeys(c.keys[-1])
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
-			f, err := AskNotes(ctx, c.Processes[i].Fleet, k, channels.Ask{Channel: "all_total"})
+			f, err := AskNotes(ctx, c.Processes[i].Fleet, k, channel.Ask{Channel: "all_total"})
 			if err == nil {
 				_ = f.Close()
 			}
@@ -67,8 +67,8 @@
 
 // User is the client that users import: it imports this package, and so is handed in by a test outside of it.
 type User struct {
-	Follow  func(ctx context.Context, channel string, order channels.Order, position string, take func(channels.Note) error) (string, error)
-	Declare func(ctx context.Context, d channels.Declaration) error
+	Follow  func(ctx context.Context, channel string, order channel.Order, position string, take func(channel.Note) error) (string, error)
+	Declare func(ctx context.Context, d channel.Declaration) error
 	Writer  func(channel, writer string) func(ctx context.Context, key string, bodies ...string) error
 	After   func(channel, writer string, after map[string]uint64) func(ctx context.Context, key string, bodies ...string) error // one that has seen others
 }
@@ -98,7 +98,7 @@
 type seer struct {
 	mu    sync.Mutex
 	all   []got
-	told  []channels.Note // what isn't an entry
+	told  []channel.Note // what isn't an entry
 	at    []time.Time
 	turns []string // the entry before each change of the declaration
 	place string
@@ -112,15 +112,15 @@
 	return len(s.all)
 }
 
-func (s *seer) take(n channels.Note) error {
+func (s *seer) take(n channel.Note) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if e := n.Entry; e != nil && n.Word == channels.Shown {
+	if e := n.Entry; e != nil && n.Word == channel.Shown {
 		s.all = append(s.all, got{e.Key, e.Writer, e.Number, e.After, string(e.Body), n.Late, e.Place})
 		s.at = append(s.at, time.Now())
 	} else {
 		s.told = append(s.told, n)
-		if last := len(s.all) - 1; n.Word == channels.Turned && last >= 0 {
+		if last := len(s.all) - 1; n.Word == channel.Turned && last >= 0 {
 			s.turns = append(s.turns, s.all[last].body)
 		}
 	}
@@ -192,7 +192,7 @@
 		}
 	}
 	for _, n := range s.told {
-		if n.Word != channels.Turned {
+		if n.Word != channel.Turned {
 			bad("told word %d of %s, from %d to %d", n.Word, n.Writer, n.From, n.To)
 		}
 	}
@@ -301,7 +301,7 @@
 		"misplaced": {"total", &seer{all: []got{e("a", 1, 2, nil), e("a", 2, 1, nil)}}},
 		"outdated":  {"latest", &seer{all: []got{e("a", 4, 0, nil), e("a", 2, 0, nil), e("a", 1, 0, nil)}}},
 		"newest":    {"latest", &seer{all: []got{e("a", 1, 0, nil)}}},
-		"skipped":   {"key", &seer{all: []got{e("a", 1, 0, nil), e("a", 2, 0, nil)}, told: []channels.Note{{Word: channels.Gap}}}},
+		"skipped":   {"key", &seer{all: []got{e("a", 1, 0, nil), e("a", 2, 0, nil)}, told: []channel.Note{{Word: channel.Gap}}}},
 	} {
 		assert.Error(t, check(o.order, o.s, w), name)
 	}
@@ -309,7 +309,7 @@
 
 // A reader moves from dispatcher to dispatcher through cuts and kills, one stays; writers come back elsewhere. While they write all are killed and started.
 func TestChannelsThroughCutsAndKills(t *testing.T) {
-	c := channel(t, 3, 3)
+	c := newChannelRig(t, 3, 3)
 	orders := append([]string{"latest"}, orderNames...)
 	readers := map[string][]*seer{}
 	var all sync.WaitGroup
@@ -344,7 +344,7 @@
 // The holder is stopped between majority and showing, and wakes: nothing comes twice, nothing is lost, and what it took for an epoch that is over
 // is not shown.
 func TestTheHolderIsStoppedAndWakes(t *testing.T) {
-	c := channel(t, 3, 3, faulty("ELDERWALL_FAULT_STOP={dir}/stop"))
+	c := newChannelRig(t, 3, 3, faulty("ELDERWALL_FAULT_STOP={dir}/stop"))
 	readers := []*seer{c.see("all_total", 0, 1, 2), c.wander("all_total", time.Second, 0, 1, 2)}
 	var all sync.WaitGroup
 	wrote := make([]*sent, 2)
@@ -380,9 +380,9 @@
 
 // Two halves of a cut: key, sender and causal order go on in both and meet; in the minority nothing of total is taken, and that is said.
 func TestChannelsInTwoHalves(t *testing.T) {
-	c := channel(t, 5, 5)
+	c := newChannelRig(t, 5, 5)
 	small, large := []int{3, 4}, []int{0, 1, 2}
-	brief := channels.Declaration{Name: "brief", Generation: 1, Order: channels.ByKey, Slow: true, Entries: 10, Bytes: 1 << 20, Seconds: 3600, Wait: 20, Forget: 3}
+	brief := channel.Declaration{Name: "brief", Generation: 1, Order: channel.ByKey, Slow: true, Entries: 10, Bytes: 1 << 20, Seconds: 3600, Wait: 20, Forget: 3}
 	require.NoError(c, c.at(0).Declare(context.Background(), brief))
 	stay := []*seer{c.see("brief", small...), c.see("brief", large...)}
 	v, back := c.at(small...).Writer("brief", "v"), &sent{writer: "v"}
@@ -416,21 +416,21 @@
 		}
 	}
 	k, _ := ParseKeys(c.keys[-1])
-	told := need.Of(AskEntries(context.Background(), c.Processes[3].Fleet, k, []channels.Entry{{Channel: "all_total", Writer: "w", Number: 1}}))(c)
-	require.ErrorIs(c, told[0].Err(), channels.ErrCut)
+	told := need.Of(AskEntries(context.Background(), c.Processes[3].Fleet, k, []channel.Entry{{Channel: "all_total", Writer: "w", Number: 1}}))(c)
+	require.ErrorIs(c, told[0].Err(), channel.ErrCut)
 	readers["total"] = []*seer{c.see("all_total", large...), c.see("all_total", small...)}
 	var all sync.WaitGroup
 	wrote["total"] = make([]*sent, 1)
 	all.Go(func() { wrote["total"][0] = c.write("all_total", "v", 3000, 10*time.Millisecond, large...) })
 	c.Until(soon, "some are shown", func() error { return processes.When(readers["total"][0].count() < 10, errors.New("not yet")) })
 	// Declared in the cut: by the majority alone.
-	d := channels.Declaration{Name: "all_key", Generation: 2, Order: channels.ByKey, Slow: true, Entries: 5000, Bytes: 8 << 20, Seconds: 3600, Wait: 20}
+	d := channel.Declaration{Name: "all_key", Generation: 2, Order: channel.ByKey, Slow: true, Entries: 5000, Bytes: 8 << 20, Seconds: 3600, Wait: 20}
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	require.Error(c, c.at(small...).Declare(ctx, d))
 	require.NoError(c, c.at(large[0]).Declare(context.Background(), d))
 	require.ErrorContains(c, c.at(large[1]).Declare(context.Background(), d), "generation")
-	d.Name, d.Order = "all_total", channels.Total
+	d.Name, d.Order = "all_total", channel.Total
 	require.NoError(c, c.at(large[0]).Declare(context.Background(), d))
 	at := readers["total"][0].count()
 	c.Until(soon, "it goes on", func() error { return processes.When(readers["total"][0].count() < at+10, errors.New("not yet")) })
@@ -447,7 +447,7 @@
 		c.agreed(o, readers[o], wrote[o]...)
 	}
 	c.agreed("key", stay, back, &sent{bodies: fill})
-	again := channels.Entry{Channel: "brief", Writer: "v", Number: 11, Clock: 1 << 40, Key: "k", Body: []byte("v 11")}
+	again := channel.Entry{Channel: "brief", Writer: "v", Number: 11, Clock: 1 << 40, Key: "k", Body: []byte("v 11")}
 	back.bodies = append(back.bodies, "v 11")
 	many := &sent{writer: "many"}
 	c.Until(2*soon, "more names than a channel has at a time", func() error {
@@ -456,9 +456,9 @@
 				return fmt.Errorf("%d of %d", n, len(many.bodies))
 			}
 		}
-		all := []channels.Entry{again}
+		all := []channel.Entry{again}
 		for i := len(many.bodies); i < 300 && len(all) < 40; i++ {
-			all = append(all, channels.Entry{Channel: "brief", Writer: fmt.Sprint("m", i), Number: 1, Clock: 1 << 40, Key: "k", Body: fmt.Append(nil, "m ", i)})
+			all = append(all, channel.Entry{Channel: "brief", Writer: fmt.Sprint("m", i), Number: 1, Clock: 1 << 40, Key: "k", Body: fmt.Append(nil, "m ", i)})
 		}
 		told, err := AskEntries(c.live, c.Processes[len(many.bodies)%3].Fleet, k, all)
 		if err != nil {
@@ -502,7 +502,7 @@
 // Channels are withdrawn while one dispatcher is away, and declared anew: readers are told at one entry, writers are refused, and nothing of the
 // old comes back with who was away. One of total order is not declared again under its name, before or after a restart of all; another name is.
 func TestChannelsEnd(t *testing.T) {
-	c := channel(t, 3, 3)
+	c := newChannelRig(t, 3, 3)
 	names := []string{"all_key", "all_total"}
 	readers, wrote := map[string][]*seer{}, map[string]*sent{}
 	for _, name := range names {
@@ -520,26 +520,26 @@
 			case <-time.After(soon):
 				c.Fatalf("reader %d of %s is not told", i, name)
 			}
-			assert.Equal(c, channels.Ended, s.told[len(s.told)-1].Word)
+			assert.Equal(c, channel.Ended, s.told[len(s.told)-1].Word)
 			assert.Equal(c, []int{25, 1}, []int{len(s.all), len(s.told)}, "all that was acknowledged came, and nothing else was told")
 		}
 		ctx, cancel := context.WithTimeout(c.live, soon)
-		require.ErrorIs(c, c.at(1).Writer(name, "y")(ctx, "k", "late"), channels.ErrEnded)
+		require.ErrorIs(c, c.at(1).Writer(name, "y")(ctx, "k", "late"), channel.ErrEnded)
 		cancel()
-		order := map[string]channels.Order{"all_key": channels.ByKey, "all_total": channels.Total}[name]
-		d := channels.Declaration{Name: name, Generation: 2, Order: order, Slow: true, Entries: 5000, Bytes: 8 << 20, Seconds: 3600, Wait: 20}
+		order := map[string]channel.Order{"all_key": channel.ByKey, "all_total": channel.Total}[name]
+		d := channel.Declaration{Name: name, Generation: 2, Order: order, Slow: true, Entries: 5000, Bytes: 8 << 20, Seconds: 3600, Wait: 20}
 		require.ErrorContains(c, c.at(1).Declare(c.live, d), "generation")
 		d.Generation = 3
-		if order == channels.Total {
-			require.ErrorContains(c, c.at(1).Declare(c.live, d), channels.ErrReuse.Error())
+		if order == channel.Total {
+			require.ErrorContains(c, c.at(1).Declare(c.live, d), channel.ErrReuse.Error())
 			d.Name, d.Generation = anotherTotal, 1
 		}
 		require.NoError(c, c.at(1).Declare(c.live, d))
 	}
 	c.Processes[2].Start()
 	c.whole()
-	again := channels.Declaration{Name: "all_total", Generation: 3, Order: channels.Total, Slow: true, Entries: 5000, Bytes: 8 << 20, Seconds: 3600, Wait: 20}
-	require.ErrorContains(c, c.at(2).Declare(c.live, again), channels.ErrReuse.Error(), "by one that was away")
+	again := channel.Declaration{Name: "all_total", Generation: 3, Order: channel.Total, Slow: true, Entries: 5000, Bytes: 8 << 20, Seconds: 3600, Wait: 20}
+	require.ErrorContains(c, c.at(2).Declare(c.live, again), channel.ErrReuse.Error(), "by one that was away")
 	for _, p := range c.Processes {
 		p.Kill()
 	}
@@ -550,7 +550,7 @@
 	for i := range c.Processes {
 		c.Until(soon, fmt.Sprint(i, " refuses it after a restart of all"), func() error {
 			err := c.at(i).Declare(c.live, again)
-			return processes.When(err == nil || !strings.Contains(err.Error(), channels.ErrReuse.Error()), fmt.Errorf("%w", err))
+			return processes.When(err == nil || !strings.Contains(err.Error(), channel.ErrReuse.Error()), fmt.Errorf("%w", err))
 		})
 	}
 	names = []string{"all_key", anotherTotal}
@@ -582,7 +582,7 @@
 	k, _ := ParseKeys(c.keys[-1])
 	c.Until(soon, "what is left in the memory is the new", func() error {
 		for _, p := range c.Processes {
-			t, err := AskMemory(c.live, p.Fleet, k, AskRead, []replica.Record{{Kind: channels.EntryKind}}, replica.Sure{})
+			t, err := AskMemory(c.live, p.Fleet, k, AskRead, []replication.Record{{Kind: channel.EntryKind}}, replication.Sure{})
 			if n := t.Number; err != nil || n > 2*10+1 { // and the turn of total order
 				return errors.Join(err, fmt.Errorf("%d entries", n))
 			}
@@ -594,7 +594,7 @@
 // Readers of a dispatcher that is killed come back to the others, not all at once, and miss nothing.
 func TestReadersComeBackWithoutAHerd(t *testing.T) {
 	const many = 1000
-	c := channel(t, 3, 3)
+	c := newChannelRig(t, 3, 3)
 	var readers []*seer
 	for range many {
 		readers = append(readers, c.see("all_key", 0, 1, 2))
@@ -652,7 +652,7 @@
 
 // The command line follows, writes and declares.
 func TestChannelCommands(t *testing.T) {
-	c := channel(t, 3, 3)
+	c := newChannelRig(t, 3, 3)
 	var many []string
 	for i := range 300 { // numbers beyond what one byte has
 		many = append(many, fmt.Sprint("w ", i))
@@ -665,7 +665,7 @@
 		purges.mu.Lock()
 		defer purges.mu.Unlock()
 		for _, e := range purges.all {
-			if o, err := floors.Read(e.key, []byte(e.body)); err == nil && o.Time > 0 {
+			if o, err := purgefloor.Read(e.key, []byte(e.body)); err == nil && o.Time > 0 {
 				return nil
 			}
 		}
--- a/internal/fleet/hold.go
+++ b/internal/cluster/hold.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"elderwall/fleet/channels"
-	"elderwall/fleet/duties"
-	"elderwall/internal/fleet/council"
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/lease"
+	"elderwall/internal/cluster/raftvoter"
 )
 
 const (
@@ -37,7 +37,7 @@
 
 // turnMessage is a dispatcher's question with where its answer goes.
 type turnMessage struct {
-	Turn duties.Turn `cbor:"1,keyasint"`
+	Turn lease.Turn `cbor:"1,keyasint"`
 	From string      `cbor:"2,keyasint"`
 }
 
@@ -46,13 +46,13 @@
 	ID     uint64         `cbor:"1,keyasint"`
 	OK     bool           `cbor:"2,keyasint"`
 	Leader string         `cbor:"3,keyasint"`
-	Leases []duties.Lease `cbor:"4,keyasint"`
+	Leases []lease.Lease `cbor:"4,keyasint"`
 }
 
 // holding is a dispatcher's part in duties.
 type holding struct {
 	mu     sync.Mutex
-	holder *duties.Holder
+	holder *lease.Holder
 	ask    string            // the voter that is asked
 	leads  string            // who answered as the leader last
 	told   map[string]uint64 // tokens of what is held, as logged
@@ -110,7 +110,7 @@
 // takeTurn takes a dispatcher's question, where this one votes.
 func (f *Fleet) takeTurn(text []byte) {
 	var in turnMessage
-	if err := decoding.Unmarshal(text, &in); err != nil || f.voter == nil || len(in.Turn.Stands) > duties.MostDuties {
+	if err := decoding.Unmarshal(text, &in); err != nil || f.voter == nil || len(in.Turn.Stands) > lease.MostDuties {
 		f.Counts.Unusable.Add(1)
 		return
 	}
@@ -123,8 +123,8 @@
 }
 
 // turn hands a question to the voter here, which answers once.
-func (f *Fleet) turn(t duties.Turn, answer func(answerMessage)) {
-	done := func(a council.Answered) {
+func (f *Fleet) turn(t lease.Turn, answer func(answerMessage)) {
+	done := func(a raftvoter.Answered) {
 		out := answerMessage{ID: a.ID, OK: a.OK, Leases: a.Leases}
 		if a.Leader != 0 {
 			out.Leader = f.voters()[a.Leader]
@@ -133,12 +133,12 @@
 	}
 	if !f.voter.do(func() {
 		if f.voter.machine == nil || !f.voter.admitted {
-			done(council.Answered{ID: t.ID})
+			done(raftvoter.Answered{ID: t.ID})
 			return
 		}
-		f.voter.machine.Turn(council.Turn{Turn: t, To: done}, f.dutyNow())
+		f.voter.machine.Turn(raftvoter.Turn{Turn: t, To: done}, f.dutyNow())
 	}) {
-		done(council.Answered{ID: t.ID})
+		done(raftvoter.Answered{ID: t.ID})
 	}
 }
 
@@ -271,7 +271,7 @@
 }
 
 // toTell has some of those who wait for each duty, and how many more there are: a thousand duties of sixty dispatchers fit an answer.
-func toTell(all []duties.Duty) (some []ToldDuty) {
+func toTell(all []lease.Duty) (some []ToldDuty) {
 	for _, d := range all {
 		t := ToldDuty{Duty: d}
 		if most := max(1, mostWaiting/len(all)); len(d.Waiting) > most {
@@ -389,12 +389,12 @@
 }
 
 // tellDeclared tells what is declared, which writers were let go after a number, and the line of a channel, as this voter has it.
-func (f *Fleet) tellDeclared(channel string, after uint64) (t Told) {
+func (f *Fleet) tellDeclared(name string, after uint64) (t Told) {
 	if err := f.voter.within(func() error {
-		t.Channels = &channels.Saved{Declared: f.voter.machine.Channels().Declarations()}
+		t.Channels = &channel.Saved{Declared: f.voter.machine.Channels().Declarations()}
 		t.Channels.Silent, t.Channels.Gone = f.voter.machine.Channels().Silent(after)
-		if l := f.voter.machine.Channels().Line(channel); l != nil {
-			t.Channels.Lines = []channels.Line{*l}
+		if l := f.voter.machine.Channels().Line(name); l != nil {
+			t.Channels.Lines = []channel.Line{*l}
 		}
 		return nil
 	}); err != nil {
--- a/internal/fleet/memory.go
+++ b/internal/cluster/memory.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"elderwall/fleet/replica"
+	"elderwall/core/cluster/replication"
 )
 
 // store is the disk of the fleet's memory: what a replica machine wants saved, in records.
@@ -46,7 +46,7 @@
 
 // openStore opens the memory of a folder. One that is spoilt is put aside and told in spoilt, and an empty one is opened: the others have the
 // rest. A folder that another process has, or that can't be written, is an error.
-func openStore(folder string) (*store, *replica.Saved, error) {
+func openStore(folder string) (*store, *replication.Saved, error) {
 	s := &store{}
 	var err error
 	if s.records, err = openRecords(folder); errors.Is(err, errTorn) {
@@ -66,8 +66,8 @@
 	return s, saved, nil
 }
 
-func (s *store) saved(now time.Time) (*replica.Saved, error) {
-	saved := &replica.Saved{}
+func (s *store) saved(now time.Time) (*replication.Saved, error) {
+	saved := &replication.Saved{}
 	for key, value := range s.opened {
 		switch key[:1] {
 		case stampAt:
@@ -78,13 +78,13 @@
 			saved.Era, s.era, saved.Lacks = at.Era, at.Era, append(saved.Lacks, at.Lacks...)
 			saved.Away = away(time.Unix(at.Unix, 0), now)
 		case vectorAt:
-			var e replica.Entry
+			var e replication.Entry
 			if err := decoding.Unmarshal(value, &e); err != nil {
 				return nil, fmt.Errorf("%s: %w", s.path, err)
 			}
 			saved.Vector = append(saved.Vector, e)
 		case recordAt:
-			var c replica.Carried
+			var c replication.Carried
 			if decoding.Unmarshal(value, &c) != nil {
 				s.skipped++
 				saved.Lacks = append(saved.Lacks, key[1])
@@ -94,10 +94,10 @@
 		}
 	}
 	s.opened = nil
-	slices.SortFunc(saved.Vector, func(a, b replica.Entry) int {
+	slices.SortFunc(saved.Vector, func(a, b replication.Entry) int {
 		return cmp.Or(cmp.Compare(a.Writer, b.Writer), cmp.Compare(a.Era, b.Era))
 	})
-	slices.SortFunc(saved.Records, func(a, b replica.Carried) int {
+	slices.SortFunc(saved.Records, func(a, b replication.Carried) int {
 		return cmp.Or(cmp.Compare(a.Record.Kind, b.Record.Kind), cmp.Compare(a.Record.Key, b.Record.Key))
 	})
 	return saved, nil
@@ -105,7 +105,7 @@
 
 func recordKey(kind uint8, key string) string { return recordAt + string([]byte{kind}) + key }
 
-func entryKey(e replica.Entry) string {
+func entryKey(e replication.Entry) string {
 	return vectorAt + string(binary.BigEndian.AppendUint64(nil, e.Era)) + e.Writer
 }
 
@@ -119,7 +119,7 @@
 
 // save saves all of it, with what is owed, or nothing. Several saves of a machine are one where their driver joins them: one sync is then for
 // all. What failed is owed: it is saved with the next one.
-func (s *store) save(in *replica.Save) error {
+func (s *store) save(in *replication.Save) error {
 	if err := s.owe(in); err != nil {
 		return err
 	}
@@ -140,7 +140,7 @@
 }
 
 // owe takes changes over those that are owed.
-func (s *store) owe(in *replica.Save) error {
+func (s *store) owe(in *replication.Save) error {
 	if s.owed == nil {
 		s.owed = make(map[string][]byte, len(in.Records)+len(in.Drops)+len(in.Vector)+len(in.Folded)+1)
 	}
--- a/internal/fleet/memory_test.go
+++ b/internal/cluster/memory_test.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"encoding/binary"
@@ -10,10 +10,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"elderwall/fleet/floors"
-	"elderwall/fleet/members"
-	"elderwall/fleet/replica"
-	"elderwall/fleet/variants"
+	"elderwall/core/cluster/purgefloor"
+	"elderwall/core/cluster/membership"
+	"elderwall/core/cluster/replication"
+	"elderwall/core/cluster/variant"
 	"elderwall/internal/standin/need"
 )
 
@@ -22,29 +22,29 @@
 	folder := t.TempDir()
 	s, saved, err := openStore(folder)
 	require.NoError(t, err)
-	assert.Equal(t, &replica.Saved{}, saved)
-	record := func(key, value string, number uint64) replica.Carried {
-		return replica.Carried{Record: replica.Record{Kind: 3, Key: key, Value: []byte(value), Dot: replica.Dot{Writer: "n0", Era: 1, Number: number}}}
+	assert.Equal(t, &replication.Saved{}, saved)
+	record := func(key, value string, number uint64) replication.Carried {
+		return replication.Carried{Record: replication.Record{Kind: 3, Key: key, Value: []byte(value), Dot: replication.Dot{Writer: "n0", Era: 1, Number: number}}}
 	}
-	require.NoError(t, s.save(&replica.Save{Era: 4, Sync: true, Records: []replica.Carried{record("a", "one", 1), record("\x80\xff", "none", 2), record("c", "", 3)},
-		Vector: []replica.Entry{{Writer: "n0", Era: 1, Number: 3}, {Writer: "n0", Era: 2, Number: 1}}}))
-	require.NoError(t, s.save(&replica.Save{Records: []replica.Carried{record("a", "two", 4)}, Drops: []replica.Name{{Kind: 3, Key: "c"}},
-		Vector: []replica.Entry{{Writer: "n0", Era: 2, Number: 2, Floor: true}}, Folded: []replica.Entry{{Writer: "n0", Era: 1}}}))
+	require.NoError(t, s.save(&replication.Save{Era: 4, Sync: true, Records: []replication.Carried{record("a", "one", 1), record("\x80\xff", "none", 2), record("c", "", 3)},
+		Vector: []replication.Entry{{Writer: "n0", Era: 1, Number: 3}, {Writer: "n0", Era: 2, Number: 1}}}))
+	require.NoError(t, s.save(&replication.Save{Records: []replication.Carried{record("a", "two", 4)}, Drops: []replication.Name{{Kind: 3, Key: "c"}},
+		Vector: []replication.Entry{{Writer: "n0", Era: 2, Number: 2, Floor: true}}, Folded: []replication.Entry{{Writer: "n0", Era: 1}}}))
 	_, _, err = openStore(folder)
 	assert.Error(t, err, "another has it")
 	require.NoError(t, s.close())
 	s, saved, err = openStore(folder)
 	require.NoError(t, err)
 	assert.Less(t, saved.Away, 60.0)
-	assert.Equal(t, &replica.Saved{Era: 4, Away: saved.Away, Vector: replica.Vector{{Writer: "n0", Era: 2, Number: 2, Floor: true}},
-		Records: []replica.Carried{record("a", "two", 4), record("\x80\xff", "none", 2)}}, saved)
+	assert.Equal(t, &replication.Saved{Era: 4, Away: saved.Away, Vector: replication.Vector{{Writer: "n0", Era: 2, Number: 2, Floor: true}},
+		Records: []replication.Carried{record("a", "two", 4), record("\x80\xff", "none", 2)}}, saved)
 	require.NoError(t, s.close())
 	path := filepath.Join(folder, recordsFile)
 	require.NoError(t, os.Truncate(path, 9000))
 	s, saved, err = openStore(folder)
 	require.NoError(t, err)
 	assert.ErrorIs(t, s.spoilt, errTorn)
-	assert.Equal(t, &replica.Saved{}, saved)
+	assert.Equal(t, &replication.Saved{}, saved)
 	require.NoError(t, s.close())
 	there := need.Of(filepath.Glob(path + ".old-*"))(t)
 	assert.Len(t, there, 1)
@@ -62,7 +62,7 @@
 		return b
 	}
 	fact := func(purge uint64, split bool, splits uint32, stands uint8) []byte {
-		return variants.EncodeFact(&variants.Fact{Witness: "d/1", Proof: 1, Generation: variants.Generation{Purge: purge}, Split: split, Splits: splits, Stands: stands})
+		return variant.EncodeFact(&variant.Fact{Witness: "d/1", Proof: 1, Generation: variant.Generation{Purge: purge}, Split: split, Splits: splits, Stands: stands})
 	}
 	rules := map[string]struct {
 		words  string
@@ -90,37 +90,37 @@
 	}
 	assert.Contains(t, string(raw), "| any, where that says nothing | deleted over there; then the higher bytes; then the dot |\n")
 	assert.Contains(t, string(raw), "| any: one dot with two contents | set aside, told, used by nobody until it is written anew |\n")
-	assert.Equal(t, floors.Kind().Name, "floors")
+	assert.Equal(t, purgefloor.Kind().Name, "floors")
 }
 
 // docs/members.md tells how sure a write gets in each view: five dispatchers in two zones, of which so many are heard.
 func TestHowSureAWriteGets(t *testing.T) {
 	raw := need.Of(os.ReadFile("../../docs/members.md"))(t)
 	views := []struct {
-		level members.Level
+		level membership.Level
 		doubt bool
 		live  int
-	}{{members.Whole, false, 4}, {members.Majority, false, 2}, {members.Minority, false, 1}, {members.Alone, false, 0}, {members.Whole, true, 0}}
+	}{{membership.Whole, false, 4}, {membership.Majority, false, 2}, {membership.Minority, false, 1}, {membership.Alone, false, 0}, {membership.Whole, true, 0}}
 	for _, row := range []struct {
 		words string
-		sure  replica.Sure
+		sure  replication.Sure
 	}{{"a write is kept `here`", here}, {"a write gets `copies: 2`", two}, {"a write gets a `majority`", majority}} {
 		line := "| " + row.words + " |"
 		for _, v := range views {
-			m := need.Of(replica.New(replica.Settings{Name: "n0", Zone: "z0", Kinds: []replica.Kind{floors.Kind()}}, nil, 0))(t)
-			f := replica.Fleet{Of: 5, Decides: members.Allowed(members.Decide, v.level, v.doubt)}
+			m := need.Of(replication.New(replication.Settings{Name: "n0", Zone: "z0", Kinds: []replication.Kind{purgefloor.Kind()}}, nil, 0))(t)
+			f := replication.Fleet{Of: 5, Decides: membership.Allowed(membership.Decide, v.level, v.doubt)}
 			for i := range 4 {
-				f.Others = append(f.Others, replica.Member{Name: fmt.Sprint("n", i+1), Zone: fmt.Sprint("z", (i+1)%2), Alive: i < v.live || v.doubt, Counted: true})
+				f.Others = append(f.Others, replication.Member{Name: fmt.Sprint("n", i+1), Zone: fmt.Sprint("z", (i+1)%2), Alive: i < v.live || v.doubt, Counted: true})
 			}
 			m.Fleet(f, 0)
-			require.NoError(t, m.Step("n1", &replica.Message{Ask: &replica.Ask{Answer: true}}, 0)) // before the cut
-			k, value, _ := floors.Record(floors.Floor{Group: 1, Time: 5})
-			dot, err := m.Write(1, floors.ID, k, value, false, row.sure)
+			require.NoError(t, m.Step("n1", &replication.Message{Ask: &replication.Ask{Answer: true}}, 0)) // before the cut
+			k, value, _ := purgefloor.Record(purgefloor.Floor{Group: 1, Time: 5})
+			dot, err := m.Write(1, purgefloor.ID, k, value, false, row.sure)
 			met := false
 			if err == nil {
 				for i := range v.live {
 					from := fmt.Sprint("n", i+1)
-					require.NoError(t, m.Step(from, &replica.Message{Acks: []replica.Entry{{Writer: "n0", Era: dot.Era, Number: dot.Number}}}, 2))
+					require.NoError(t, m.Step(from, &replication.Message{Acks: []replication.Entry{{Writer: "n0", Era: dot.Era, Number: dot.Number}}}, 2))
 				}
 				m.Tick(10)
 				out := m.Ready()
--- a/internal/fleet/nofaults.go
+++ b/internal/cluster/nofaults.go
@@ -1,10 +1,10 @@
 //go:build !faults
 
-package fleet
+package cluster
 
-import "elderwall/fleet/replica"
+import "elderwall/core/cluster/replication"
 
-var faultKinds []replica.Kind
+var faultKinds []replication.Kind
 
 func driven(t float64) float64 { return t }
 
--- a/internal/fleet/promised_test.go
+++ b/internal/cluster/promised_test.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"elderwall/fleet/channels"
-	"elderwall/fleet/replica"
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/replication"
 	"elderwall/internal/standin/processes"
 )
 
@@ -22,11 +22,11 @@
 	m := remember(t, 5, "")
 	cuts := []processes.Fault{{What: processes.Cut, A: []int{3, 4}, B: []int{0, 1, 2}}, {What: processes.Cut, A: []int{3}, B: []int{4}}}
 	n, kept := 0, 0
-	expect := func(i int, sure replica.Sure, met, refused bool) {
+	expect := func(i int, sure replication.Sure, met, refused bool) {
 		t.Helper()
 		n++
 		start := time.Now()
-		told, err := m.ask(i, AskWrite, sure, replica.Record{Kind: testKind, Key: key(n), Value: []byte("v")})
+		told, err := m.ask(i, AskWrite, sure, replication.Record{Kind: testKind, Key: key(n), Value: []byte("v")})
 		assert.Less(t, time.Since(start), time.Duration((sure.Within+2)*float64(time.Second)))
 		if assert.Equal(t, refused, err != nil, "n%d, %+v: %v", i, sure, err); err == nil {
 			assert.Equal(t, met, told.Ended[0].Met, "n%d, %+v", i, sure)
@@ -37,7 +37,7 @@
 	m.Begin(cuts[0])
 	m.until("the small part knows", []int{3, 4}, "minority", []int{3, 4})
 	m.until("the large one does", []int{0, 1, 2}, "majority", []int{0, 1, 2})
-	for _, sure := range []replica.Sure{here, two, three, majority} {
+	for _, sure := range []replication.Sure{here, two, three, majority} {
 		expect(0, sure, true, false)
 	}
 	expect(3, majority, false, true)
@@ -59,15 +59,15 @@
 // Entries as long as they may be, of a writer that has seen as many others as it may, under keys of any bytes: a question of a writer and a frame of a
 // reader bear what there is.
 func TestEntriesAsLongAsTheyMayBe(t *testing.T) {
-	c := channel(t, 3, 3)
+	c := newChannelRig(t, 3, 3)
 	k, err := ParseKeys(c.keys[-1])
 	require.NoError(t, err)
-	var first []channels.Entry
+	var first []channel.Entry
 	after := map[string]uint64{}
-	for i := range channels.MostAfter / (channels.LongestName + 10) {
-		name := fmt.Sprintf("%0*d", channels.LongestName, i)
+	for i := range channel.MostAfter / (channel.LongestName + 10) {
+		name := fmt.Sprintf("%0*d", channel.LongestName, i)
 		after[name] = 1
-		first = append(first, channels.Entry{Channel: "all_causal", Writer: name, Number: 1, Clock: 1, Body: []byte(name)})
+		first = append(first, channel.Entry{Channel: "all_causal", Writer: name, Number: 1, Clock: 1, Body: []byte(name)})
 	}
 	c.Until(soon, "many have written", func() error {
 		all, err := AskEntries(context.Background(), c.Processes[0].Fleet, k, first)
@@ -79,7 +79,7 @@
 	all := make([]string, 164)
 	for i := range all {
 		if all[i] = fmt.Sprint(i); i >= 100 {
-			all[i] += strings.Repeat(" ", channels.MostBody-3)
+			all[i] += strings.Repeat(" ", channel.MostBody-3)
 		}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), soon)
--- a/internal/fleet/publish.go
+++ b/internal/cluster/publish.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"bufio"
@@ -10,19 +10,19 @@
 	"syscall"
 	"time"
 
-	"elderwall/fleet/channels"
+	"elderwall/core/cluster/channel"
 )
 
 const mostWrites = 256 // entries of a question
 
-var errMany = fmt.Errorf("%w: more than %d at once", channels.ErrEntry, mostWrites)
+var errMany = fmt.Errorf("%w: more than %d at once", channel.ErrEntry, mostWrites)
 
 // ErrUnsure tells that nothing is known yet of what became of an entry: it is to be sent again.
 var ErrUnsure = errors.New("not known to be kept: send it again")
 
 // reasons are errors by the words that they have on the wire.
-var reasons = map[string]error{"channel": channels.ErrChannel, "skips": channels.ErrSkips, "after": channels.ErrAfter, "full": channels.ErrFull, "cut": channels.ErrCut,
-	"more": channels.ErrMore, "writers": channels.ErrWriters, "token": channels.ErrToken, "ended": channels.ErrEnded, "forgotten": channels.ErrForgotten, "entry": channels.ErrEntry, "unsure": ErrUnsure}
+var reasons = map[string]error{"channel": channel.ErrChannel, "skips": channel.ErrSkips, "after": channel.ErrAfter, "full": channel.ErrFull, "cut": channel.ErrCut,
+	"more": channel.ErrMore, "writers": channel.ErrWriters, "token": channel.ErrToken, "ended": channel.ErrEnded, "forgotten": channel.ErrForgotten, "entry": channel.ErrEntry, "unsure": ErrUnsure}
 
 func reasonOf(err error) string {
 	for word, is := range reasons {
@@ -47,7 +47,7 @@
 
 func refuse(err error) Told {
 	t := Told{Reason: reasonOf(err), Error: err.Error()}
-	if later := (*channels.Later)(nil); errors.As(err, &later) {
+	if later := (*channel.Later)(nil); errors.As(err, &later) {
 		t.Later, t.Reason = later.Seconds, "full"
 	}
 	return t
@@ -80,12 +80,12 @@
 	case w.publish <- struct{}{}:
 		defer func() { <-w.publish }()
 	default:
-		return refuse(channels.ErrFull)
+		return refuse(channel.ErrFull)
 	}
-	end := time.NewTimer(time.Duration((channels.Within + 0.5) * float64(time.Second)))
+	end := time.NewTimer(time.Duration((channel.Within + 0.5) * float64(time.Second)))
 	defer end.Stop()
 	t.Written = make([]Written, len(q.Entries))
-	waits, elsewhere := make([]chan channels.Ack, len(q.Entries)), -1
+	waits, elsewhere := make([]chan channel.Ack, len(q.Entries)), -1
 	w.mu.Lock()
 	if q.Duty != "" {
 		_, t.Number = w.machine.Newest(q.Duty, "")
@@ -95,15 +95,15 @@
 		switch {
 		case err != nil:
 			t.Written[i] = notMet(err)
-			if errors.Is(err, channels.ErrChannel) {
+			if errors.Is(err, channel.ErrChannel) {
 				poke(w.stale)
 			}
-		case state == channels.Known:
+		case state == channel.Known:
 			t.Written[i].Met = true
-		case state == channels.Elsewhere:
+		case state == channel.Elsewhere:
 			elsewhere = i
 		default:
-			waits[i] = make(chan channels.Ack, 1)
+			waits[i] = make(chan channel.Ack, 1)
 			key := writing{e.Channel, e.Writer, e.Number}
 			w.waits[key] = append(w.waits[key], waits[i])
 		}
@@ -158,7 +158,7 @@
 		}
 	}
 	if !decides {
-		fail(channels.ErrCut)
+		fail(channel.ErrCut)
 		return
 	}
 	at := w.holderOf(ctx, q.Entries[from].Channel)
@@ -177,7 +177,7 @@
 	copy(to, t.Written)
 }
 
-func (w *following) forget(e channels.Entry, wait chan channels.Ack) {
+func (w *following) forget(e channel.Entry, wait chan channel.Ack) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	key := writing{e.Channel, e.Writer, e.Number}
@@ -198,11 +198,11 @@
 	if q.Declare == nil {
 		return Told{Error: "no declaration"}
 	}
-	if q.Declare.Order == channels.Total && len(channels.Duty)+len(q.Declare.Name) > longestDuty {
-		return Told{Error: fmt.Sprintf("channel %.20q: with total order a name has at most %d bytes", q.Declare.Name, longestDuty-len(channels.Duty))}
+	if q.Declare.Order == channel.Total && len(channel.Duty)+len(q.Declare.Name) > longestDuty {
+		return Told{Error: fmt.Sprintf("channel %.20q: with total order a name has at most %d bytes", q.Declare.Name, longestDuty-len(channel.Duty))}
 	}
 	q.Declare.Since = 0 // the log gives it
-	if err := w.fleet.agree(ctx, channels.Command{Declare: q.Declare, NoReuse: true}); err != nil {
+	if err := w.fleet.agree(ctx, channel.Command{Declare: q.Declare, NoReuse: true}); err != nil {
 		return Told{Error: err.Error()}
 	}
 	poke(w.stale)
@@ -226,18 +226,18 @@
 	}
 	conn, ok := c.(syscall.Conn)
 	if !ok {
-		return nil, refuse(channels.ErrFull)
+		return nil, refuse(channel.ErrFull)
 	}
 	raw, err := conn.SyscallConn()
 	if err != nil {
-		return nil, refuse(channels.ErrFull)
+		return nil, refuse(channel.ErrFull)
 	}
 	w.mu.Lock()
 	id, err := w.machine.Open(w.fleet.dutyNow(), *q.Follow)
-	if errors.Is(err, channels.ErrChannel) {
+	if errors.Is(err, channel.ErrChannel) {
 		poke(w.stale)
 		if !w.declared {
-			err = &channels.Later{Seconds: 0.5}
+			err = &channel.Later{Seconds: 0.5}
 		}
 	}
 	w.mu.Unlock()
@@ -251,13 +251,13 @@
 func (w *following) keep(r *follower) { w.pumps[nextPump.Add(1)%pumps].add(r) }
 
 // AskDeclaration has a declaration put into the log, by any dispatcher.
-func AskDeclaration(ctx context.Context, at string, k *Keys, d channels.Declaration) error {
+func AskDeclaration(ctx context.Context, at string, k *Keys, d channel.Declaration) error {
 	_, err := askAt(ctx, at, k, ask{What: AskDeclare, Declare: &d})
 	return err
 }
 
 // AskDeclarations gives what is declared, as a dispatcher knows it.
-func AskDeclarations(ctx context.Context, at string, k *Keys) ([]channels.Declaration, error) {
+func AskDeclarations(ctx context.Context, at string, k *Keys) ([]channel.Declaration, error) {
 	t, err := askAt(ctx, at, k, ask{What: AskChannels})
 	if err != nil || t.Channels == nil {
 		return nil, err
@@ -266,7 +266,7 @@
 }
 
 // AskEntries has entries of a writer taken in. The error is that of the question; what became of each entry is told in their order.
-func AskEntries(ctx context.Context, at string, k *Keys, all []channels.Entry) ([]Written, error) {
+func AskEntries(ctx context.Context, at string, k *Keys, all []channel.Entry) ([]Written, error) {
 	t, err := askAt(ctx, at, k, ask{What: AskPublish, Entries: all})
 	if err == nil && len(t.Written) != len(all) {
 		err = errMessage
@@ -293,7 +293,7 @@
 const silent = 3*beatEach + time.Second
 
 // AskNotes follows a channel at a dispatcher. Errors: *Refusal, and those of the network.
-func AskNotes(ctx context.Context, at string, k *Keys, what channels.Ask) (*Followed, error) {
+func AskNotes(ctx context.Context, at string, k *Keys, what channel.Ask) (*Followed, error) {
 	c, nonce, t, err := converse(ctx, at, k, ask{What: AskFollow, Follow: &what})
 	if err != nil {
 		return nil, err
@@ -306,7 +306,7 @@
 }
 
 // Next gives the next notes; none where all is quiet.
-func (r *Followed) Next() (all []channels.Note, err error) {
+func (r *Followed) Next() (all []channel.Note, err error) {
 	_ = r.conn.SetReadDeadline(time.Now().Add(silent))
 	sealed, err := readFrame(r.in, longestStream)
 	if err != nil {
@@ -321,9 +321,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("follow: %w", err)
 	}
-	all = make([]channels.Note, len(in))
+	all = make([]channel.Note, len(in))
 	for i, n := range in {
-		all[i] = channels.Note(n)
+		all[i] = channel.Note(n)
 	}
 	return all, nil
 }
--- a/internal/fleet/pump.go
+++ b/internal/cluster/pump.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"elderwall/fleet/channels"
+	"elderwall/core/cluster/channel"
 )
 
 const (
@@ -52,13 +52,13 @@
 
 // sheet is notes as they were encoded for a reader: those in step with it get the same, each sealed for itself.
 type sheet struct {
-	notes []channels.Note
+	notes []channel.Note
 	text  []byte
 	last  bool // nothing follows
 }
 
-func (s *sheet) of(notes []channels.Note) bool {
-	return s.text != nil && slices.EqualFunc(s.notes, notes, func(a, b channels.Note) bool {
+func (s *sheet) of(notes []channel.Note) bool {
+	return s.text != nil && slices.EqualFunc(s.notes, notes, func(a, b channel.Note) bool {
 		return a.Entry == b.Entry && a.Position == b.Position && a.Word == b.Word && a.Writer == b.Writer && a.From == b.From && a.To == b.To &&
 			a.Generation == b.Generation && a.Late == b.Late && slices.Equal(a.Where, b.Where)
 	})
@@ -166,8 +166,8 @@
 
 // wireNote is a note on the wire.
 type wireNote struct {
-	Word       channels.Word   `cbor:"1,keyasint"`
-	Entry      *channels.Entry `cbor:"2,keyasint,omitempty"`
+	Word       channel.Word   `cbor:"1,keyasint"`
+	Entry      *channel.Entry `cbor:"2,keyasint,omitempty"`
 	Position   string          `cbor:"3,keyasint,omitempty"`
 	From       uint64          `cbor:"4,keyasint,omitempty"`
 	To         uint64          `cbor:"5,keyasint,omitempty"`
@@ -180,7 +180,7 @@
 const mostWhere = 8 // dispatchers that a reader is told to go to
 
 // sheet encodes notes; what can't be is the last that a reader hears of.
-func (f *Fleet) sheet(notes []channels.Note) (s sheet) {
+func (f *Fleet) sheet(notes []channel.Note) (s sheet) {
 	s.notes = notes
 	wire := make([]wireNote, len(notes))
 	for i, n := range notes {
@@ -193,7 +193,7 @@
 		n.Where = where
 		wire[i] = wireNote(n)
 		switch n.Word {
-		case channels.Reset, channels.Behind, channels.Cut, channels.Ended:
+		case channel.Reset, channel.Behind, channel.Cut, channel.Ended:
 			s.last = true
 		}
 	}
--- a/internal/fleet/purges.go
+++ b/internal/cluster/purges.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"errors"
@@ -6,8 +6,8 @@
 
 	lru "github.com/hashicorp/golang-lru/v2/simplelru"
 
-	"elderwall/fleet/floors"
-	"elderwall/fleet/replica"
+	"elderwall/core/cluster/purgefloor"
+	"elderwall/core/cluster/replication"
 	"elderwall/internal/clock"
 )
 
@@ -21,12 +21,12 @@
 // purges has those that the change log tells here remembered by all, and takes those that others tell.
 type purges struct {
 	memory *memory
-	take   func(floors.Floor) // nil where nobody takes them
+	take   func(purgefloor.Floor) // nil where nobody takes them
 	gone   float64            // s after which no copy is left that is older
 
 	seen  *lru.LRU[string, sighting] // the tidier's own
 	heard *lru.LRU[string, int64]    // under the memory's lock, as are the next two
-	owed  map[string]floors.Floor
+	owed  map[string]purgefloor.Floor
 	all   bool // all floors are to be taken: a machine was opened, or peers' word counts again
 
 	may    bool // peers' word narrows
@@ -41,20 +41,20 @@
 }
 
 func (p *purges) begin(m *memory) {
-	p.memory, p.heard, p.owed, p.tidied = m, must(lru.NewLRU[string, int64](mostHeard, nil)), map[string]floors.Floor{}, time.Now()
+	p.memory, p.heard, p.owed, p.tidied = m, must(lru.NewLRU[string, int64](mostHeard, nil)), map[string]purgefloor.Floor{}, time.Now()
 	p.seen = must(lru.NewLRU[string, sighting](mostHeard, nil))
-	m.follow[floors.ID] = append(m.follow[floors.ID], p.changed)
+	m.follow[purgefloor.ID] = append(m.follow[purgefloor.ID], p.changed)
 }
 
 // TakePurges has a function take purges that others tell, before the fleet is served. After gone seconds a purge needs no memory.
-func (f *Fleet) TakePurges(take func(floors.Floor), gone float64) {
+func (f *Fleet) TakePurges(take func(purgefloor.Floor), gone float64) {
 	f.memory.purges.take, f.memory.purges.gone = take, gone
 }
 
 // Purged takes a purge that the change log told here: it is written, unless all know it already.
-func (f *Fleet) Purged(o floors.Floor) {
+func (f *Fleet) Purged(o purgefloor.Floor) {
 	p, m := &f.memory.purges, f.memory
-	key, value, ok := floors.Record(o)
+	key, value, ok := purgefloor.Record(o)
 	if !ok {
 		return
 	}
@@ -64,10 +64,10 @@
 	if news {
 		f.Tell(PurgesChannel, key, value)
 	}
-	if stands, ok := m.get(floors.ID, key); ok && floors.Law(stands.Value, value) >= 0 {
+	if stands, ok := m.get(purgefloor.ID, key); ok && purgefloor.Law(stands.Value, value) >= 0 {
 		return
 	}
-	if _, err := m.write(floors.ID, key, value, false, replica.Sure{}); errors.Is(err, replica.ErrCatches) || errors.Is(err, errNoDisk) || errors.Is(err, replica.ErrUnkept) || errors.Is(err, errBusy) {
+	if _, err := m.write(purgefloor.ID, key, value, false, replication.Sure{}); errors.Is(err, replication.ErrCatches) || errors.Is(err, errNoDisk) || errors.Is(err, replication.ErrUnkept) || errors.Is(err, errBusy) {
 		m.mu.Lock()
 		if len(p.owed) < mostOwed {
 			p.owed[key] = o
@@ -110,12 +110,12 @@
 }
 
 // changed takes floors that came to stand.
-func (p *purges) changed(all []replica.Record) {
+func (p *purges) changed(all []replication.Record) {
 	if !p.may || p.take == nil {
 		return
 	}
 	for _, r := range all {
-		o, err := floors.Read(r.Key, r.Value)
+		o, err := purgefloor.Read(r.Key, r.Value)
 		if err != nil || r.Dead {
 			continue
 		}
@@ -136,7 +136,7 @@
 	m.mu.Lock()
 	owed, all := p.owed, p.all && p.may
 	if len(owed) > 0 {
-		p.owed = map[string]floors.Floor{}
+		p.owed = map[string]purgefloor.Floor{}
 	}
 	p.all = p.all && !all
 	m.mu.Unlock()
@@ -144,10 +144,10 @@
 		m.fleet.Purged(o)
 	}
 	if all {
-		var records []replica.Record
+		var records []replication.Record
 		for at, more := uint64(0), true; more; more = at != 0 {
 			records = records[:0]
-			at = m.scan(floors.ID, at, func(r replica.Record) { records = append(records, r) })
+			at = m.scan(purgefloor.ID, at, func(r replication.Record) { records = append(records, r) })
 			p.changed(records)
 		}
 	}
@@ -155,17 +155,17 @@
 		return
 	}
 	p.tidied = time.Now()
-	var past []replica.Record
-	p.at = m.scan(floors.ID, p.at, func(r replica.Record) { // the next part at the next tick
+	var past []replication.Record
+	p.at = m.scan(purgefloor.ID, p.at, func(r replication.Record) { // the next part at the next tick
 		more := tidyAfter
 		if r.Dot.Writer != m.fleet.Name { // whoever wrote it lets go of it first
 			more += tidyAfter
 		}
-		if o, err := floors.Read(r.Key, r.Value); err == nil && !r.Dead && p.past(r.Key, o.Time, more) {
+		if o, err := purgefloor.Read(r.Key, r.Value); err == nil && !r.Dead && p.past(r.Key, o.Time, more) {
 			past = append(past, r)
 		}
 	})
 	for _, r := range past {
-		_, _ = m.write(floors.ID, r.Key, r.Value, true, replica.Sure{}) // it comes again at the next look
+		_, _ = m.write(purgefloor.ID, r.Key, r.Value, true, replication.Sure{}) // it comes again at the next look
 	}
 }
--- a/internal/fleet/council/council.go
+++ b/internal/cluster/raftvoter/council.go
@@ -1,7 +1,7 @@
-// Package council is a voter of the replicated log: the log of go.etcd.io/raft with the state, the granter and the seats of
-// fleet/duties on top. It has no socket, clock or goroutine of its own: messages, time and a disk come from outside, so that
+// Package raftvoter is a voter of the replicated log: the log of go.etcd.io/raft with the state, the granter and the seats of
+// core/cluster/lease on top. It has no socket, clock or goroutine of its own: messages, time and a disk come from outside, so that
 // the same code runs in processes and in simulations. Nothing that it sends goes out before the disk has what it stands on.
-package council
+package raftvoter
 
 import (
 	"encoding/binary"
@@ -15,9 +15,9 @@
 	"go.etcd.io/raft/v3/tracker"
 	"google.golang.org/protobuf/proto"
 
-	"elderwall/fleet/budgets"
-	"elderwall/fleet/channels"
-	"elderwall/fleet/duties"
+	"elderwall/core/cluster/quota"
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/lease"
 )
 
 // Figures.
@@ -56,7 +56,7 @@
 
 // Turn is a question of a dispatcher with where its answer goes.
 type Turn struct {
-	duties.Turn
+	lease.Turn
 	To any
 }
 
@@ -66,7 +66,7 @@
 	ID     uint64
 	OK     bool // else another voter is to be asked: Leader, if known
 	Leader uint64
-	Leases []duties.Lease
+	Leases []lease.Lease
 }
 
 // Done is a proposal that is in the log.
@@ -91,10 +91,10 @@
 	node     *raft.RawNode
 	storage  *raft.MemoryStorage
 	conf     *pb.ConfState
-	state    *duties.State
-	ledger   *budgets.Ledger
-	channels *channels.Ledger
-	granter  *duties.Granter
+	state    *lease.State
+	ledger   *quota.Ledger
+	channels *channel.Ledger
+	granter  *lease.Granter
 	applied  uint64
 	saved    uint64 // index of the last snapshot
 	now      float64
@@ -110,7 +110,7 @@
 	broken   error
 	reseated bool // who votes has changed since the last snapshot
 
-	Willing func() []duties.Willing // who would vote
+	Willing func() []lease.Willing // who would vote
 }
 
 // turn is one that waits: for its commands to be in the log, then for a majority to confirm that this one leads.
@@ -125,16 +125,16 @@
 type entry struct {
 	By       uint64            `cbor:"1,keyasint"`
 	Number   uint64            `cbor:"2,keyasint"`
-	Commands []duties.Command  `cbor:"3,keyasint"`
-	Ledger   *budgets.Command  `cbor:"4,keyasint,omitempty"`
-	Channels *channels.Command `cbor:"5,keyasint,omitempty"`
+	Commands []lease.Command  `cbor:"3,keyasint"`
+	Ledger   *quota.Command  `cbor:"4,keyasint,omitempty"`
+	Channels *channel.Command `cbor:"5,keyasint,omitempty"`
 }
 
 // kept is what a snapshot holds.
 type kept struct {
-	duties.Packed
-	Ledger   budgets.Saved
-	Channels channels.Saved // a voter of an earlier version knows none, and keeps none
+	lease.Packed
+	Ledger   quota.Saved
+	Channels channel.Saved // a voter of an earlier version knows none, and keeps none
 }
 
 var (
@@ -151,8 +151,8 @@
 }
 
 // Found is the first snapshot of a new log with one voter; state is what it begins with.
-func Found(id uint64, state *duties.State, ledger *budgets.Ledger, streams *channels.Ledger, term, index uint64) (*pb.HardState, *pb.Snapshot, error) {
-	data, err := encoding.Marshal(kept{duties.Pack(state.Save()), ledger.Save(), streams.Save()})
+func Found(id uint64, state *lease.State, ledger *quota.Ledger, streams *channel.Ledger, term, index uint64) (*pb.HardState, *pb.Snapshot, error) {
+	data, err := encoding.Marshal(kept{lease.Pack(state.Save()), ledger.Save(), streams.Save()})
 	if err != nil {
 		return nil, nil, fmt.Errorf("state: %w", err)
 	}
@@ -162,7 +162,7 @@
 
 // New makes a voter of what its disk has. One whose disk has no log is none until the leader takes it in.
 func New(kept Kept, disk Disk, now float64, logger raft.Logger) (*Machine, error) {
-	m := &Machine{id: kept.ID, disk: disk, storage: raft.NewMemoryStorage(), state: duties.NewState(), ledger: budgets.NewLedger(), channels: channels.NewLedger(), now: now, ticked: now,
+	m := &Machine{id: kept.ID, disk: disk, storage: raft.NewMemoryStorage(), state: lease.NewState(), ledger: quota.NewLedger(), channels: channel.NewLedger(), now: now, ticked: now,
 		number: uint64(kept.Era) << 32, reads: map[uint64]float64{}, conf: &pb.ConfState{}}
 	if kept.Snapshot != nil && !raft.IsEmptySnap(kept.Snapshot) {
 		if err := m.storage.ApplySnapshot(kept.Snapshot); err != nil {
@@ -180,7 +180,7 @@
 	if err := m.storage.Append(kept.Entries); err != nil {
 		return nil, fmt.Errorf("log: %w", err)
 	}
-	m.granter = duties.NewGranter(m.state)
+	m.granter = lease.NewGranter(m.state)
 	node, err := raft.NewRawNode(&raft.Config{ID: kept.ID, ElectionTick: election, HeartbeatTick: heartbeat, Storage: m.storage, Applied: m.applied,
 		MaxSizePerMsg: mostBytes, MaxInflightMsgs: mostInflight, MaxUncommittedEntriesSize: mostUnapplied, CheckQuorum: true, PreVote: true,
 		ReadOnlyOption: raft.ReadOnlySafe, Logger: logger, DisableProposalForwarding: true, StepDownOnRemoval: true})
@@ -198,29 +198,29 @@
 			return fmt.Errorf("snapshot: %w", err)
 		}
 	}
-	saved, err := duties.Unpack(packed.Packed)
+	saved, err := lease.Unpack(packed.Packed)
 	if err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
-	m.state, m.ledger, m.channels = duties.Restore(saved), budgets.Restore(packed.Ledger), channels.Restore(packed.Channels)
+	m.state, m.ledger, m.channels = lease.Restore(saved), quota.Restore(packed.Ledger), channel.Restore(packed.Channels)
 	m.applied, m.saved, m.conf = s.GetMetadata().GetIndex(), s.GetMetadata().GetIndex(), s.GetMetadata().GetConfState()
 	return nil
 }
 
 // State is what the log comes to here.
-func (m *Machine) State() *duties.State { return m.state }
+func (m *Machine) State() *lease.State { return m.state }
 
 // Ledger is what is divided, as the log has it here.
-func (m *Machine) Ledger() *budgets.Ledger { return m.ledger }
+func (m *Machine) Ledger() *quota.Ledger { return m.ledger }
 
 // Channels is what is declared and put in order, as the log has it here.
-func (m *Machine) Channels() *channels.Ledger { return m.channels }
+func (m *Machine) Channels() *channel.Ledger { return m.channels }
 
 // Applied is the index of the last entry that the state has.
 func (m *Machine) Applied() uint64 { return m.applied }
 
 // Granter counts leases, where this one leads.
-func (m *Machine) Granter() *duties.Granter { return m.granter }
+func (m *Machine) Granter() *lease.Granter { return m.granter }
 
 // Leads tells whether this one thinks that it leads; Leader who does, 0 for nobody known.
 func (m *Machine) Leads() bool { return m.leads }
@@ -342,7 +342,7 @@
 }
 
 // Propose puts commands into the log, where this one leads; Done tells the number once they are in.
-func (m *Machine) Propose(commands []duties.Command, ledger *budgets.Command, streams *channels.Command, now float64) (number uint64, ok bool) {
+func (m *Machine) Propose(commands []lease.Command, ledger *quota.Command, streams *channel.Command, now float64) (number uint64, ok bool) {
 	m.now = now
 	m.guarded(func() error {
 		if m.leads {
@@ -353,7 +353,7 @@
 	return number, number != 0
 }
 
-func (m *Machine) propose(commands []duties.Command, ledger *budgets.Command, streams *channels.Command) uint64 {
+func (m *Machine) propose(commands []lease.Command, ledger *quota.Command, streams *channel.Command) uint64 {
 	data, err := encoding.Marshal(entry{m.id, m.number + 1, commands, ledger, streams})
 	if err != nil || m.node.Propose(data) != nil { // it comes again with the next turn or tick
 		return 0
@@ -576,7 +576,7 @@
 		return nil
 	}
 	m.reseated = false
-	data, err := encoding.Marshal(kept{duties.Pack(m.state.Save()), m.ledger.Save(), m.channels.Save()})
+	data, err := encoding.Marshal(kept{lease.Pack(m.state.Save()), m.ledger.Save(), m.channels.Save()})
 	if err != nil {
 		return fmt.Errorf("state: %w", err)
 	}
@@ -608,10 +608,10 @@
 	}
 	m.changed = m.now
 	willing := m.Willing()
-	var sit []duties.Command
+	var sit []lease.Command
 	for _, w := range willing {
 		if seat, ok := m.state.Seat(w.ID); w.ID != 0 && w.Alive && (ok && w.Era > seat.Era || !ok) {
-			sit = append(sit, duties.Command{Act: duties.Sit, Token: w.ID, Name: w.Name, Era: w.Era})
+			sit = append(sit, lease.Command{Act: lease.Sit, Token: w.ID, Name: w.Name, Era: w.Era})
 		}
 	}
 	if len(sit) > 0 {
@@ -626,9 +626,9 @@
 }
 
 // change proposes one change of who votes.
-func (m *Machine) change(c duties.Change) {
-	kind, ok := map[duties.ChangeKind]pb.ConfChangeType{duties.AddLearner: pb.ConfChangeType_ConfChangeAddLearnerNode,
-		duties.Promote: pb.ConfChangeType_ConfChangeAddNode, duties.Remove: pb.ConfChangeType_ConfChangeRemoveNode}[c.Kind]
+func (m *Machine) change(c lease.Change) {
+	kind, ok := map[lease.ChangeKind]pb.ConfChangeType{lease.AddLearner: pb.ConfChangeType_ConfChangeAddLearnerNode,
+		lease.Promote: pb.ConfChangeType_ConfChangeAddNode, lease.Remove: pb.ConfChangeType_ConfChangeRemoveNode}[c.Kind]
 	if !ok {
 		return
 	}
@@ -636,7 +636,7 @@
 }
 
 // Change has an operator change who votes.
-func (m *Machine) Change(c duties.Change, now float64) error {
+func (m *Machine) Change(c lease.Change, now float64) error {
 	err := errors.New("this voter does not lead")
 	m.now = now
 	m.guarded(func() error {
--- a/internal/fleet/council/sim_test.go
+++ b/internal/cluster/raftvoter/sim_test.go
@@ -1,4 +1,4 @@
-package council
+package raftvoter
 
 import (
 	"errors"
@@ -17,9 +17,9 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"elderwall/fleet/budgets"
-	"elderwall/fleet/channels"
-	"elderwall/fleet/duties"
+	"elderwall/core/cluster/quota"
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/lease"
 	"elderwall/internal/standin/need"
 )
 
@@ -35,7 +35,7 @@
 	lossy   float64
 	fault   string // put in on purpose
 	taken   []act
-	fence   duties.Fence
+	fence   lease.Fence
 	wrong   []string
 	handed  []float64 // s for which a duty had no holder that could act
 	vacant  map[string]float64
@@ -78,7 +78,7 @@
 
 // player is a dispatcher that stands.
 type player struct {
-	*duties.Holder
+	*lease.Holder
 	sim     *sim
 	index   int
 	boot    uint64
@@ -98,13 +98,13 @@
 	voters  = 5
 	players = 6
 	step    = 0.01
-	lease   = 1.0
+	leaseTime = 1.0
 )
 
 var dutyNames = []string{"a", "b", "c"}
 
 func newSim(seed uint64, fault string) *sim {
-	s := &sim{chance: rand.New(rand.NewPCG(seed, 7)), fault: fault, vacant: map[string]float64{}, drift: duties.Drift, parts: make([]int, voters+players)}
+	s := &sim{chance: rand.New(rand.NewPCG(seed, 7)), fault: fault, vacant: map[string]float64{}, drift: lease.Drift, parts: make([]int, voters+players)}
 	if fault == "clocks drift by far more than stated" {
 		s.drift = 0.4
 	}
@@ -114,7 +114,7 @@
 	}
 	for i := range voters {
 		v := &voter{sim: s, index: i, clock: s.clock()}
-		hard, snapshot, err := Found(1, duties.NewState(), budgets.NewLedger(), channels.NewLedger(), 1, 1)
+		hard, snapshot, err := Found(1, lease.NewState(), quota.NewLedger(), channel.NewLedger(), 1, 1)
 		if err != nil {
 			panic(err)
 		}
@@ -160,8 +160,8 @@
 		if duty == nil || !duty.Held() || !leads {
 			continue
 		}
-		if early || v.sim.fault == "a lease is ended early" && v.Granter().Rest(now, d) < 0.5*lease {
-			v.Propose([]duties.Command{{Act: duties.Expire, Duty: d, Token: duty.Token}}, nil, nil, now)
+		if early || v.sim.fault == "a lease is ended early" && v.Granter().Rest(now, d) < 0.5*leaseTime {
+			v.Propose([]lease.Command{{Act: lease.Expire, Duty: d, Token: duty.Token}}, nil, nil, now)
 		}
 	}
 }
@@ -219,7 +219,7 @@
 		v.kept.Entries = slices.Clone(v.copy.Entries)
 	}
 	if v.sim.fault == "a disk is lost and the voter votes on" {
-		hard, snapshot, _ := Found(1, duties.NewState(), budgets.NewLedger(), channels.NewLedger(), 1, 1)
+		hard, snapshot, _ := Found(1, lease.NewState(), quota.NewLedger(), channel.NewLedger(), 1, 1)
 		snapshot.Metadata.ConfState.Voters = []uint64{1, 2, 3, 4, 5}
 		v.kept = Kept{ID: v.kept.ID, Era: v.kept.Era, Hard: hard, Snapshot: snapshot}
 	}
@@ -227,7 +227,7 @@
 
 func (p *player) start() {
 	p.boot++
-	p.Holder = duties.NewHolder(fmt.Sprint("n", p.index), p.boot, fmt.Sprint("z", p.index%2), 0)
+	p.Holder = lease.NewHolder(fmt.Sprint("n", p.index), p.boot, fmt.Sprint("z", p.index%2), 0)
 	p.asked, p.loose, p.tokens, p.inbox, p.pending = map[uint64]float64{}, map[string]float64{}, map[string]uint64{}, nil, nil
 	for _, d := range dutyNames {
 		p.Want(d, 1, p.clock.at(p.sim.now))
@@ -311,7 +311,7 @@
 		}
 	}
 	for d := range p.tokens {
-		if !slices.ContainsFunc(a.Leases, func(l duties.Lease) bool { return l.Duty == d }) {
+		if !slices.ContainsFunc(a.Leases, func(l lease.Lease) bool { return l.Duty == d }) {
 			delete(p.loose, d)
 		}
 	}
@@ -555,9 +555,9 @@
 	s.play(leaderSoon)
 	for _, v := range s.voters {
 		if v.Leads() {
-			var all []duties.Command
+			var all []lease.Command
 			for _, d := range dutyNames {
-				all = append(all, duties.Command{Act: duties.Declare, Duty: d, Length: lease})
+				all = append(all, lease.Command{Act: lease.Declare, Duty: d, Length: leaseTime})
 			}
 			v.Propose(all, nil, nil, v.clock.at(s.now))
 			s.drain(v)
--- a/internal/fleet/recall.go
+++ b/internal/cluster/recall.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"context"
@@ -12,11 +12,11 @@
 	"github.com/fxamacker/cbor/v2"
 	"golang.org/x/time/rate"
 
-	"elderwall/fleet/channels"
-	"elderwall/fleet/floors"
-	"elderwall/fleet/members"
-	"elderwall/fleet/replica"
-	"elderwall/fleet/variants"
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/purgefloor"
+	"elderwall/core/cluster/membership"
+	"elderwall/core/cluster/replication"
+	"elderwall/core/cluster/variant"
 )
 
 // Defaults of the fleet's memory.
@@ -49,10 +49,10 @@
 	wake  chan struct{}
 
 	mu      sync.Mutex
-	machine *replica.Machine // nil while the disk can't be used
-	kinds   []replica.Kind
-	waits   map[replica.Dot]chan replica.Outcome
-	follow  map[uint8][]func([]replica.Record)
+	machine *replication.Machine // nil while the disk can't be used
+	kinds   []replication.Kind
+	waits   map[replication.Dot]chan replication.Outcome
+	follow  map[uint8][]func([]replication.Record)
 	names   map[uint64]string // members by boot
 	problem string
 	purges  purges
@@ -72,10 +72,10 @@
 func newMemory(f *Fleet) *memory {
 	out := rate.Limit(bytesOut + f.Memory.Rate)
 	m := &memory{fleet: f, limit: rate.NewLimiter(out, bytesBurst), wake: make(chan struct{}, 1), stale: make(chan struct{}, 1),
-		kinds: append([]replica.Kind{floors.Kind(), variants.Kind()}, faultKinds...), waits: map[replica.Dot]chan replica.Outcome{},
-		follow: map[uint8][]func([]replica.Record){}, names: map[uint64]string{}}
-	for _, k := range channels.Kinds() {
-		k.Longest = min(k.Longest, replica.MostLongest)
+		kinds: append([]replication.Kind{purgefloor.Kind(), variant.Kind()}, faultKinds...), waits: map[replication.Dot]chan replication.Outcome{},
+		follow: map[uint8][]func([]replication.Record){}, names: map[uint64]string{}}
+	for _, k := range channel.Kinds() {
+		k.Longest = min(k.Longest, replication.MostLongest)
 		m.kinds = append(m.kinds, k)
 	}
 	m.purges.begin(m)
@@ -84,7 +84,7 @@
 }
 
 // Kinds adds kinds of records, before the fleet is served.
-func (f *Fleet) Kinds(all ...replica.Kind) { f.memory.kinds = append(f.memory.kinds, all...) }
+func (f *Fleet) Kinds(all ...replication.Kind) { f.memory.kinds = append(f.memory.kinds, all...) }
 
 func poke(c chan struct{}) {
 	select {
@@ -94,8 +94,8 @@
 }
 
 // write has a record written, as sure as wanted: the channel tells once how it ended. An error leaves nothing behind.
-func (m *memory) write(kind uint8, key string, value []byte, dead bool, sure replica.Sure) (<-chan replica.Outcome, error) {
-	done := make(chan replica.Outcome, 1)
+func (m *memory) write(kind uint8, key string, value []byte, dead bool, sure replication.Sure) (<-chan replication.Outcome, error) {
+	done := make(chan replication.Outcome, 1)
 	if _, err := m.writeTo(done, kind, key, value, dead, sure); err != nil {
 		return nil, err
 	}
@@ -103,7 +103,7 @@
 }
 
 // writeTo does the same for who hears of many writes: its channel has to take as many outcomes as may be on their way.
-func (m *memory) writeTo(done chan replica.Outcome, kind uint8, key string, value []byte, dead bool, sure replica.Sure) (dot replica.Dot, err error) {
+func (m *memory) writeTo(done chan replication.Outcome, kind uint8, key string, value []byte, dead bool, sure replication.Sure) (dot replication.Dot, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.machine == nil {
@@ -121,24 +121,24 @@
 }
 
 // subscribe has a function called with each change of a kind, one call after the other; it may not wait.
-func (m *memory) subscribe(kind uint8, f func([]replica.Record)) {
+func (m *memory) subscribe(kind uint8, f func([]replication.Record)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.follow[kind] = append(m.follow[kind], f)
 }
 
 // get gives what stands for a key.
-func (m *memory) get(kind uint8, key string) (replica.Record, bool) {
+func (m *memory) get(kind uint8, key string) (replication.Record, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.machine == nil {
-		return replica.Record{}, false
+		return replication.Record{}, false
 	}
 	return m.machine.Get(kind, key)
 }
 
 // each goes through what stands of a kind and a prefix, in the order of keys, until f says no. Nothing else is done with the memory meanwhile.
-func (m *memory) each(kind uint8, prefix string, f func(replica.Record) bool) {
+func (m *memory) each(kind uint8, prefix string, f func(replication.Record) bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.machine != nil {
@@ -147,7 +147,7 @@
 }
 
 // scan goes through a part of what stands of a kind, from a place on, and gives the next one; 0 at the end. So the memory is held for a short time.
-func (m *memory) scan(kind uint8, from uint64, f func(replica.Record)) (next uint64) {
+func (m *memory) scan(kind uint8, from uint64, f func(replication.Record)) (next uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.machine == nil {
@@ -169,7 +169,7 @@
 
 // ToldMemory is how the memory stands.
 type ToldMemory struct {
-	replica.Status
+	replication.Status
 	Problem string `json:",omitempty"`
 }
 
@@ -234,21 +234,21 @@
 	m.fleet.Log.Info().Uint64("era", status.Era).Int("writers", status.Writers).Bool("kept", disk != nil).Msg("memory: remembers")
 }
 
-func (m *memory) settings(seed uint64) replica.Settings {
+func (m *memory) settings(seed uint64) replication.Settings {
 	f := m.fleet
-	return replica.Settings{Name: f.Name, Zone: f.Zone, Seed: seed, Horizon: f.Memory.Horizon, Rate: float64(f.Memory.Rate), Kinds: m.kinds}
+	return replication.Settings{Name: f.Name, Zone: f.Zone, Seed: seed, Horizon: f.Memory.Horizon, Rate: float64(f.Memory.Rate), Kinds: m.kinds}
 }
 
 func (m *memory) torn(err error) {
 	m.fleet.Log.Error().Err(err).Str("means", "it is put aside, and what it had is taken from the others").Msg("memory: the disk is torn")
 }
 
-func (m *memory) begin() (machine *replica.Machine, disk *store, err error) {
+func (m *memory) begin() (machine *replication.Machine, disk *store, err error) {
 	var drawn [8]byte
 	_, _ = rand.Read(drawn[:])
 	settings := m.settings(binary.BigEndian.Uint64(drawn[:]))
 	if m.fleet.Memory.Folder == "" {
-		machine, err = replica.New(settings, nil, m.fleet.dutyNow())
+		machine, err = replication.New(settings, nil, m.fleet.dutyNow())
 		return machine, nil, err
 	}
 	kept, saved, err := openStore(m.fleet.Memory.Folder)
@@ -258,7 +258,7 @@
 	if kept.spoilt != nil {
 		m.torn(kept.spoilt)
 	}
-	if machine, err = replica.New(settings, saved, m.fleet.dutyNow()); err != nil { // what this version's kinds don't allow
+	if machine, err = replication.New(settings, saved, m.fleet.dutyNow()); err != nil { // what this version's kinds don't allow
 		return nil, nil, errors.Join(errTorn, err, kept.close())
 	}
 	return machine, kept, nil
@@ -275,10 +275,10 @@
 	first := m.problem == ""
 	m.machine, m.problem = nil, err.Error()
 	waits := m.waits
-	m.waits = map[replica.Dot]chan replica.Outcome{}
+	m.waits = map[replication.Dot]chan replication.Outcome{}
 	m.mu.Unlock()
 	for dot, done := range waits {
-		done <- replica.Outcome{Dot: dot}
+		done <- replication.Outcome{Dot: dot}
 	}
 	if first {
 		m.fleet.Log.Error().Err(err).Str("means", "nothing is written or learned here until it can be used").Msg("memory: the disk can't be used")
@@ -296,7 +296,7 @@
 func (m *memory) look() {
 	f := m.fleet
 	f.mu.Lock()
-	now := view{f.machine.View().Of, f.machine.May(members.Decide), f.machine.May(members.Narrow)}
+	now := view{f.machine.View().Of, f.machine.May(membership.Decide), f.machine.May(membership.Narrow)}
 	if now == m.fleetNow && time.Since(m.looked) < lookEach {
 		f.mu.Unlock()
 		return
@@ -304,15 +304,15 @@
 	known := f.machine.Members()
 	f.mu.Unlock()
 	m.looked, m.fleetNow = time.Now(), now
-	to := replica.Fleet{Of: now.of, Decides: now.decides, Narrows: now.narrows}
+	to := replication.Fleet{Of: now.of, Decides: now.decides, Narrows: now.narrows}
 	m.at = map[string]string{}
 	m.shares.peers = 1
 	names := map[uint64]string{}
 	for _, o := range known {
-		if o.State == members.Left && !o.Reference {
+		if o.State == membership.Left && !o.Reference {
 			continue
 		}
-		to.Others = append(to.Others, replica.Member{Name: o.Name, Zone: o.Zone, Alive: o.State.In(), Counted: o.Reference})
+		to.Others = append(to.Others, replication.Member{Name: o.Name, Zone: o.Zone, Alive: o.State.In(), Counted: o.Reference})
 		m.at[o.Name], names[o.Boot] = o.Address, o.Name
 		if o.State.In() {
 			m.shares.peers++
@@ -347,7 +347,7 @@
 	if err != nil && was {
 		out.Send = nil // it tells what is not kept
 		for i := range out.Outcomes {
-			out.Outcomes[i] = replica.Outcome{Dot: out.Outcomes[i].Dot}
+			out.Outcomes[i] = replication.Outcome{Dot: out.Outcomes[i].Dot}
 		}
 	}
 	for i := range out.Send {
@@ -355,8 +355,8 @@
 	}
 	m.mu.Lock()
 	type told struct {
-		done chan replica.Outcome
-		replica.Outcome
+		done chan replication.Outcome
+		replication.Outcome
 	}
 	var ended []told
 	for _, o := range out.Outcomes {
@@ -393,7 +393,7 @@
 }
 
 // keep saves, if there is anything to. While that fails it is tried now and then; what came meanwhile is owed.
-func (m *memory) keep(s *replica.Save) error {
+func (m *memory) keep(s *replication.Save) error {
 	if m.disk == nil {
 		return nil
 	}
@@ -428,11 +428,11 @@
 }
 
 // tell hands changes to those who follow a kind.
-func (m *memory) tell(changed []replica.Record) {
+func (m *memory) tell(changed []replication.Record) {
 	if len(changed) == 0 {
 		return
 	}
-	by := map[uint8][]replica.Record{}
+	by := map[uint8][]replication.Record{}
 	for _, r := range changed {
 		by[r.Kind] = append(by[r.Kind], r)
 	}
@@ -448,7 +448,7 @@
 
 var memoryDecoding = must(cbor.DecOptions{MaxArrayElements: 1 << 18, MaxMapPairs: 64, MaxNestedLevels: 12, UTF8: cbor.UTF8DecodeInvalid}.DecMode())
 
-func (m *memory) send(e *replica.Envelope) {
+func (m *memory) send(e *replication.Envelope) {
 	to := m.at[e.To]
 	text, err := encoding.Marshal(&e.Message)
 	if err != nil || to == "" {
@@ -464,7 +464,7 @@
 
 // take takes another's message. Who it is goes by the boot that it is sealed with, and by nothing that it says of itself.
 func (m *memory) take(boot uint64, text []byte) {
-	var in replica.Message
+	var in replication.Message
 	if err := memoryDecoding.Unmarshal(text, &in); err != nil {
 		m.fleet.Counts.Unusable.Add(1)
 		return
@@ -496,18 +496,18 @@
 				continue
 			}
 			sum := uint64(0)
-			m.each(r.Kind, "", func(o replica.Record) bool {
+			m.each(r.Kind, "", func(o replication.Record) bool {
 				if !o.Dead {
 					t.Number++
 					sum ^= sumOf(o.Key, o.Value)
 				}
 				return true
 			})
-			t.Records = append(t.Records, replica.Record{Kind: r.Kind, Value: binary.BigEndian.AppendUint64(nil, sum)})
+			t.Records = append(t.Records, replication.Record{Kind: r.Kind, Value: binary.BigEndian.AppendUint64(nil, sum)})
 		}
 		return t
 	}
-	var waits []<-chan replica.Outcome
+	var waits []<-chan replication.Outcome
 	for _, r := range q.Records {
 		done, err := m.write(r.Kind, r.Key, r.Value, r.Dead, q.Sure)
 		if err != nil {
@@ -530,7 +530,7 @@
 }
 
 // agree has a command of channels put into the log, by whoever leads; the error tells why it was refused.
-func (f *Fleet) agree(ctx context.Context, c channels.Command) error {
+func (f *Fleet) agree(ctx context.Context, c channel.Command) error {
 	t, err := f.ask(ctx, ask{What: AskCommand, Channels: &c})
 	if err == nil && t.Refused != "" {
 		err = errorOf(t.Refused)
@@ -539,10 +539,10 @@
 }
 
 // agreed gives what is declared, and the line of a channel of total order, as whoever leads has it.
-func (f *Fleet) agreed(ctx context.Context, channel string) (channels.Saved, error) {
-	t, err := f.ask(ctx, ask{What: AskChannels, Duty: channel})
+func (f *Fleet) agreed(ctx context.Context, name string) (channel.Saved, error) {
+	t, err := f.ask(ctx, ask{What: AskChannels, Duty: name})
 	if err != nil || t.Channels == nil {
-		return channels.Saved{}, errors.Join(err, errNoLeader)
+		return channel.Saved{}, errors.Join(err, errNoLeader)
 	}
 	return *t.Channels, nil
 }
--- a/internal/fleet/recall_test.go
+++ b/internal/cluster/recall_test.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"bytes"
@@ -23,9 +23,9 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sync/errgroup"
 
-	"elderwall/fleet/channels"
-	"elderwall/fleet/floors"
-	"elderwall/fleet/replica"
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/purgefloor"
+	"elderwall/core/cluster/replication"
 	"elderwall/internal/standin/need"
 	"elderwall/internal/standin/processes"
 )
@@ -45,7 +45,7 @@
 	})}
 }
 
-func (m *memoryRig) ask(i int, what string, sure replica.Sure, records ...replica.Record) (Told, error) {
+func (m *memoryRig) ask(i int, what string, sure replication.Sure, records ...replication.Record) (Told, error) {
 	k := need.Of(ParseKeys(m.keys[-1]))(m)
 	ctx, cancel := context.WithTimeout(context.Background(), 6*time.Second)
 	defer cancel()
@@ -59,14 +59,14 @@
 
 // write writes keys from one number up to another at a process, and waits until it is as sure as wanted. Where that failed it is repeated with a
 // value that stands over it.
-func (m *memoryRig) write(at, from, to int, value string, sure replica.Sure) {
+func (m *memoryRig) write(at, from, to int, value string, sure replication.Sure) {
 	m.Helper()
 	for from < to {
 		trial, next := 0, min(to, from+1000)
 		m.Until(soon, "records are written", func() error {
-			var all []replica.Record
+			var all []replication.Record
 			for i := from; i < next; i++ {
-				all = append(all, replica.Record{Kind: testKind, Key: key(i), Value: fmt.Append(nil, value, trial), Dead: value == gone})
+				all = append(all, replication.Record{Kind: testKind, Key: key(i), Value: fmt.Append(nil, value, trial), Dead: value == gone})
 			}
 			trial++
 			err := met(m.ask(at, AskWrite, sure, all...))
@@ -81,7 +81,7 @@
 
 // met is what is wrong with what is told of writes.
 func met(told Told, err error) error {
-	at := slices.IndexFunc(told.Ended, func(o replica.Outcome) bool { return !o.Met })
+	at := slices.IndexFunc(told.Ended, func(o replication.Outcome) bool { return !o.Met })
 	if err == nil && (at >= 0 || len(told.Ended) == 0) {
 		err = fmt.Errorf("%+v", told.Ended)
 	}
@@ -90,7 +90,7 @@
 
 // sum is how many records of the test's kind stand at a process, and a sum over them.
 func (m *memoryRig) sum(i int) (n, sum uint64, err error) {
-	t, err := m.ask(i, AskRead, replica.Sure{}, replica.Record{Kind: testKind})
+	t, err := m.ask(i, AskRead, replication.Sure{}, replication.Record{Kind: testKind})
 	if err != nil || len(t.Records) == 0 {
 		return 0, 0, errors.Join(err, errMessage)
 	}
@@ -126,7 +126,7 @@
 }
 
 // kind is the counts of a kind.
-func (s *ToldMemory) kind(name string) (k replica.KindStatus) {
+func (s *ToldMemory) kind(name string) (k replication.KindStatus) {
 	for _, o := range s.Kinds {
 		if o.Kind == name {
 			k = o
@@ -136,7 +136,7 @@
 }
 
 func (m *memoryRig) reads(i, of int) string {
-	t, err := m.ask(i, AskRead, replica.Sure{}, replica.Record{Kind: testKind, Key: key(of)})
+	t, err := m.ask(i, AskRead, replication.Sure{}, replication.Record{Kind: testKind, Key: key(of)})
 	if err != nil || len(t.Records) == 0 {
 		return ""
 	}
@@ -154,10 +154,10 @@
 }
 
 var (
-	here     = replica.Sure{Within: 3}
-	majority = replica.Sure{Level: replica.Majority, Within: 3}
-	three    = replica.Sure{Level: replica.Copies, Copies: 3, Within: 3}
-	two      = replica.Sure{Level: replica.Copies, Copies: 2, Within: 3}
+	here     = replication.Sure{Within: 3}
+	majority = replication.Sure{Level: replication.Majority, Within: 3}
+	three    = replication.Sure{Level: replication.Copies, Copies: 3, Within: 3}
+	two      = replication.Sure{Level: replication.Copies, Copies: 2, Within: 3}
 )
 
 func TestOneIsAwayDuringManyWrites(t *testing.T) {
@@ -280,7 +280,7 @@
 		m := remember(t, 3, "")
 		m.write(2, 0, n, "by it", majority)
 		m.Processes[2].Full(true)
-		doubt := replica.Record{Kind: testKind, Key: key(0), Value: []byte("by it, in doubt")}
+		doubt := replication.Record{Kind: testKind, Key: key(0), Value: []byte("by it, in doubt")}
 		doubt.Value[5] = '~' // above what stands: it may come to stand once there is room
 		_, err := m.ask(2, AskWrite, here, doubt)
 		m.Until(soon, "it refuses", func() error {
@@ -293,7 +293,7 @@
 		require.Error(t, err)
 		m.write(0, n, 2*n, "while it was full", two)
 		m.same(2*n, 0, 1, 2) // it learns, but its word counts for nothing
-		s := need.Of(m.ask(0, AskWrite, replica.Sure{Level: replica.Copies, Copies: 3, Within: 1.5}, replica.Record{Kind: testKind, Key: key(0), Value: []byte("c")}))(t)
+		s := need.Of(m.ask(0, AskWrite, replication.Sure{Level: replication.Copies, Copies: 3, Within: 1.5}, replication.Record{Kind: testKind, Key: key(0), Value: []byte("c")}))(t)
 		require.Equal(t, 2, s.Ended[0].Copies)
 		require.False(t, s.Ended[0].Met)
 		m.serve(2)
@@ -339,7 +339,7 @@
 	for _, c := range saved.Records {
 		if c.Record.Key == key(7) {
 			c.Record.Value = []byte("another")
-			require.NoError(t, s.save(&replica.Save{Era: saved.Era, Records: []replica.Carried{c}, Sync: true}))
+			require.NoError(t, s.save(&replication.Save{Era: saved.Era, Records: []replication.Carried{c}, Sync: true}))
 		}
 	}
 	require.NoError(t, s.close())
@@ -392,11 +392,11 @@
 	twin.Name = holder.Name
 	twin.Start()
 	m.told(4, "ousted", holder.Name)
-	var all []replica.Record
+	var all []replication.Record
 	for i := range 50 {
-		all = append(all, replica.Record{Kind: testKind, Key: key(100 + i), Value: []byte("by the twin")})
+		all = append(all, replication.Record{Kind: testKind, Key: key(100 + i), Value: []byte("by the twin")})
 	}
-	told, err := m.ask(4, AskWrite, replica.Sure{Level: replica.Majority, Within: 1}, all...)
+	told, err := m.ask(4, AskWrite, replication.Sure{Level: replication.Majority, Within: 1}, all...)
 	assert.True(t, err != nil || !told.Ended[0].Met, "it has no majority")
 	twice := 0 // it writes if a member answered before it was ousted; else it can't know what others have of its name, and refuses
 	if told, err = m.ask(4, AskWrite, here, all...); err == nil {
@@ -436,13 +436,13 @@
 	older, number := []string{"ELDERWALL_FAULT_OLDER=yes"}, 0
 	purge := func(at int) {
 		number++
-		k, value, _ := floors.Record(floors.Floor{Object: fmt.Sprint(number), Time: time.Now().UnixMilli()})
+		k, value, _ := purgefloor.Record(purgefloor.Floor{Object: fmt.Sprint(number), Time: time.Now().UnixMilli()})
 		m.Until(soon, "it is written", func() error {
-			return met(m.ask(at, AskWrite, majority, replica.Record{Kind: floors.ID, Key: k, Value: value}))
+			return met(m.ask(at, AskWrite, majority, replication.Record{Kind: purgefloor.ID, Key: k, Value: value}))
 		})
 		for i := range 4 {
 			m.Until(soon, "it is known", func() error {
-				told, err := m.ask(i, AskRead, replica.Sure{}, replica.Record{Kind: floors.ID, Key: k})
+				told, err := m.ask(i, AskRead, replication.Sure{}, replication.Record{Kind: purgefloor.ID, Key: k})
 				return processes.When(err != nil || len(told.Records) != 1, errors.Join(err, errMessage))
 			})
 		}
@@ -451,7 +451,7 @@
 	m.write(0, 0, 500, "by one that knows it", two)
 	purge(0)
 	purge(2)
-	told := need.Of(m.ask(1, AskWrite, replica.Sure{Level: replica.Copies, Copies: 3, Within: 1}, replica.Record{Kind: testKind, Key: key(500), Value: []byte("a")}))(t)
+	told := need.Of(m.ask(1, AskWrite, replication.Sure{Level: replication.Copies, Copies: 3, Within: 1}, replication.Record{Kind: testKind, Key: key(500), Value: []byte("a")}))(t)
 	assert.Equal(t, []any{false, 2}, []any{told.Ended[0].Met, told.Ended[0].Copies}, "two know it")
 	version(nil, 2)
 	m.same(501, 0, 1, 2)
@@ -466,7 +466,7 @@
 	version(nil, 2, 3)
 	m.same(600, 0, 1, 2, 3)
 	for i := range 4 {
-		m.write(i, 700+i, 701+i, "by all", replica.Sure{Level: replica.Copies, Copies: 4, Within: 3})
+		m.write(i, 700+i, 701+i, "by all", replication.Sure{Level: replication.Copies, Copies: 4, Within: 3})
 		s := m.memory(i)
 		assert.False(t, s.kind("test").Lacks || len(s.Strange) > 0)
 	}
@@ -492,14 +492,14 @@
 		})
 	}
 	for _, at := range []int{0, 3} {
-		k, value, _ := floors.Record(floors.Floor{Group: at + 1, Time: time.Now().UnixMilli()})
-		told := need.Of(m.ask(at, AskWrite, replica.Sure{Level: replica.Copies, Copies: 4, Within: 3}, replica.Record{Kind: floors.ID, Key: k, Value: value}))(t)
+		k, value, _ := purgefloor.Record(purgefloor.Floor{Group: at + 1, Time: time.Now().UnixMilli()})
+		told := need.Of(m.ask(at, AskWrite, replication.Sure{Level: replication.Copies, Copies: 4, Within: 3}, replication.Record{Kind: purgefloor.ID, Key: k, Value: value}))(t)
 		assert.True(t, told.Ended[0].Met)
 	}
 	m.Until(soon, "all have the entries", func() error {
 		var first []byte
 		for i := range 4 {
-			told, err := m.ask(i, AskRead, replica.Sure{}, replica.Record{Kind: channels.EntryKind})
+			told, err := m.ask(i, AskRead, replication.Sure{}, replication.Record{Kind: channel.EntryKind})
 			if err != nil || told.Number < 20 {
 				return fmt.Errorf("n%d: %d, %w", i, told.Number, errors.Join(err, errMessage))
 			}
@@ -556,13 +556,13 @@
 			return
 		case <-time.After(20 * time.Millisecond):
 		}
-		records, dead := []replica.Record{}, n%3 == 2 && len(own) > 10
+		records, dead := []replication.Record{}, n%3 == 2 && len(own) > 10
 		for i := range 10 {
 			k := fmt.Sprintf("c%d-%d-%d", at, n, i)
 			if dead {
 				k, own = own[0], own[1:]
 			}
-			records = append(records, replica.Record{Kind: testKind, Key: k, Value: []byte(map[bool]string{true: gone, false: "v"}[dead]), Dead: dead})
+			records = append(records, replication.Record{Kind: testKind, Key: k, Value: []byte(map[bool]string{true: gone, false: "v"}[dead]), Dead: dead})
 		}
 		c.mu.Lock()
 		for _, r := range records {
@@ -571,7 +571,7 @@
 			}
 		}
 		c.mu.Unlock()
-		told, err := c.ask(at, AskWrite, [5]replica.Sure{here, two, majority, majority, majority}[at], records...)
+		told, err := c.ask(at, AskWrite, [5]replication.Sure{here, two, majority, majority, majority}[at], records...)
 		if err != nil {
 			continue
 		}
@@ -651,11 +651,11 @@
 func (c *chaos) wrong() (lost, back []string) {
 	keys := slices.Sorted(maps.Keys(c.acked))
 	for part := range slices.Chunk(keys, 500) {
-		var all []replica.Record
+		var all []replication.Record
 		for _, k := range part {
-			all = append(all, replica.Record{Kind: testKind, Key: k})
+			all = append(all, replication.Record{Kind: testKind, Key: k})
 		}
-		told := need.Of(c.ask(0, AskRead, replica.Sure{}, all...))(c)
+		told := need.Of(c.ask(0, AskRead, replication.Sure{}, all...))(c)
 		has := map[string]bool{}
 		for _, r := range told.Records {
 			has[r.Key] = true
@@ -677,10 +677,10 @@
 	m := remember(t, 3, "")
 	now := time.Now().UnixMilli()
 	m.Changes.Push(fmt.Sprintf(`{"seq":2,"invalidate":{"object":"7f3a9c21e0b4d655","bucket":3,"time":%d}}`, now))
-	k, value, _ := floors.Record(floors.Floor{Object: "7f3a9c21e0b4d655", Time: now})
+	k, value, _ := purgefloor.Record(purgefloor.Floor{Object: "7f3a9c21e0b4d655", Time: now})
 	for i := range 3 {
 		m.Until(soon, "it is known", func() error {
-			t, err := m.ask(i, AskRead, replica.Sure{}, replica.Record{Kind: floors.ID, Key: k})
+			t, err := m.ask(i, AskRead, replication.Sure{}, replication.Record{Kind: purgefloor.ID, Key: k})
 			if err == nil && (len(t.Records) != 1 || string(t.Records[0].Value) != string(value)) {
 				err = fmt.Errorf("%+v", t.Records)
 			}
@@ -688,9 +688,9 @@
 		})
 	}
 	m.Changes.Close() // silent for all
-	k2, value2, _ := floors.Record(floors.Floor{Object: "another", Time: now + 5})
+	k2, value2, _ := purgefloor.Record(purgefloor.Floor{Object: "another", Time: now + 5})
 	before := m.purges(2)
-	need.Of(m.ask(0, AskWrite, two, replica.Record{Kind: floors.ID, Key: k2, Value: value2}))(t)
+	need.Of(m.ask(0, AskWrite, two, replication.Record{Kind: purgefloor.ID, Key: k2, Value: value2}))(t)
 	m.Until(soon, "it is taken", func() error {
 		n := m.purges(2)
 		return processes.When(n != before+1, fmt.Errorf("%d after %d", n, before))
@@ -707,13 +707,13 @@
 	const writers, each = 64, 20
 	folder := t.TempDir()
 	f := need.Of(Open(Settings{Listen: "127.0.0.1:0", Name: "n0", Memory: &Memory{Folder: folder, Horizon: DefaultHorizon, Rate: DefaultRate}}, 1, zerolog.Nop()))(t)
-	f.Kinds(replica.Kind{ID: 251, Name: "own", Records: 10_000, Bytes: 1 << 20, Longest: 100, Sync: true, Law: bytes.Compare})
+	f.Kinds(replication.Kind{ID: 251, Name: "own", Records: 10_000, Bytes: 1 << 20, Longest: 100, Sync: true, Law: bytes.Compare})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- f.Serve(ctx) }()
 	require.Eventually(t, func() bool { return f.memory.status().Writes }, 5*time.Second, time.Millisecond)
-	told := make(chan replica.Record, writers*each)
-	f.memory.subscribe(251, func(all []replica.Record) {
+	told := make(chan replication.Record, writers*each)
+	f.memory.subscribe(251, func(all []replication.Record) {
 		for _, r := range all {
 			told <- r
 		}
@@ -751,7 +751,7 @@
 func TestTheLogKeepsWhatChannelsAgreeOn(t *testing.T) {
 	d := duty(t, 4, 3)
 	k := need.Of(ParseKeys(d.keys[-1]))(t)
-	agree := func(at int, c channels.Command) (why string) {
+	agree := func(at int, c channel.Command) (why string) {
 		d.Until(soon, "the log takes it or says why not", func() error {
 			told, err := askAt(context.Background(), d.Processes[at].Fleet, k, ask{What: AskCommand, Channels: &c})
 			why = told.Refused
@@ -768,18 +768,18 @@
 			return err
 		})
 	}
-	orders := channels.Declaration{Name: "orders", Generation: 1, Order: channels.Total, Told: true, Entries: 100, Bytes: 1 << 20, Seconds: 600, Wait: 2}
-	assert.Empty(t, agree(3, channels.Command{Declare: &orders}))
-	assert.Contains(t, agree(0, channels.Command{Declare: &orders}), "generation")
-	entry := channels.Entry{Channel: "orders", Writer: "w\xfe", Key: "\xff", Number: 1, Body: []byte("first")} // of any bytes: what a voter can't read would end the log
-	assert.Empty(t, agree(1, channels.Command{Channel: "orders", Epoch: 5, Entries: []channels.Entry{entry}}))
-	assert.Empty(t, agree(2, channels.Command{Channel: "orders", Epoch: 5, Entries: []channels.Entry{entry}}), "it comes twice and counts once")
-	assert.Contains(t, agree(1, channels.Command{Channel: "orders", Epoch: 4}), "epoch")
+	orders := channel.Declaration{Name: "orders", Generation: 1, Order: channel.Total, Told: true, Entries: 100, Bytes: 1 << 20, Seconds: 600, Wait: 2}
+	assert.Empty(t, agree(3, channel.Command{Declare: &orders}))
+	assert.Contains(t, agree(0, channel.Command{Declare: &orders}), "generation")
+	entry := channel.Entry{Channel: "orders", Writer: "w\xfe", Key: "\xff", Number: 1, Body: []byte("first")} // of any bytes: what a voter can't read would end the log
+	assert.Empty(t, agree(1, channel.Command{Channel: "orders", Epoch: 5, Entries: []channel.Entry{entry}}))
+	assert.Empty(t, agree(2, channel.Command{Channel: "orders", Epoch: 5, Entries: []channel.Entry{entry}}), "it comes twice and counts once")
+	assert.Contains(t, agree(1, channel.Command{Channel: "orders", Epoch: 4}), "epoch")
 	for i := range 4 {
 		has(i, 2)
 	}
 	d.again(d.all()...)
 	d.whole()
 	has(3, 2)
-	assert.Empty(t, agree(3, channels.Command{Channel: "orders", Epoch: 6, Spread: 1}))
+	assert.Empty(t, agree(3, channel.Command{Channel: "orders", Epoch: 6, Spread: 1}))
 }
--- a/internal/fleet/report.go
+++ b/internal/cluster/report.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"elderwall/fleet/duties"
+	"elderwall/core/cluster/lease"
 )
 
 // Report is the duty to write one summary of the fleet's counters now and then.
@@ -51,14 +51,14 @@
 	if err != nil {
 		return next, err
 	}
-	var d duties.Duty
+	var d lease.Duty
 	for _, o := range told.Duties {
 		if o.Name == Report {
 			d = o.Duty
 		}
 	}
 	number := d.Mark + 1
-	marked, err := f.ask(ctx, ask{What: AskCommand, Commands: []duties.Command{{Act: duties.Mark, Duty: Report, Token: token, Number: number}}})
+	marked, err := f.ask(ctx, ask{What: AskCommand, Commands: []lease.Command{{Act: lease.Mark, Duty: Report, Token: token, Number: number}}})
 	if err != nil || !marked.Changed {
 		return next, err
 	}
@@ -74,7 +74,7 @@
 		line = line.Int64(key, sums[key])
 	}
 	line.Msg("fleet report")
-	_, err = f.ask(ctx, ask{What: AskCommand, Commands: []duties.Command{{Act: duties.Told, Duty: Report, Number: number}}})
+	_, err = f.ask(ctx, ask{What: AskCommand, Commands: []lease.Command{{Act: lease.Told, Duty: Report, Number: number}}})
 	return next, err
 }
 
--- a/internal/fleet/transport_test.go
+++ b/internal/cluster/transport_test.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"bufio"
@@ -17,7 +17,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"elderwall/fleet/channels"
+	"elderwall/core/cluster/channel"
 	"elderwall/internal/contract"
 	"elderwall/internal/standin/need"
 )
@@ -33,7 +33,7 @@
 	{Name: "streams", Pair: pairOf(anyKind, true), Longest: longestStream - sealLength, Unordered: eachAlone},
 	{Name: "council's", Pair: pairOf(sealedRaft, false), Longest: longestStream - sealLength - raftHead - 32, Over: 64, Unordered: eachAlone},
 	{Name: "questions", Pair: questions, Longest: longestAsk*3/4 - 256, Over: 1 << 10, Flood: 500},
-	{Name: "a reader's notes", Pair: notes, Longest: channels.MostBody}}
+	{Name: "a reader's notes", Pair: notes, Longest: channel.MostBody}}
 
 const eachAlone = "each is a datagram or a stream of its own; the machines number what needs an order"
 
@@ -158,7 +158,7 @@
 	<-serves
 	t.Cleanup(func() { _ = from.Close() })
 	need.Soon(t, func() bool { return f.memory.status().Writes }, "the memory takes writes")
-	f.following.take(&channels.Saved{Declared: []channels.Declaration{{Name: "c", Generation: 1, Order: channels.BySender, Told: true, Entries: 100, Bytes: 4 << 20, Seconds: 600, Wait: 1}}})
+	f.following.take(&channel.Saved{Declared: []channel.Declaration{{Name: "c", Generation: 1, Order: channel.BySender, Told: true, Entries: 100, Bytes: 4 << 20, Seconds: 600, Wait: 1}}})
 	at := f.Address
 	if w != nil {
 		l := need.Of(net.Listen("tcp", "127.0.0.1:0"))(t)
@@ -171,7 +171,7 @@
 			}
 		}()
 	}
-	s := need.Of(AskNotes(ctx, at, f.Keys, channels.Ask{Channel: "c"}))(t)
+	s := need.Of(AskNotes(ctx, at, f.Keys, channel.Ask{Channel: "c"}))(t)
 	to := &noteSeer{s, make(chan []byte), make(chan struct{}), make(chan struct{}), &sync.Once{}}
 	go to.read()
 	t.Cleanup(func() { _ = to.Close() })
@@ -190,7 +190,7 @@
 	w := n.following
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	_, err := w.machine.Write(n.dutyNow(), channels.Entry{Channel: "c", Writer: "w", Number: n.number + 1, Body: text})
+	_, err := w.machine.Write(n.dutyNow(), channel.Entry{Channel: "c", Writer: "w", Number: n.number + 1, Body: text})
 	if err == nil {
 		n.number++
 		poke(w.wake)
--- a/internal/fleet/user_test.go
+++ b/internal/cluster/user_test.go
@@ -1,15 +1,15 @@
-package fleet_test
+package cluster_test
 
 import (
 	"context"
 
 	"elderwall/client"
-	"elderwall/fleet/channels"
-	"elderwall/internal/fleet"
+	"elderwall/core/cluster/channel"
+	"elderwall/internal/cluster"
 )
 
 func init() {
-	fleet.UserOf = func(addresses []string, key string) fleet.User {
+	cluster.UserOf = func(addresses []string, key string) cluster.User {
 		f, err := client.OpenKey(addresses, key)
 		if err != nil {
 			panic(err)
@@ -25,7 +25,7 @@
 				return p.Publish(ctx, all...)
 			}
 		}
-		return fleet.User{Follow: f.Follow, Declare: func(ctx context.Context, d channels.Declaration) error { return f.Declare(ctx, d) }, After: after,
+		return cluster.User{Follow: f.Follow, Declare: func(ctx context.Context, d channel.Declaration) error { return f.Declare(ctx, d) }, After: after,
 			Writer: func(channel, writer string) func(context.Context, string, ...string) error {
 				return after(channel, writer, nil)
 			}}
--- a/internal/fleet/variants_test.go
+++ b/internal/cluster/variants_test.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"context"
@@ -17,8 +17,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"elderwall/fleet/channels"
-	"elderwall/fleet/variants"
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/variant"
 	"elderwall/internal/standin"
 	"elderwall/internal/standin/need"
 	"elderwall/internal/standin/processes"
@@ -178,21 +178,21 @@
 const first, second = "00000000000000a1", "00000000000000b2"
 
 // holder is variants that have one fact to tell, one notice, and keep nothing.
-type holder struct{ fact []variants.Fact }
+type holder struct{ fact []variant.Fact }
 
-func (h *holder) Facts(int) (f []variants.Fact)      { f, h.fact = h.fact, nil; return f }
-func (*holder) Learn(float64, []variants.Fact)       {}
-func (*holder) Keep(_ *variants.Fact, own bool) bool { return !own }
+func (h *holder) Facts(int) (f []variant.Fact)      { f, h.fact = h.fact, nil; return f }
+func (*holder) Learn(float64, []variant.Fact)       {}
+func (*holder) Keep(_ *variant.Fact, own bool) bool { return !own }
 func (*holder) Peers(int)                            {}
-func (*holder) Notices() []variants.Notice           { return []variants.Notice{{Class: 1}} }
+func (*holder) Notices() []variant.Notice           { return []variant.Notice{{Class: 1}} }
 
 // What is told is written; what its teller does not keep is deleted, so that the kind's bound holds.
 func TestFactsThatAreOfNoUseAreDeleted(t *testing.T) {
 	f := need.Of(Open(Settings{Listen: "127.0.0.1:0", Name: "n0", Memory: &Memory{Horizon: DefaultHorizon, Rate: DefaultRate}}, 1, zerolog.Nop()))(t)
-	fact := variants.Fact{Object: variants.Object{Object: 7, Part: 3}, Witness: "n0/1", Proof: 5}
-	noticed := make(chan variants.Notice, 1)
-	f.TakeVariants(&holder{[]variants.Fact{fact}}, func() float64 { return 1 })
-	f.Notices(func(all []variants.Notice) {
+	fact := variant.Fact{Object: variant.Object{Object: 7, Part: 3}, Witness: "n0/1", Proof: 5}
+	noticed := make(chan variant.Notice, 1)
+	f.TakeVariants(&holder{[]variant.Fact{fact}}, func() float64 { return 1 })
+	f.Notices(func(all []variant.Notice) {
 		select {
 		case noticed <- all[0]:
 		default:
@@ -208,8 +208,8 @@
 	assert.Equal(t, 1, (<-noticed).Class)
 	cancel()
 	require.NoError(t, <-ended)
-	assert.NoError(t, variants.CheckFact(variants.FactKey(&fact), variants.EncodeFact(&fact)))
-	assert.Error(t, variants.CheckFact("another", variants.EncodeFact(&fact)))
+	assert.NoError(t, variant.CheckFact(variant.FactKey(&fact), variant.EncodeFact(&fact)))
+	assert.Error(t, variant.CheckFact("another", variant.EncodeFact(&fact)))
 }
 
 // A join that one has found is at work at others that never saw one of the classes, also at one that was killed and started.
@@ -339,7 +339,7 @@
 // A join that one dispatcher finds out is told in the channel of variants at another; so is the split by what only a third saw.
 func TestJoinsAndSplitsAreTold(t *testing.T) {
 	v := &variantRig{truth: map[string][]map[string]string{}, kept: map[string]fill{}, asked: map[string]int{}}
-	c := channel(t, 3, 3, func(m *memberRig) {
+	c := newChannelRig(t, 3, 3, func(m *memberRig) {
 		m.Answer = func(a standin.Ask) string { return v.answer(0, a) }
 		for i := range m.Processes {
 			m.more[i] += ", " + fmt.Sprintf(declaredVariants, 1)
@@ -351,9 +351,9 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		_, _ = c.at(2).Follow(ctx, VariantsChannel, 0, "", func(n channels.Note) error {
+		_, _ = c.at(2).Follow(ctx, VariantsChannel, 0, "", func(n channel.Note) error {
 			var j joined
-			if n.Word == channels.Shown && json.Unmarshal(n.Entry.Body, &j) == nil && j.Object == first {
+			if n.Word == channel.Shown && json.Unmarshal(n.Entry.Body, &j) == nil && j.Object == first {
 				switch {
 				case !j.Split && j.Class != j.Standing:
 					told.CompareAndSwap(0, 1)
--- a/internal/fleet/voter.go
+++ b/internal/cluster/voter.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"context"
@@ -18,11 +18,11 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"elderwall/fleet/budgets"
-	"elderwall/fleet/channels"
-	"elderwall/fleet/duties"
-	"elderwall/fleet/members"
-	"elderwall/internal/fleet/council"
+	"elderwall/core/cluster/quota"
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/lease"
+	"elderwall/core/cluster/membership"
+	"elderwall/internal/cluster/raftvoter"
 )
 
 const (
@@ -50,31 +50,31 @@
 	fleet    *Fleet
 	folder   string
 	disk     *disk
-	machine  *council.Machine // nil before it takes part
+	machine  *raftvoter.Machine // nil before it takes part
 	admitted bool             // others have said that the disk is no old copy
 	asked    time.Time
 	bumped   time.Time
 	opened   time.Time // when the disk was last opened anew
 	shown    time.Time
 	in       chan func()
-	waits    map[uint64]chan council.Done // proposals, by number
+	waits    map[uint64]chan raftvoter.Done // proposals, by number
 	known    atomic.Pointer[known]
 }
 
 // known is what others may read of a voter at any time.
 type known struct {
-	Status  council.Status
-	Vote    members.Vote
+	Status  raftvoter.Status
+	Vote    membership.Vote
 	Leader  uint64
 	Admit   bool
 	Applied uint64 // the index of the last entry that State has
-	State   duties.Saved
+	State   lease.Saved
 	Rest    map[string]float64
 	Problem string
 }
 
 func newVoter(f *Fleet, folder string) *voter {
-	v := &voter{fleet: f, folder: folder, in: make(chan func(), voterQueue), waits: map[uint64]chan council.Done{}}
+	v := &voter{fleet: f, folder: folder, in: make(chan func(), voterQueue), waits: map[uint64]chan raftvoter.Done{}}
 	v.known.Store(&known{})
 	return v
 }
@@ -93,7 +93,7 @@
 }
 
 func (v *voter) begin() error {
-	m, err := council.New(v.disk.kept, v.disk, v.fleet.dutyNow(), quietRaft)
+	m, err := raftvoter.New(v.disk.kept, v.disk, v.fleet.dutyNow(), quietRaft)
 	if err != nil {
 		return fmt.Errorf("voter: %w", err)
 	}
@@ -169,7 +169,7 @@
 	if !v.admitted { // guards against a leader that books the new era before this one has asked about it: it would pass for an old copy
 		era--
 	}
-	s := &known{Status: v.machine.Status(), Vote: members.Vote{ID: k.ID, Council: k.Council, Era: era, Recovery: k.Recovery}, Leader: v.machine.Leader(),
+	s := &known{Status: v.machine.Status(), Vote: membership.Vote{ID: k.ID, Council: k.Council, Era: era, Recovery: k.Recovery}, Leader: v.machine.Leader(),
 		Admit: v.admitted, Applied: v.machine.Applied()}
 	if was := v.known.Load(); was.Applied == s.Applied && was.Vote.ID == k.ID { // nothing has changed since
 		s.State = was.State
@@ -270,17 +270,17 @@
 }
 
 // willing is who would vote in this log.
-func (v *voter) willing() (all []duties.Willing) {
+func (v *voter) willing() (all []lease.Willing) {
 	me := v.disk.kept
-	all = append(all, duties.Willing{Seat: duties.Seat{ID: me.ID, Name: v.fleet.Name, Era: me.Era}, Alive: true})
+	all = append(all, lease.Willing{Seat: lease.Seat{ID: me.ID, Name: v.fleet.Name, Era: me.Era}, Alive: true})
 	v.fleet.mu.Lock()
 	defer v.fleet.mu.Unlock()
 	for _, m := range v.fleet.machine.Members() {
 		if o := m.Vote; o.ID != 0 && (o.Council == me.Council || o.Council == 0) {
-			all = append(all, duties.Willing{Seat: duties.Seat{ID: o.ID, Name: m.Name, Era: o.Era}, Alive: m.State == members.Alive})
+			all = append(all, lease.Willing{Seat: lease.Seat{ID: o.ID, Name: m.Name, Era: o.Era}, Alive: m.State == membership.Alive})
 		}
 	}
-	slices.SortFunc(all, func(a, b duties.Willing) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(all, func(a, b lease.Willing) int { return strings.Compare(a.Name, b.Name) })
 	return all
 }
 
@@ -300,7 +300,7 @@
 		}
 	}
 	for _, a := range out.Answer {
-		a.To.(func(council.Answered))(a)
+		a.To.(func(raftvoter.Answered))(a)
 	}
 	for _, e := range out.Events {
 		s := v.machine.Status()
@@ -379,13 +379,13 @@
 }
 
 // propose puts commands into the log, and tells whether they changed anything.
-func (v *voter) propose(ctx context.Context, commands []duties.Command, ledger *budgets.Command, streams *channels.Command) (changed bool, err error) {
+func (v *voter) propose(ctx context.Context, commands []lease.Command, ledger *quota.Command, streams *channel.Command) (changed bool, err error) {
 	for i := range commands {
 		if err := commands[i].Check(); err != nil {
 			return false, err
 		}
 	}
-	wait, failed := make(chan council.Done, 1), make(chan error, 1)
+	wait, failed := make(chan raftvoter.Done, 1), make(chan error, 1)
 	if !v.do(func() {
 		if v.machine == nil {
 			failed <- errNoLeader
@@ -401,7 +401,7 @@
 		return false, errBusy
 	}
 	// Guards against proposals of a leadership that was lost, which never come: nobody waits for them for good.
-	defer v.do(func() { maps.DeleteFunc(v.waits, func(_ uint64, c chan council.Done) bool { return c == wait }) })
+	defer v.do(func() { maps.DeleteFunc(v.waits, func(_ uint64, c chan raftvoter.Done) bool { return c == wait }) })
 	select {
 	case done := <-wait:
 		if done.Why != nil {
@@ -453,10 +453,10 @@
 
 // recover begins a new log with what this voter has of the old one, whose majority is lost for good.
 func (v *voter) recover() error {
-	return v.anew(v.disk.kept.Recovery+1, func(s *duties.State) { s.Apply(duties.Command{Act: duties.Skip}) })
+	return v.anew(v.disk.kept.Recovery+1, func(s *lease.State) { s.Apply(lease.Command{Act: lease.Skip}) })
 }
 
-func (v *voter) anew(recovery uint32, change func(*duties.State)) error {
+func (v *voter) anew(recovery uint32, change func(*lease.State)) error {
 	if v.machine == nil {
 		return errors.New("this dispatcher does not vote")
 	}
@@ -470,8 +470,8 @@
 			return errors.New("there is a log already")
 		}
 	}
-	state := duties.Restore(v.machine.State().Save())
-	ledger, streams := budgets.Restore(v.machine.Ledger().Save()), channels.Restore(v.machine.Channels().Save())
+	state := lease.Restore(v.machine.State().Save())
+	ledger, streams := quota.Restore(v.machine.Ledger().Save()), channel.Restore(v.machine.Channels().Save())
 	status := v.machine.Status()
 	if change != nil {
 		change(state)
@@ -489,7 +489,7 @@
 	_, _ = rand.Read(drawn[:])
 	k := &v.disk.kept
 	k.Council, k.Recovery = binary.BigEndian.Uint64(drawn[:])|1, recovery
-	hard, snapshot, err := council.Found(k.ID, state, ledger, streams, status.Term+1, status.Commit+1)
+	hard, snapshot, err := raftvoter.Found(k.ID, state, ledger, streams, status.Term+1, status.Commit+1)
 	if err == nil {
 		err = errors.Join(v.disk.Save(hard, nil, snapshot), v.disk.tell())
 	}
@@ -508,7 +508,7 @@
 	defer f.mu.Unlock()
 	all := map[uint64]string{}
 	for _, m := range f.machine.Members() {
-		if m.Vote.ID != 0 && m.State != members.Left {
+		if m.Vote.ID != 0 && m.State != membership.Left {
 			all[m.Vote.ID] = m.Address
 		}
 	}
@@ -521,7 +521,7 @@
 }
 
 // votes is what the others tell of their votes.
-func (f *Fleet) votes() (all []members.Vote) {
+func (f *Fleet) votes() (all []membership.Vote) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, m := range f.machine.Members() {
--- a/internal/fleet/wire.go
+++ b/internal/cluster/wire.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"elderwall/fleet/members"
+	"elderwall/core/cluster/membership"
 )
 
 // Versions of the wire. Each process tells its own in its record, and reads both.
@@ -28,7 +28,7 @@
 	Wire        uint8        `cbor:"8,keyasint,omitempty"`
 	Version     uint32       `cbor:"9,keyasint,omitempty"`
 	Generation  uint32       `cbor:"10,keyasint,omitempty"`
-	Load        members.Load `cbor:"11,keyasint,omitempty"`
+	Load        membership.Load `cbor:"11,keyasint,omitempty"`
 	Counted     bool         `cbor:"12,keyasint,omitempty"`
 	Vote        *vote        `cbor:"13,keyasint,omitempty"`
 }
@@ -61,7 +61,7 @@
 var (
 	encoding = must(cbor.EncOptions{}.EncMode())
 	decoding = must( // keys of records are bytes of any kind
-		cbor.DecOptions{MaxArrayElements: members.Most, MaxMapPairs: 64, MaxNestedLevels: 8, UTF8: cbor.UTF8DecodeInvalid}.DecMode())
+		cbor.DecOptions{MaxArrayElements: membership.Most, MaxMapPairs: 64, MaxNestedLevels: 8, UTF8: cbor.UTF8DecodeInvalid}.DecMode())
 )
 
 func must[T any](v T, err error) T {
@@ -74,7 +74,7 @@
 var errMessage = errors.New("no usable message")
 
 // encode writes a message in a version of the wire.
-func encode(m *members.Message, wire uint8) ([]byte, error) {
+func encode(m *membership.Message, wire uint8) ([]byte, error) {
 	out := message{Wire: wire, Kind: uint8(m.Kind), From: recordOf(&m.From, wire), Seq: m.Seq, Wants: m.Wants}
 	if m.Target.Name != "" {
 		target := recordOf(&m.Target, wire)
@@ -93,7 +93,7 @@
 	return b, nil
 }
 
-func recordOf(m *members.Member, wire uint8) record {
+func recordOf(m *membership.Member, wire uint8) record {
 	r := record{Name: m.Name, Address: m.Address, Zone: m.Zone, Boot: m.Boot, Incarnation: m.Incarnation, State: uint8(m.State), By: m.By,
 		Wire: m.Wire}
 	if wire >= Wire2 {
@@ -106,15 +106,15 @@
 }
 
 // decode reads a message of any version; what it can't be is an error.
-func decode(b []byte) (m members.Message, err error) {
+func decode(b []byte) (m membership.Message, err error) {
 	var in message
 	if err := decoding.Unmarshal(b, &in); err != nil {
 		return m, fmt.Errorf("%w: %w", errMessage, err)
 	}
-	if in.Wire == 0 || in.Kind == 0 || in.Kind > uint8(members.Refused) || in.From.Name == "" || in.From.Address == "" {
+	if in.Wire == 0 || in.Kind == 0 || in.Kind > uint8(membership.Refused) || in.From.Name == "" || in.From.Address == "" {
 		return m, errMessage
 	}
-	m = members.Message{Kind: members.Kind(in.Kind), From: in.From.member(), Seq: in.Seq, Wants: in.Wants, Digest: in.Digest, Sees: in.Sees,
+	m = membership.Message{Kind: membership.Kind(in.Kind), From: in.From.member(), Seq: in.Seq, Wants: in.Wants, Digest: in.Digest, Sees: in.Sees,
 		Fleet: in.Fleet, Reference: in.Reference, Of: in.Of}
 	if in.Wire < Wire2 { // it tells no view: what it has is taken for what is known here
 		m.Sees = true
@@ -128,12 +128,12 @@
 	return m, nil
 }
 
-func (r *record) member() members.Member {
-	m := members.Member{Name: r.Name, Address: r.Address, Zone: r.Zone, Boot: r.Boot, Incarnation: r.Incarnation,
-		State: members.State(min(r.State, uint8(members.Left))), By: r.By, Wire: r.Wire, Version: r.Version, Generation: r.Generation, Load: r.Load,
+func (r *record) member() membership.Member {
+	m := membership.Member{Name: r.Name, Address: r.Address, Zone: r.Zone, Boot: r.Boot, Incarnation: r.Incarnation,
+		State: membership.State(min(r.State, uint8(membership.Left))), By: r.By, Wire: r.Wire, Version: r.Version, Generation: r.Generation, Load: r.Load,
 		Counted: r.Counted}
 	if v := r.Vote; v != nil {
-		m.Vote = members.Vote{ID: v.ID, Council: v.Council, Era: v.Era, Recovery: v.Recovery}
+		m.Vote = membership.Vote{ID: v.ID, Council: v.Council, Era: v.Era, Recovery: v.Recovery}
 	}
 	return m
 }
--- a/internal/strict/strict.go
+++ b/internal/configfile/strict.go
@@ -1,6 +1,6 @@
-// Package strict decodes Jsonnet files of ours: an unknown key, a missing unit or a value out of range is a fault, told with
+// Package configfile decodes Jsonnet files of ours: an unknown key, a missing unit or a value out of range is a fault, told with
 // its key and, where the file spells it out, its line. All faults come at once.
-package strict
+package configfile
 
 import (
 	"cmp"
--- a/internal/node/door.go
+++ b/internal/dispatcher/door.go
@@ -1,4 +1,4 @@
-package node
+package dispatcher
 
 import (
 	"errors"
@@ -6,10 +6,10 @@
 	"math"
 	"slices"
 
-	"elderwall/control"
+	"elderwall/core/routing"
 	"elderwall/internal/call"
-	"elderwall/internal/lines"
-	"elderwall/stages/callers"
+	"elderwall/internal/hostproto"
+	"elderwall/core/admission"
 )
 
 // Process takes a GET of any front. It passes the gate, where there is one, and goes to the module.
@@ -37,13 +37,13 @@
 }
 
 // gated answers a GET that the gate does not pass on.
-func (n *Node) gated(c call.Call, in call.GET, service int) (ticket callers.Ticket, passed bool) {
+func (n *Node) gated(c call.Call, in call.GET, service int) (ticket admission.Ticket, passed bool) {
 	if n.Gate == nil {
 		return ticket, true
 	}
 	ticket, refusal, wait := n.Gate.Admit(in, service)
 	switch {
-	case refusal == callers.Passed:
+	case refusal == admission.Passed:
 		return ticket, true
 	case refusal.Shed():
 		n.Options.Counts.GateShed.Add(1)
@@ -56,7 +56,7 @@
 }
 
 // enter hands a GET to the module, unless it can't be held.
-func (n *Node) enter(now float64, c call.Call, in call.GET, g control.GET, ticket callers.Ticket) {
+func (n *Node) enter(now float64, c call.Call, in call.GET, g routing.GET, ticket admission.Ticket) {
 	if !c.Open() { // it waited in line, and word of its client's end came before it or is behind it
 		n.Options.Counts.GivenUp.Add(1)
 		n.settleGate(ticket, false)
@@ -78,7 +78,7 @@
 	for n.lastID++; n.gets[n.lastID] != nil; n.lastID++ {
 	}
 	g.ID, g.ViewerTimeout = n.lastID, now+g.ViewerTimeout
-	request := lines.Request{ID: in.ID, Service: in.Service, Object: in.Object, Part: in.PartText, Tag: in.Tag, Body: in.Body,
+	request := hostproto.Request{ID: in.ID, Service: in.Service, Object: in.Object, Part: in.PartText, Tag: in.Tag, Body: in.Body,
 		IdempotencyKey: in.IdempotencyKey}
 	held := &get{id: g.ID, call: c, ticket: ticket, request: request, from: now, until: g.ViewerTimeout, asks: g}
 	n.gets[held.id], n.byCall[c], n.byID[in.ID] = held, held, held
@@ -95,8 +95,8 @@
 var errGET = errors.New("unusable GET")
 
 // read makes a GET of the module's of what a front has read; its viewer timeout is still that from now on.
-func (n *Node) read(in call.GET) (control.GET, error) {
-	g := control.GET{Service: slices.Index(n.Settings.Services, in.Service), Object: in.Object, Group: in.Group,
+func (n *Node) read(in call.GET) (routing.GET, error) {
+	g := routing.GET{Service: slices.Index(n.Settings.Services, in.Service), Object: in.Object, Group: in.Group,
 		Part: in.Part, ViewerTimeout: in.Budget}
 	switch {
 	case in.Err != nil:
--- a/internal/node/hosts.go
+++ b/internal/dispatcher/hosts.go
@@ -1,4 +1,4 @@
-package node
+package dispatcher
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
-	"elderwall/control"
-	"elderwall/hosts"
+	"elderwall/core/routing"
+	"elderwall/core/endpoints"
 	"elderwall/internal/changelog"
 	"elderwall/internal/clock"
 	"elderwall/internal/upstream"
@@ -19,24 +19,24 @@
 type host struct {
 	*upstream.Host
 	name, address string
-	phase         control.Phase
+	phase         routing.Phase
 	told          changelog.Host // as the list had it last
 }
 
 const mostLines = 32 // log lines for one list; where it changes more hosts, one line sums them up
 
-var phases = map[string]control.Phase{
-	"SERVING": control.Ready, "DRAINING": control.Draining, "DELETED": control.Gone,
+var phases = map[string]routing.Phase{
+	"SERVING": routing.Ready, "DRAINING": routing.Draining, "DELETED": routing.Gone,
 }
 
 // fleet takes a list of hosts or changes to it.
 func (n *Node) fleet(now float64, list changelog.Fleet) {
-	form, named := control.Changes, map[uint32]bool{}
+	form, named := routing.Changes, map[uint32]bool{}
 	if list.Reset {
-		form = control.Complete
+		form = routing.Complete
 	}
 	n.many = len(list.Hosts) > mostLines
-	var entries []control.HostEntry
+	var entries []routing.HostEntry
 	for _, told := range list.Hosts {
 		e, err := n.entry(told, len(list.Hosts))
 		if err != nil {
@@ -52,14 +52,14 @@
 	}
 	for id, h := range n.hosts {
 		if list.Reset && !named[id] {
-			n.phase(h, id, control.Gone)
+			n.phase(h, id, routing.Gone)
 		}
 	}
 	if list.Reset {
 		n.listed.Store(true)
 	}
 	n.share()
-	n.recall(func(f *forward) bool { return f.to.phase != control.Ready || f.from.phase != control.Ready })
+	n.recall(func(f *forward) bool { return f.to.phase != routing.Ready || f.from.phase != routing.Ready })
 }
 
 // changes is what a list says that is not known yet, with the hosts that are gone by it. Of a host that it names twice
@@ -70,12 +70,12 @@
 		last[told.ID] = i
 	}
 	for i, told := range list.Hosts {
-		if h := n.hosts[n.hostID(told.ID)]; last[told.ID] == i && (h == nil || h.told != told || h.phase == control.Gone) {
+		if h := n.hosts[n.hostID(told.ID)]; last[told.ID] == i && (h == nil || h.told != told || h.phase == routing.Gone) {
 			all = append(all, told)
 		}
 	}
 	for _, h := range n.hosts {
-		if _, named := last[h.name]; list.Reset && !named && h.phase != control.Gone {
+		if _, named := last[h.name]; list.Reset && !named && h.phase != routing.Gone {
 			all = append(all, changelog.Host{ID: h.name, State: "DELETED"})
 		}
 	}
@@ -83,15 +83,15 @@
 }
 
 // entry is a host as the module knows it, with connections of its own; it was listed together with others.
-func (n *Node) entry(told changelog.Host, together int) (control.HostEntry, error) {
+func (n *Node) entry(told changelog.Host, together int) (routing.HostEntry, error) {
 	phase, known := phases[told.State]
-	e := control.HostEntry{ID: n.hostID(told.ID), Zone: slices.Index(n.Settings.Zones, told.Zone),
+	e := routing.HostEntry{ID: n.hostID(told.ID), Zone: slices.Index(n.Settings.Zones, told.Zone),
 		Kind: slices.Index(n.Settings.Kinds, told.Kind), Cell: told.Cell, Phase: phase, Weight: told.Weight}
 	if !known || told.ID == "" || strings.ContainsAny(told.ID, " ,=\r\n") { // which a request could not carry
 		return e, fmt.Errorf("state %q, id %q", told.State, told.ID)
 	}
 	h := n.hosts[e.ID]
-	if phase == control.Gone {
+	if phase == routing.Gone {
 		if h != nil {
 			n.phase(h, e.ID, phase)
 		}
@@ -103,12 +103,12 @@
 	if told.StartedAtMs != 0 {
 		e.OnlineSince, e.OnlineSinceIsTold = n.startedAt(told), true
 	}
-	if h == nil || h.phase == control.Gone || h.address != told.Address {
+	if h == nil || h.phase == routing.Gone || h.address != told.Address {
 		if h != nil {
-			h.phase = control.Gone // what was to go to this address does not
+			h.phase = routing.Gone // what was to go to this address does not
 			h.Leave()
 		}
-		wait := clock.Duration(hosts.First(n.Settings.Settings.Seed, e.ID, together))
+		wait := clock.Duration(endpoints.First(n.Settings.Settings.Seed, e.ID, together))
 		h = &host{Host: upstream.New(told.Address, n.Options, wait), name: told.ID, address: told.Address}
 		n.hosts[e.ID] = h
 	}
@@ -126,20 +126,20 @@
 }
 
 // phase books what the list says of a host, with a log line where that is new.
-func (n *Node) phase(h *host, id uint32, phase control.Phase) {
+func (n *Node) phase(h *host, id uint32, phase routing.Phase) {
 	if phase == h.phase {
 		return
 	}
 	h.phase = phase
 	defer func() {
-		if phase == control.Gone {
+		if phase == routing.Gone {
 			h.Leave()
 		}
 	}()
 	if n.many {
 		return
 	}
-	word := map[control.Phase]string{control.Ready: "ready", control.Draining: "draining", control.Gone: "gone"}[phase]
+	word := map[routing.Phase]string{routing.Ready: "ready", routing.Draining: "draining", routing.Gone: "gone"}[phase]
 	n.Options.Log.Info().Str("host", h.name).Uint32("id", id).Str("address", h.address).Msg("host is " + word)
 }
 
@@ -160,7 +160,7 @@
 // sweep closes idle connections, and forgets hosts that are gone and have none left.
 func (n *Node) sweep() {
 	for id, h := range n.hosts {
-		if h.phase != control.Gone {
+		if h.phase != routing.Gone {
 			h.Sweep(time.Now())
 		} else if h.Leave() {
 			delete(n.hosts, id)
--- a/internal/node/joint.go
+++ b/internal/dispatcher/joint.go
@@ -1,36 +1,36 @@
-package node
+package dispatcher
 
 import (
-	"elderwall/control"
+	"elderwall/core/routing"
 	"elderwall/internal/call"
-	"elderwall/stages/joint"
+	"elderwall/core/coalescing"
 )
 
 // newJoint is an empty table, nil where no GETs share a forward.
-func (n *Node) newJoint() *joint.Table[*get] {
+func (n *Node) newJoint() *coalescing.Table[*get] {
 	if n.Joins == nil {
 		return nil
 	}
-	return joint.New[*get]()
+	return coalescing.New[*get]()
 }
 
 // follows tells whether a GET waits for what another is at. Those that hold a copy, carry a body, are sent by a proxy, or
 // must not run twice are alone.
 func (n *Node) follows(now float64, g *get) bool {
 	s := g.asks.Service
-	if n.joint == nil || s >= len(n.Joins) || !n.Joins[s] || n.Settings.Settings.Services[s].Effect != control.Idempotent ||
+	if n.joint == nil || s >= len(n.Joins) || !n.Joins[s] || n.Settings.Settings.Services[s].Effect != routing.Idempotent ||
 		g.request.Tag != "" || len(g.request.Body) > 0 {
 		return false
 	}
 	if _, routed := g.call.(call.Router); routed {
 		return false
 	}
-	key := joint.Key{Service: s, Part: g.asks.Part, Group: g.asks.Group, Object: g.asks.Object}
+	key := coalescing.Key{Service: s, Part: g.asks.Part, Group: g.asks.Group, Object: g.asks.Object}
 	if g.variant.Declared { // else the first class, whose name is the object's, would get what is sent for who names none
 		key.Service = ^s
 	}
 	w, role := n.joint.Enter(now, key, g.until, g)
-	if g.waiter = w; role == joint.Follows {
+	if g.waiter = w; role == coalescing.Follows {
 		n.Options.Counts.Joined.Add(1)
 		return true
 	}
@@ -55,7 +55,7 @@
 		return
 	}
 	now := n.Clock.Now()
-	answered, _ := n.joint.Ended(now, g.waiter, joint.Served)
+	answered, _ := n.joint.Ended(now, g.waiter, coalescing.Served)
 	for _, o := range answered {
 		if o.over || n.Variants != nil && n.turnedVariant(now, o, of) {
 			continue
@@ -73,7 +73,7 @@
 }
 
 // ends takes the end of a leader that got nothing: those that wait have the same, or one of them goes on.
-func (n *Node) ends(g *get, how joint.How, answer func(*get)) {
+func (n *Node) ends(g *get, how coalescing.How, answer func(*get)) {
 	if g.waiter == nil || n.joint == nil {
 		return
 	}
--- a/internal/node/late_test.go
+++ b/internal/dispatcher/late_test.go
@@ -1,4 +1,4 @@
-package node
+package dispatcher
 
 import (
 	"testing"
--- a/internal/node/left.go
+++ b/internal/dispatcher/left.go
@@ -1,6 +1,6 @@
-package node
+package dispatcher
 
-import "elderwall/control"
+import "elderwall/core/routing"
 
 // left tells whether a GET's client no longer waits, and word of that has not come here yet: it may be in line behind what stands still. Any
 // goroutine may ask.
@@ -26,7 +26,7 @@
 	for _, f := range g.forwards {
 		if !f.back && f.takeBack() {
 			n.Options.Counts.Recalled.Add(1)
-			n.back(f, control.Answer{Outcome: control.Recalled})
+			n.back(f, routing.Answer{Outcome: routing.Recalled})
 		}
 	}
 }
--- a/internal/node/node.go
+++ b/internal/dispatcher/node.go
@@ -1,6 +1,6 @@
-// Package node is the adapter between the decision module and sockets: it turns what was read straight into
+// Package dispatcher is the adapter between the decision module and sockets: it turns what was read straight into
 // calls on the module, and the module's answers into messages on connections. It decides nothing.
-package node
+package dispatcher
 
 import (
 	"context"
@@ -13,17 +13,17 @@
 	"sync/atomic"
 	"time"
 
-	"elderwall/control"
-	"elderwall/hosts"
+	"elderwall/core/routing"
+	"elderwall/core/endpoints"
 	"elderwall/internal/call"
 	"elderwall/internal/changelog"
 	"elderwall/internal/clock"
-	"elderwall/internal/due"
-	"elderwall/internal/lines"
+	"elderwall/core/timerwheel"
+	"elderwall/internal/hostproto"
 	"elderwall/internal/upstream"
-	"elderwall/settings"
-	"elderwall/stages/callers"
-	"elderwall/stages/joint"
+	"elderwall/core/settings"
+	"elderwall/core/admission"
+	"elderwall/core/coalescing"
 )
 
 const sweepEach = 1.0 // s; how often connections are looked over for idle ones, which hosts keep for many
@@ -56,9 +56,9 @@
 // Gate is the stage before the module that asks who is calling.
 type Gate interface {
 	// Admit says whether a GET is passed on, and for how many seconds its client is to stay away if not.
-	Admit(in call.GET, service int) (t callers.Ticket, r callers.Refusal, wait float64)
+	Admit(in call.GET, service int) (t admission.Ticket, r admission.Refusal, wait float64)
 	// End settles a GET that was passed on: whether a host may have worked on it, and whether it was shed.
-	End(t callers.Ticket, ran, shed bool)
+	End(t admission.Ticket, ran, shed bool)
 }
 
 // Node runs one dispatcher on sockets.
@@ -67,20 +67,20 @@
 	timer *time.Timer
 
 	mu       sync.Mutex
-	module   *control.Dispatcher
+	module   *routing.Dispatcher
 	origins  Bounder // nil where there is none
 	gets     map[uint32]*get
 	byCall   map[call.Call]*get
 	byID     map[string]*get // by the id of the request
 	lastID   uint32
 	hosts    map[uint32]*host
-	ended    []control.Answer // to be told to the module once it returns
-	expiries due.Wheel[*get]
+	ended    []routing.Answer // to be told to the module once it returns
+	expiries timerwheel.Wheel[*get]
 	swept    float64
 	many     bool        // the list at hand changes more hosts than are told one by one
 	listed   atomic.Bool // the list of hosts is known
 	draining atomic.Bool
-	joint    *joint.Table[*get] // nil where none share a forward
+	joint    *coalescing.Table[*get] // nil where none share a forward
 	leads    []*get             // that go on in the lead, to be told to the module once it returns
 	heard    uint64             // the number of the newest event that the module knows
 	line     line               // of what is to be done, where there are several shards
@@ -89,17 +89,17 @@
 type get struct {
 	id       uint32
 	call     call.Call
-	ticket   callers.Ticket // of a GET that the gate passed
-	request  lines.Request  // as far as all its forwards share it
+	ticket   admission.Ticket // of a GET that the gate passed
+	request  hostproto.Request  // as far as all its forwards share it
 	from     float64        // when it came
 	until    float64        // the viewer timeout
-	expiry   *due.Timer[*get]
+	expiry   *timerwheel.Timer[*get]
 	forwards []*forward
 	out      int
 	over     bool                // answered, or given up by the client
 	closed   atomic.Bool         // the same, for those who don't hold the node's lock
-	asks     control.GET         // what the module is told, for one that may go on in the lead
-	waiter   *joint.Waiter[*get] // nil for one that is alone
+	asks     routing.GET         // what the module is told, for one that may go on in the lead
+	waiter   *coalescing.Waiter[*get] // nil for one that is alone
 	variant  Variant             // that it is sent for, where variants are declared
 }
 
@@ -134,13 +134,13 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.module = control.New(n.settings(), n.Clock.Now(), wire{n})
+	n.module = routing.New(n.settings(), n.Clock.Now(), wire{n})
 	n.joint = n.newJoint()
 	return n
 }
 
 // settings is what the module is told; it shares with the other shards, if there are any.
-func (n *Node) settings() control.Settings {
+func (n *Node) settings() routing.Settings {
 	s := n.Settings.Settings
 	if n.Shard != nil {
 		s.Shards, s.Peers = n.Shard.Shards, n.Shard.Peers
@@ -179,7 +179,7 @@
 		if !f.back {
 			f.stop()
 			n.Options.Counts.Expired.Add(1)
-			n.back(f, control.Answer{Outcome: control.Expired})
+			n.back(f, routing.Answer{Outcome: routing.Expired})
 		}
 	}
 	if !g.over {
@@ -262,7 +262,7 @@
 
 // Take takes an event of the change log; a long list in steps, between which GETs go on.
 func (n *Node) Take(e changelog.Event) {
-	if e.Fleet == nil || len(e.Fleet.Hosts) <= hosts.MostTaken || n.Shard != nil || !n.listed.Load() {
+	if e.Fleet == nil || len(e.Fleet.Hosts) <= endpoints.MostTaken || n.Shard != nil || !n.listed.Load() {
 		n.guarded(func(now float64) { n.notice(now, e) })
 		return
 	}
@@ -272,7 +272,7 @@
 		changes = n.changes(*e.Fleet)
 	})
 	e.Fleet = nil
-	for _, step := range hosts.Steps(changes, func(h changelog.Host) bool { return h.State != "SERVING" }, hosts.MostTaken) {
+	for _, step := range endpoints.Steps(changes, func(h changelog.Host) bool { return h.State != "SERVING" }, endpoints.MostTaken) {
 		n.guarded(func(now float64) { n.fleet(now, changelog.Fleet{Hosts: step}) })
 	}
 	n.guarded(func(now float64) { n.notice(now, e) })
@@ -323,7 +323,7 @@
 		for _, f := range g.forwards {
 			if !f.back && forbidden(f) && f.takeBack() {
 				n.Options.Counts.Recalled.Add(1)
-				n.back(f, control.Answer{Outcome: control.Recalled})
+				n.back(f, routing.Answer{Outcome: routing.Recalled})
 			}
 		}
 	}
@@ -386,11 +386,11 @@
 }
 
 // back books the end of a forward, of which the module is told as soon as it is not at work.
-func (n *Node) back(f *forward, a control.Answer) {
+func (n *Node) back(f *forward, a routing.Answer) {
 	f.back = true
 	f.get.out--
 	a.GET, a.Forward, a.Elapsed = f.get.id, f.number, n.Clock.Now()-f.at
-	a.Last = f.get.over && !f.get.waiter.Needed() || a.Outcome == control.Returned
+	a.Last = f.get.over && !f.get.waiter.Needed() || a.Outcome == routing.Returned
 	n.ended = append(n.ended, a)
 	n.forget(f.get)
 }
@@ -406,17 +406,17 @@
 		size := float64(len(body)) / 1e3
 		outcome, counter := n.outcome(r, f.get.request.Tag)
 		counter.Add(1)
-		if outcome == control.Recalled && n.gone(now, f) {
+		if outcome == routing.Recalled && n.gone(now, f) {
 			return
 		}
-		if outcome == control.Returned && n.Variants != nil {
+		if outcome == routing.Returned && n.Variants != nil {
 			outcome = n.landedVariant(f, f.Proofs, body)
-		} else if outcome == control.Returned {
+		} else if outcome == routing.Returned {
 			n.landed(f, body)
 		}
-		if g := f.get; outcome == control.Returned && !g.over {
+		if g := f.get; outcome == routing.Returned && !g.over {
 			n.Options.Counts.Returned.Add(1)
-			same := r.Answer.Word == lines.Valid
+			same := r.Answer.Word == hostproto.Valid
 			if same {
 				n.Options.Counts.Unchanged.Add(1)
 			}
@@ -424,45 +424,45 @@
 			body = nil // with the room that it holds
 			n.close(g, false)
 		}
-		n.back(f, control.Answer{Outcome: outcome, Note: r.Answer.Note, Waited: r.Answer.Waited, SizeKB: size})
+		n.back(f, routing.Answer{Outcome: outcome, Note: r.Answer.Note, Waited: r.Answer.Waited, SizeKB: size})
 	})
 }
 
 // outcome names how a forward ended, never better than what is proven, and its counter. That the client's copy, by its
 // tag, is current counts only where the host names that very copy: guards against VALID for a GET that came with none,
 // which would have its client, and all that share the forward, go on with a copy that nobody vouched for.
-func (n *Node) outcome(r upstream.Result, tag string) (control.Outcome, *atomic.Int64) {
+func (n *Node) outcome(r upstream.Result, tag string) (routing.Outcome, *atomic.Int64) {
 	c := n.Options.Counts
 	switch r.Stage {
 	case upstream.NotConnected, upstream.NotWritten:
 		if errors.Is(r.Err, upstream.ErrOvertaken) {
-			return control.Recalled, &c.Recalled
+			return routing.Recalled, &c.Recalled
 		}
 		if errors.Is(r.Err, upstream.ErrOwn) { // the host had no part in it
-			return control.NotTaken, &c.NoPlace
+			return routing.NotTaken, &c.NoPlace
 		}
-		return control.Unreached, &c.Unreached
+		return routing.Unreached, &c.Unreached
 	case upstream.PartlyWritten: // a request that is not whole can't run
-		return control.Unreached, &c.PartlyWritten
+		return routing.Unreached, &c.PartlyWritten
 	case upstream.WrittenWhole:
-		return control.Dropped, &c.Unanswered
+		return routing.Dropped, &c.Unanswered
 	case upstream.AnswerBegun:
-		return control.Dropped, &c.AnswerCut
+		return routing.Dropped, &c.AnswerCut
 	}
 	switch r.Answer.Word {
-	case lines.Hit:
-		return control.Returned, &c.Hit
-	case lines.Valid:
+	case hostproto.Hit:
+		return routing.Returned, &c.Hit
+	case hostproto.Valid:
 		if tag == "" || r.Answer.Tag != tag {
-			return control.HostError, &c.Unnamed
+			return routing.HostError, &c.Unnamed
 		}
-		return control.Returned, &c.Valid
-	case lines.None:
-		return control.Empty, &c.None
-	case lines.Shed:
-		return control.NotTaken, &c.Full
-	case lines.Late:
-		return control.Unused, &c.Late
+		return routing.Returned, &c.Valid
+	case hostproto.None:
+		return routing.Empty, &c.None
+	case hostproto.Shed:
+		return routing.NotTaken, &c.Full
+	case hostproto.Late:
+		return routing.Unused, &c.Late
 	}
-	return control.HostError, &c.Fault
+	return routing.HostError, &c.Fault
 }
--- a/internal/node/node_test.go
+++ b/internal/dispatcher/node_test.go
@@ -1,4 +1,4 @@
-package node
+package dispatcher
 
 import (
 	"cmp"
@@ -16,11 +16,11 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sync/errgroup"
 
-	"elderwall/control"
+	"elderwall/core/routing"
 	"elderwall/internal/call"
 	"elderwall/internal/changelog"
 	"elderwall/internal/clock"
-	"elderwall/internal/front"
+	"elderwall/internal/downstream"
 	"elderwall/internal/standin"
 	"elderwall/internal/standin/need"
 	"elderwall/internal/standin/rig"
@@ -49,7 +49,7 @@
 func TestAGETThatABrokenModuleLeftIsErroredInItsTime(t *testing.T) {
 	n := newNode(t)
 	f, o := forgetful{n, make(chan bool)}, n.Options
-	server, l := &front.Server{Handler: f, Log: zerolog.Nop(), Counts: o.Counts, Room: o.Room, Most: 1}, need.Listener(t)
+	server, l := &downstream.Server{Handler: f, Log: zerolog.Nop(), Counts: o.Counts, Room: o.Room, Most: 1}, need.Listener(t)
 	life, _ := rig.Life(t)
 	life.Group.Go(func() error { return server.Serve(life.Context, l) })
 	c := need.Client(t, l.Addr().String())
@@ -83,7 +83,7 @@
 		n.Take(changelog.Event{Fleet: &changelog.Fleet{Reset: tt.reset, Hosts: tt.list}})
 		got := map[string]string{}
 		for _, h := range n.hosts {
-			if h.phase != control.Gone {
+			if h.phase != routing.Gone {
 				got[h.name] = strings.TrimPrefix(h.address, "127.0.0.1:")
 			}
 		}
@@ -101,8 +101,8 @@
 	n.Take(rig.Whole(rig.Entry("a", "127.0.0.1:1", "SERVING")))
 	n.Options.PerHost.Store(0)
 	n.gets[7] = &get{id: 7}
-	wire{n}.Forward(control.Forward{GET: 7, Host: n.hostID("a"), Source: n.hostID("a")})
-	assert.Equal(t, control.NotTaken, n.ended[0].Outcome)
+	wire{n}.Forward(routing.Forward{GET: 7, Host: n.hostID("a"), Source: n.hostID("a")})
+	assert.Equal(t, routing.NotTaken, n.ended[0].Outcome)
 	assert.EqualValues(t, 1, n.Options.Counts.NoPlace.Load())
 }
 
@@ -128,7 +128,7 @@
 	started := changelog.Host{ID: "a", Address: "127.0.0.1:1", Zone: "z", Kind: "std", Cell: 2, State: "DRAINING", Weight: 4, StartedAtMs: 1764576000123}
 	e, err := n.entry(started, 1)
 	require.NoError(t, err)
-	assert.Equal(t, control.HostEntry{ID: n.hostID("a"), Cell: 2, Phase: control.Draining, Weight: 4,
+	assert.Equal(t, routing.HostEntry{ID: n.hostID("a"), Cell: 2, Phase: routing.Draining, Weight: 4,
 		OnlineSince: e.OnlineSince, OnlineSinceIsTold: true}, e)
 	assert.InDelta(t, float64(1764576000123)/1e3, float64(time.Now().UnixMicro())/1e6-n.Clock.Now()+e.OnlineSince, 0.01)
 	for name, change := range map[string]func(*changelog.Host){
@@ -187,8 +187,8 @@
 	take := func(reset bool, hosts ...changelog.Host) {
 		n.Take(changelog.Event{Fleet: &changelog.Fleet{Reset: reset, Hosts: hosts}})
 	}
-	phases := func() map[control.Phase]int {
-		by := map[control.Phase]int{}
+	phases := func() map[routing.Phase]int {
+		by := map[routing.Phase]int{}
 		for _, h := range n.hosts {
 			by[h.phase]++
 		}
@@ -196,13 +196,13 @@
 	}
 	take(true, list("SERVING", 0, 300)...)
 	assert.True(t, n.Ready())
-	assert.Equal(t, map[control.Phase]int{control.Ready: 300}, phases())
+	assert.Equal(t, map[routing.Phase]int{routing.Ready: 300}, phases())
 	before := n.hosts[n.hostID("h250")].Host
 	take(true, append(list("SERVING", 200, 400), list("DRAINING", 100, 200)...)...)
-	assert.Equal(t, map[control.Phase]int{control.Ready: 200, control.Draining: 100, control.Gone: 100}, phases())
+	assert.Equal(t, map[routing.Phase]int{routing.Ready: 200, routing.Draining: 100, routing.Gone: 100}, phases())
 	assert.Same(t, before, n.hosts[n.hostID("h250")].Host, "what stays keeps its connections")
 	take(false, append(list("SERVING", 0, 90), list("DRAINING", 0, 90)...)...)
-	assert.Equal(t, map[control.Phase]int{control.Ready: 200, control.Draining: 190, control.Gone: 10}, phases(), "draining goes first, and the list ends with that")
+	assert.Equal(t, map[routing.Phase]int{routing.Ready: 200, routing.Draining: 190, routing.Gone: 10}, phases(), "draining goes first, and the list ends with that")
 	assert.EqualValues(t, 3, n.Options.Counts.Lists.Load())
 }
 
--- a/internal/node/route.go
+++ b/internal/dispatcher/route.go
@@ -1,14 +1,14 @@
-package node
+package dispatcher
 
 import (
 	"sync/atomic"
 
-	"elderwall/control"
+	"elderwall/core/routing"
 	"elderwall/internal/call"
 )
 
 // route has a forward sent by the proxy that asked.
-func (n *Node) route(f *forward, out control.Forward) {
+func (n *Node) route(f *forward, out routing.Forward) {
 	h := f.to
 	r := call.Route{Number: f.number, Host: h.name, Address: h.address, Rank: out.Rank, MaxAge: out.MaxAge, Join: out.Join,
 		Renew: out.Renew, HeldOnly: out.HeldOnly, Budget: f.get.until - f.at}
@@ -17,7 +17,7 @@
 	}
 	r.Before = latest(f.get, out)
 	r.Overtaken = func() bool { return n.behind() || n.Clock.Now() >= r.Before }
-	r.End = func(proof func(oldest float64) (control.Outcome, control.Note, bool)) {
+	r.End = func(proof func(oldest float64) (routing.Outcome, routing.Note, bool)) {
 		n.call(func(now float64) { n.routed(now, f, proof) })
 	}
 	if n.Variants != nil {
@@ -27,14 +27,14 @@
 }
 
 // routed takes the end of a forward that a proxy sent.
-func (n *Node) routed(now float64, f *forward, proof func(oldest float64) (control.Outcome, control.Note, bool)) {
+func (n *Node) routed(now float64, f *forward, proof func(oldest float64) (routing.Outcome, routing.Note, bool)) {
 	g := f.get
 	if g.over {
 		return
 	}
 	outcome, note, ok := proof(n.module.MaxAge(now, g.id))
 	if f.back { // not waited for any more, and here all the same: the client gets it
-		if ok && outcome == control.Returned {
+		if ok && outcome == routing.Returned {
 			n.Options.Counts.Returned.Add(1)
 			n.close(g, false)
 			n.module.Left(now, g.id)
@@ -45,26 +45,26 @@
 		return
 	}
 	n.ending(outcome).Add(1)
-	if outcome == control.Returned && !g.over {
+	if outcome == routing.Returned && !g.over {
 		n.Options.Counts.Returned.Add(1)
 		n.close(g, false)
 	}
-	n.back(f, control.Answer{Outcome: outcome, Note: note})
+	n.back(f, routing.Answer{Outcome: outcome, Note: note})
 }
 
 // ending is the counter of how a routed forward ended.
-func (n *Node) ending(o control.Outcome) *atomic.Int64 {
+func (n *Node) ending(o routing.Outcome) *atomic.Int64 {
 	c := n.Options.Counts
 	switch o {
-	case control.Returned:
+	case routing.Returned:
 		return &c.Hit
-	case control.HostError:
+	case routing.HostError:
 		return &c.Fault
-	case control.NotTaken:
+	case routing.NotTaken:
 		return &c.Full
-	case control.Empty:
+	case routing.Empty:
 		return &c.None
-	case control.Unreached:
+	case routing.Unreached:
 		return &c.Unreached
 	}
 	return &c.Unanswered
--- a/internal/node/shard.go
+++ b/internal/dispatcher/shard.go
@@ -1,4 +1,4 @@
-package node
+package dispatcher
 
 import (
 	"fmt"
@@ -9,13 +9,13 @@
 	"sync/atomic"
 	"time"
 
-	"elderwall/control"
+	"elderwall/core/routing"
 	"elderwall/internal/call"
 	"elderwall/internal/changelog"
 	"elderwall/internal/clock"
-	"elderwall/internal/due"
-	"elderwall/stages/callers"
-	"elderwall/stages/shards"
+	"elderwall/core/timerwheel"
+	"elderwall/core/admission"
+	"elderwall/core/sharding"
 )
 
 const (
@@ -29,7 +29,7 @@
 // Shard is what makes a node one of several in a process.
 type Shard struct {
 	Index, Shards int
-	Peers         control.Peers
+	Peers         routing.Peers
 	Together      *Together
 	// Known is the whole list of hosts and the purges that still count, for a module that is made anew.
 	Known func() []changelog.Event
@@ -65,15 +65,15 @@
 type line struct {
 	mu      sync.Mutex
 	notices []func(now float64) // come before all else, also in the middle of what is done
-	found   []control.News      // by other shards; heard with the next task, within a tick of the timer
+	found   []routing.News      // by other shards; heard with the next task, within a tick of the timer
 	tasks   []task
 	closed  bool          // nothing new is taken in
 	told    atomic.Uint64 // notices put in line
 	heard   atomic.Uint64 // and done
 	since   atomic.Int64  // a clock.Instant at which the task under way was put in line, 0 while none is
 
-	slots [shards.Slots]uint32 // GETs since the last report; under the node's lock
-	tally shards.Tally
+	slots [sharding.Slots]uint32 // GETs since the last report; under the node's lock
+	tally sharding.Tally
 }
 
 // put puts a task in line, whatever its length: what ends or gives up what the shard holds must not be lost, and there
@@ -109,7 +109,7 @@
 }
 
 // Told puts in line what another shard has found out; nothing is done yet.
-func (n *Node) Told(news control.News) {
+func (n *Node) Told(news routing.News) {
 	l := &n.line
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -136,10 +136,10 @@
 }
 
 // Turn puts in line a report of what the shard saw since the last one.
-func (n *Node) Turn(to chan<- shards.Report) {
+func (n *Node) Turn(to chan<- sharding.Report) {
 	n.offer(func(float64) {
-		r := shards.Report{Heard: true, Slots: n.line.slots, Items: n.line.tally.Take()}
-		n.line.slots = [shards.Slots]uint32{}
+		r := sharding.Report{Heard: true, Slots: n.line.slots, Items: n.line.tally.Take()}
+		n.line.slots = [sharding.Slots]uint32{}
 		to <- r
 	})
 }
@@ -247,8 +247,8 @@
 			n.forget(g)
 		}
 	}
-	n.ended, n.expiries, n.joint = nil, due.Wheel[*get]{}, n.newJoint()
-	n.module = control.New(n.settings(), now, wire{n})
+	n.ended, n.expiries, n.joint = nil, timerwheel.Wheel[*get]{}, n.newJoint()
+	n.module = routing.New(n.settings(), now, wire{n})
 	for _, e := range n.Shard.Known() {
 		n.notice(now, e)
 	}
@@ -267,13 +267,13 @@
 func Lead() time.Duration { return lead }
 
 // enterShard puts a GET in line, or sheds it where the line is too long.
-func (n *Node) enterShard(c call.Call, in call.GET, g control.GET, ticket callers.Ticket, key uint64) {
+func (n *Node) enterShard(c call.Call, in call.GET, g routing.GET, ticket admission.Ticket, key uint64) {
 	c.Mark(n.Shard.Index, time.Now().Add(time.Duration(in.Budget*float64(time.Second))))
 	from := n.Clock.Now()
 	if !n.offer(func(now float64) {
-		n.line.slots[key%shards.Slots]++
+		n.line.slots[key%sharding.Slots]++
 		n.line.tally.Add(key)
-		if g.ViewerTimeout -= now - from; now-from > shards.Waits && g.ViewerTimeout < shards.TooLittle {
+		if g.ViewerTimeout -= now - from; now-from > sharding.Waits && g.ViewerTimeout < sharding.TooLittle {
 			n.Options.Counts.Shed.Add(1) // unless it has been answered in the shard's place
 			n.settleGate(ticket, true)
 			c.Refuse(0)
@@ -287,7 +287,7 @@
 	}
 }
 
-func (n *Node) settleGate(ticket callers.Ticket, shed bool) {
+func (n *Node) settleGate(ticket admission.Ticket, shed bool) {
 	if n.Gate != nil {
 		n.Gate.End(ticket, false, shed)
 	}
--- a/internal/node/window_test.go
+++ b/internal/dispatcher/window_test.go
@@ -1,4 +1,4 @@
-package node
+package dispatcher
 
 import (
 	"sync/atomic"
@@ -8,7 +8,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"elderwall/control"
+	"elderwall/core/routing"
 	"elderwall/internal/call"
 	"elderwall/internal/clock"
 	"elderwall/internal/standin"
@@ -43,7 +43,7 @@
 				return nil
 			}
 			s := rig.Settings(100)
-			s.Settings.Services[0].Effect, s.Settings.Services[0].RepeatWindow = control.Tokened, tt.window
+			s.Settings.Services[0].Effect, s.Settings.Services[0].RepeatWindow = routing.Tokened, tt.window
 			n := New(Config{Settings: s, Clock: clock.New(), Options: o, Connections: 100})
 			n.Take(rig.Whole(hosts.Entries...))
 			c := rig.NewCall(o.Room)
--- a/internal/node/wire.go
+++ b/internal/dispatcher/wire.go
@@ -1,20 +1,20 @@
-package node
+package dispatcher
 
 import (
-	"elderwall/control"
+	"elderwall/core/routing"
 	"elderwall/internal/call"
 	"elderwall/internal/clock"
 	"elderwall/internal/upstream"
-	"elderwall/stages/joint"
+	"elderwall/core/coalescing"
 )
 
 // wire carries the module's answers out; it is called under the node's lock and only queues.
 type wire struct{ *Node }
 
-var _ control.Wire = wire{}
+var _ routing.Wire = wire{}
 
 // Forward sends a GET to a host.
-func (w wire) Forward(out control.Forward) {
+func (w wire) Forward(out routing.Forward) {
 	n, g, now := w.Node, w.gets[out.GET], w.Clock.Now()
 	f := &forward{get: g, to: n.hosts[out.Host], from: n.hosts[out.Source], number: len(g.forwards), at: now}
 	g.forwards = append(g.forwards, f)
@@ -35,7 +35,7 @@
 	n.Options.Counts.Forwards.Add(1)
 	if n.behind() { // what has been told since might forbid it
 		n.Options.Counts.Behind.Add(1)
-		n.back(f, control.Answer{Outcome: control.Recalled})
+		n.back(f, routing.Answer{Outcome: routing.Recalled})
 		return
 	}
 	if f.router, _ = g.call.(call.Router); f.router != nil {
@@ -48,19 +48,19 @@
 		f.Before = n.Clock.Time(out.Before)
 	}
 	// What can't be told apart from a first run must not be sent again: its connections are looked at, and chosen, with more care.
-	f.Once = n.Settings.Settings.Services[g.asks.Service].Effect != control.Idempotent
+	f.Once = n.Settings.Settings.Services[g.asks.Service].Effect != routing.Idempotent
 	f.Alone = !n.Settings.SecondCopies
 	if f.number > 0 {
 		f.Previous = &g.forwards[f.number-1].Forward
 	}
 	if err := f.to.Send(&f.Forward); err != nil { // our own places are taken: the host had no part in it
 		n.Options.Counts.NoPlace.Add(1)
-		n.back(f, control.Answer{Outcome: control.NotTaken})
+		n.back(f, routing.Answer{Outcome: routing.NotTaken})
 	}
 }
 
 // latest is when the first byte of a forward must be out: its client waits for no longer, and its hosts may know a repeat for less.
-func latest(g *get, out control.Forward) float64 {
+func latest(g *get, out routing.Forward) float64 {
 	if out.Before > 0 {
 		return min(g.until, out.Before)
 	}
@@ -75,14 +75,14 @@
 	}
 	w.Options.Counts.Stopped.Add(1)
 	g.forwards[number].stop()
-	w.back(g.forwards[number], control.Answer{Outcome: control.Revoked})
+	w.back(g.forwards[number], routing.Answer{Outcome: routing.Revoked})
 }
 
 // Shed answers that trying again is harmless.
 func (w wire) Shed(id uint32, comeBack float64) {
 	if g := w.gets[id]; g != nil {
 		w.shed(g, comeBack)
-		w.ends(g, joint.Shed, func(o *get) { w.shed(o, comeBack) })
+		w.ends(g, coalescing.Shed, func(o *get) { w.shed(o, comeBack) })
 	}
 }
 
@@ -90,7 +90,7 @@
 func (w wire) Error(id uint32) {
 	if g := w.gets[id]; g != nil {
 		w.failed(g)
-		w.ends(g, joint.Failed, w.failed)
+		w.ends(g, coalescing.Failed, w.failed)
 	}
 }
 
--- a/internal/front/accept_test.go
+++ b/internal/downstream/accept_test.go
@@ -1,4 +1,4 @@
-package front_test
+package downstream_test
 
 import (
 	"errors"
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 
 	"elderwall/internal/call"
-	"elderwall/internal/front"
+	"elderwall/internal/downstream"
 	"elderwall/internal/standin"
 	"elderwall/internal/standin/need"
 )
@@ -50,7 +50,7 @@
 		t.Run(name, func(t *testing.T) {
 			h := &handler{calls: make(chan call.Call, 9), givenUp: make(chan call.Call, 9)}
 			l := &lacking{counting: counting{Listener: need.Listener(t)}, most: 2, err: tt.err}
-			s := &front.Server{Handler: h, Most: 16}
+			s := &downstream.Server{Handler: h, Most: 16}
 			serveOn(t, s, l)
 			address := l.Addr().String()
 			busy, idle := need.Client(t, address), need.Client(t, address)
@@ -70,7 +70,7 @@
 				need.Soon(t, func() bool { return l.open.Load() == 1 })
 			}
 			assert.Equal(t, tt.want, need.Ready(address), "there is room for one more")
-			assert.LessOrEqual(t, int64(l.failures.Load()), int64(time.Since(began)/front.AcceptAgain)+1, "it does not spin")
+			assert.LessOrEqual(t, int64(l.failures.Load()), int64(time.Since(began)/downstream.AcceptAgain)+1, "it does not spin")
 			open.Refuse(0)
 			assert.Equal(t, "refused", need.Of(busy.Read())(t).Kind, "the one with a call under way has stayed")
 		})
@@ -88,7 +88,7 @@
 func TestADrainAcceptsWhatTheKernelHolds(t *testing.T) {
 	h := &handler{calls: make(chan call.Call, 9), givenUp: make(chan call.Call, 9)}
 	l := behind{need.Listener(t).(*net.TCPListener), make(chan bool)}
-	s := &front.Server{Handler: h, Most: 16}
+	s := &downstream.Server{Handler: h, Most: 16}
 	serveOn(t, s, l)
 	address := l.Addr().String()
 	clients := need.Clients(t, address, 5)
@@ -111,7 +111,7 @@
 
 func TestADrainWakesAnAcceptThatWaits(t *testing.T) {
 	h, l := &handler{calls: make(chan call.Call, 9), givenUp: make(chan call.Call, 9)}, need.Listener(t)
-	s := &front.Server{Handler: h, Most: 16}
+	s := &downstream.Server{Handler: h, Most: 16}
 	serveOn(t, s, l)
 	c := need.Client(t, l.Addr().String())
 	need.Of(c.Probe())(t)
@@ -157,19 +157,19 @@
 		{syscall.EHOSTDOWN, 20, true}, {syscall.ENONET, 20, true}, {syscall.EHOSTUNREACH, 20, true}, {syscall.EOPNOTSUPP, 20, true},
 		{syscall.ENETUNREACH, 20, true}, {syscall.EPERM, 20, true}, {syscall.EINTR, 20, true}, {syscall.EAGAIN, 20, true}, {syscall.ETIMEDOUT, 20, true},
 		{syscall.EMFILE, 3, false}, {syscall.ENFILE, 3, false}, {syscall.ENOBUFS, 3, false}, {syscall.ENOMEM, 3, false},
-		{syscall.EINVAL, 3, false}, {syscall.ECONNABORTED, front.FailsAtOnce + 2, false}} {
+		{syscall.EINVAL, 3, false}, {syscall.ECONNABORTED, downstream.FailsAtOnce + 2, false}} {
 		t.Run(tt.err.Error(), func(t *testing.T) {
 			t.Parallel()
 			l := &failing{Listener: need.Listener(t), err: tt.err}
 			l.left.Store(tt.times)
 			began := time.Now()
-			serveOn(t, &front.Server{Handler: &handler{}, Most: 16}, l)
+			serveOn(t, &downstream.Server{Handler: &handler{}, Most: 16}, l)
 			assert.True(t, need.Ready(l.Addr().String()))
 			took := time.Since(began)
 			if tt.atOnce {
-				assert.Less(t, took, 4*front.AcceptAgain, "%d waits would take much longer", tt.times)
+				assert.Less(t, took, 4*downstream.AcceptAgain, "%d waits would take much longer", tt.times)
 			} else {
-				assert.GreaterOrEqual(t, took, 2*front.AcceptAgain, "it does not spin")
+				assert.GreaterOrEqual(t, took, 2*downstream.AcceptAgain, "it does not spin")
 			}
 		})
 	}
@@ -212,7 +212,7 @@
 // A connection whose answer is just being written when an accept fails gives way once it is, and no further accept need fail for that.
 func TestAConnectionGivesWayOnceItsAnswerIsWritten(t *testing.T) {
 	l := &held{Listener: need.Listener(t), goOn: make(chan bool), failed: make(chan bool, 1)}
-	s := &front.Server{Handler: &handler{}, Most: 16}
+	s := &downstream.Server{Handler: &handler{}, Most: 16}
 	serveOn(t, s, l)
 	idle := need.Client(t, l.Addr().String())
 	need.Of(idle.Conn.Write(standin.Call("probe", 1, 1, []byte{2, 0, 1, 0})))(t)
@@ -220,7 +220,7 @@
 	l.failsNow.Store(true)
 	need.Client(t, l.Addr().String())
 	<-l.failed
-	time.Sleep(2 * front.AcceptAgain)
+	time.Sleep(2 * downstream.AcceptAgain)
 	assert.Zero(t, s.Counts.GaveWay.Load(), "an answer is under way")
 	close(l.goOn)
 	need.Of(idle.Read())(t)
