--- a/internal/front/close_test.go
+++ b/internal/downstream/close_test.go
@@ -1,4 +1,4 @@
-package front_test
+package downstream_test
 
 import (
 	"crypto/tls"
@@ -14,10 +14,10 @@
 	"github.com/stretchr/testify/require"
 
 	"elderwall/internal/call"
-	"elderwall/internal/front"
+	"elderwall/internal/downstream"
 	"elderwall/internal/standin"
 	"elderwall/internal/standin/need"
-	"elderwall/stages/callers"
+	"elderwall/core/admission"
 )
 
 // oneCall is a listener whose first connection waits, once its second bytes were read, until the test lets it go on: what comes then is unread.
@@ -59,30 +59,30 @@
 	const most = 16
 	for name, tt := range map[string]struct {
 		second []byte
-		closes func(t *testing.T, s *front.Server, by *standing, address string, end func())
+		closes func(t *testing.T, s *downstream.Server, by *standing, address string, end func())
 	}{
-		"its caller may not stay": {whole(7), func(_ *testing.T, s *front.Server, by *standing, _ string, _ func()) {
-			by.now.Store(callers.Leaving)
+		"its caller may not stay": {whole(7), func(_ *testing.T, s *downstream.Server, by *standing, _ string, _ func()) {
+			by.now.Store(admission.Leaving)
 			s.Review()
 		}},
-		"it gives way": {whole(7), func(t *testing.T, s *front.Server, _ *standing, address string, _ func()) {
+		"it gives way": {whole(7), func(t *testing.T, s *downstream.Server, _ *standing, address string, _ func()) {
 			for range most {
 				need.Of(need.Client(t, address).Probe())(t)
 			}
 			require.Positive(t, s.Counts.GaveWay.Load())
 		}},
-		"the service ends": {whole(7), func(t *testing.T, s *front.Server, _ *standing, address string, end func()) {
+		"the service ends": {whole(7), func(t *testing.T, s *downstream.Server, _ *standing, address string, end func()) {
 			other := need.Client(t, address)
 			need.Of(other.Probe())(t)
 			go end()
 			_, err := other.Read()
 			require.Error(t, err, "the end has come")
 		}},
-		"it sent what is none": {nil, func(*testing.T, *front.Server, *standing, string, func()) {}}} {
+		"it sent what is none": {nil, func(*testing.T, *downstream.Server, *standing, string, func()) {}}} {
 		t.Run(name, func(t *testing.T) {
 			h := &handler{calls: make(chan call.Call, 9), givenUp: make(chan call.Call, 9)}
 			by, l := &standing{}, &oneCall{Listener: need.Listener(t), read: make(chan bool), goOn: make(chan bool)}
-			s := &front.Server{Handler: h, Callers: by, Most: most}
+			s := &downstream.Server{Handler: h, Callers: by, Most: most}
 			end := serveOn(t, s, l)
 			c := need.Client(t, l.Addr().String())
 			need.Sent(t, c)
@@ -124,13 +124,13 @@
 	h, by, l := &handler{calls: make(chan call.Call, 9), givenUp: make(chan call.Call, 9)}, &standing{}, need.Listener(t)
 	client := a.Client("server", "", time.Now().Add(time.Hour))
 	client.ServerName, client.MaxVersion = "127.0.0.1", tls.VersionTLS12 // which shows the types of its records
-	s := &front.Server{Handler: h, Callers: by, Most: 4}
+	s := &downstream.Server{Handler: h, Callers: by, Most: 4}
 	serveOn(t, s, tls.NewListener(l, &tls.Config{Certificates: client.Certificates}))
 	wire := &recorded{Conn: need.Client(t, l.Addr().String()).Conn}
 	c := &standin.Client{Conn: tls.Client(wire, client)}
 	need.Of(c.Probe())(t)
 	need.Soon(t, s.Quiet)
-	by.now.Store(callers.Leaving)
+	by.now.Store(admission.Leaving)
 	s.Review()
 	_, err := c.Read()
 	assert.ErrorIs(t, err, io.EOF)
@@ -170,17 +170,17 @@
 func TestClientsThatDoNotCloseKeepNobodyOut(t *testing.T) {
 	const most, clients = 16, 200
 	h, l := &handler{calls: make(chan call.Call, 9), givenUp: make(chan call.Call, 9)}, &counting{Listener: need.Listener(t)}
-	s := &front.Server{Handler: h, Most: most}
+	s := &downstream.Server{Handler: h, Most: most}
 	end := serveOn(t, s, l)
 	began := time.Now()
 	for range clients { // each stays, and closes nothing when it is closed
 		need.Of(need.Client(t, l.Addr().String()).Probe())(t)
 	}
-	assert.Less(t, time.Since(began), clients/spareOf(most)*front.CloseIn/4, "a quarter of what it would take if each had its whole time to close")
+	assert.Less(t, time.Since(began), clients/spareOf(most)*downstream.CloseIn/4, "a quarter of what it would take if each had its whole time to close")
 	assert.LessOrEqual(t, l.most.Load(), int32(most))
 	began = time.Now()
 	end()
-	assert.Less(t, time.Since(began), 2*front.CloseIn)
+	assert.Less(t, time.Since(began), 2*downstream.CloseIn)
 	assert.Zero(t, l.open.Load())
 }
 
@@ -188,20 +188,20 @@
 
 func TestWhatComesAfterACloseIsBounded(t *testing.T) {
 	h, by, l := &handler{calls: make(chan call.Call, 9), givenUp: make(chan call.Call, 9)}, &standing{}, need.Listener(t)
-	s := &front.Server{Handler: h, Callers: by, Most: 4}
+	s := &downstream.Server{Handler: h, Callers: by, Most: 4}
 	serveOn(t, s, l)
 	for name, each := range map[string]time.Duration{"as much as goes": 0, "a byte now and then": 10 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			c := need.Client(t, l.Addr().String())
 			need.Of(c.Probe())(t)
 			need.Soon(t, s.Quiet)
-			by.now.Store(callers.Leaving)
+			by.now.Store(admission.Leaving)
 			s.Review()
-			by.now.Store(callers.Stays)
+			by.now.Store(admission.Stays)
 			began, chunk := time.Now(), make([]byte, map[bool]int{true: 64 << 10, false: 1}[each == 0])
 			for err := error(nil); err == nil; time.Sleep(each) {
 				_, err = c.Conn.Write(chunk)
-				require.Less(t, time.Since(began), 4*front.CloseIn, "the connection is closed")
+				require.Less(t, time.Since(began), 4*downstream.CloseIn, "the connection is closed")
 			}
 		})
 	}
@@ -210,12 +210,12 @@
 // What comes once writes are shut is left in the kernel: it crosses the end, and its client sends it again. Read, it would have to be answered.
 func TestNothingIsReadOnceWritesAreShut(t *testing.T) {
 	h, by, l := &handler{calls: make(chan call.Call, 9), givenUp: make(chan call.Call, 9)}, &standing{}, need.Listener(t)
-	s := &front.Server{Handler: h, Callers: by, Most: 4}
+	s := &downstream.Server{Handler: h, Callers: by, Most: 4}
 	serveOn(t, s, l)
 	c := need.Client(t, l.Addr().String())
 	need.Of(c.Probe())(t)
 	need.Soon(t, s.Quiet)
-	by.now.Store(callers.Leaving)
+	by.now.Store(admission.Leaving)
 	s.Review()
 	_, err := c.Read()
 	require.ErrorIs(t, err, io.EOF)
@@ -260,7 +260,7 @@
 	began := time.Now()
 	s.Terminate()
 	all.Wait()
-	assert.Less(t, time.Since(began), 2*front.CloseIn)
+	assert.Less(t, time.Since(began), 2*downstream.CloseIn)
 	assert.Equal(t, s.Counts.ClientBytesIn.Load()/int64(len(whole(1))), answered.Load(), "of %d sent", sent.Load())
 	assert.Empty(t, h.calls)
 }
--- a/internal/front/conn.go
+++ b/internal/downstream/conn.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"fmt"
@@ -12,14 +12,14 @@
 	"time"
 
 	"elderwall/internal/call"
-	"elderwall/stages/callers"
+	"elderwall/core/admission"
 )
 
 type conn struct {
 	server *Server
 	net    net.Conn
 	raw    net.Conn      // beneath net where that is TLS, whose own close waits for the client
-	caller *callers.Conn // nil where nobody asks who is calling
+	caller *admission.Conn // nil where nobody asks who is calling
 	wake   chan struct{} // tells the writer of a change
 	number uint64        // by which it is told from all others
 
--- a/internal/front/crossing_test.go
+++ b/internal/downstream/crossing_test.go
@@ -1,4 +1,4 @@
-package front_test
+package downstream_test
 
 import (
 	"context"
@@ -16,20 +16,20 @@
 
 	"elderwall/internal/call"
 	"elderwall/internal/counters"
-	"elderwall/internal/front"
-	"elderwall/internal/room"
+	"elderwall/internal/downstream"
+	"elderwall/internal/memquota"
 	"elderwall/internal/standin"
 	"elderwall/internal/standin/need"
-	"elderwall/stages/callers"
+	"elderwall/core/admission"
 )
 
 // standing is callers that all stand the same way.
 type standing struct{ now atomic.Value }
 
-func (s *standing) Connected(netip.Addr, net.Conn) *callers.Conn { return &callers.Conn{} }
-func (s *standing) Identify(*callers.Conn, string) string        { return "" }
-func (s *standing) Standing(*callers.Conn) callers.Standing {
-	now, _ := s.now.Load().(callers.Standing)
+func (s *standing) Connected(netip.Addr, net.Conn) *admission.Conn { return &admission.Conn{} }
+func (s *standing) Identify(*admission.Conn, string) string        { return "" }
+func (s *standing) Standing(*admission.Conn) admission.Standing {
+	now, _ := s.now.Load().(admission.Standing)
 	return now
 }
 
@@ -62,8 +62,8 @@
 }
 
 // serveOn starts a server on a listener with a handler of the test's; it ends with the test, or with end before that.
-func serveOn(t *testing.T, s *front.Server, l net.Listener) (end func()) {
-	s.Log, s.Counts, s.Room = zerolog.Nop(), &counters.Counters{}, room.New(bytesOfRoom)
+func serveOn(t *testing.T, s *downstream.Server, l net.Listener) (end func()) {
+	s.Log, s.Counts, s.Room = zerolog.Nop(), &counters.Counters{}, memquota.New(bytesOfRoom)
 	ctx, cancel := context.WithCancel(context.Background())
 	var server sync.WaitGroup
 	server.Go(func() { assert.NoError(t, s.Serve(ctx, l)) })
@@ -79,12 +79,12 @@
 
 // What is read on a connection that is closing is answered and not sent on: its client may have seen the close, and sends it again.
 func TestACallThatIsReadAfterTheCloseIsRefused(t *testing.T) {
-	for name, closes := range map[string]func(t *testing.T, s *front.Server, by *standing, address string){
-		"its caller may not stay": func(_ *testing.T, s *front.Server, by *standing, _ string) {
-			by.now.Store(callers.Leaving)
+	for name, closes := range map[string]func(t *testing.T, s *downstream.Server, by *standing, address string){
+		"its caller may not stay": func(_ *testing.T, s *downstream.Server, by *standing, _ string) {
+			by.now.Store(admission.Leaving)
 			s.Review()
 		},
-		"it gives way": func(t *testing.T, s *front.Server, _ *standing, address string) {
+		"it gives way": func(t *testing.T, s *downstream.Server, _ *standing, address string) {
 			for range 3 {
 				need.Client(t, address)
 			}
@@ -93,12 +93,12 @@
 		t.Run(name, func(t *testing.T) {
 			h := &handler{calls: make(chan call.Call, 9), givenUp: make(chan call.Call, 9)}
 			by, l := &standing{}, paused{need.Listener(t), make(chan bool), make(chan bool)}
-			s := &front.Server{Handler: h, Callers: by, Most: 4}
+			s := &downstream.Server{Handler: h, Callers: by, Most: 4}
 			end := serveOn(t, s, l)
 			c := need.Client(t, l.Addr().String())
 			need.Sent(t, c)
 			<-l.read
-			time.Sleep(front.SpeaksIn) // from then on it counts as one that says nothing
+			time.Sleep(downstream.SpeaksIn) // from then on it counts as one that says nothing
 			closes(t, s, by, l.Addr().String())
 			close(l.goOn)
 			assert.Equal(t, "refused", need.Of(c.Read())(t).Kind)
@@ -129,15 +129,15 @@
 
 func TestACallIsGivenUpBehindItsHandingOver(t *testing.T) {
 	h, by, l := &slow{begun: make(chan bool), taking: make(chan bool)}, &standing{}, need.Listener(t)
-	s := &front.Server{Handler: h, Callers: by, Most: 4}
+	s := &downstream.Server{Handler: h, Callers: by, Most: 4}
 	end := serveOn(t, s, l)
 	c := need.Client(t, l.Addr().String())
 	need.Sent(t, c)
 	<-h.begun
-	by.now.Store(callers.Left)
+	by.now.Store(admission.Left)
 	s.Review()
 	close(h.taking)
-	assert.Equal(t, standin.Reply{Seq: 1, Method: "process", Kind: "failed", Fields: map[string]string{"reason": callers.BadCertificate.String()}}, need.Of(c.Read())(t))
+	assert.Equal(t, standin.Reply{Seq: 1, Method: "process", Kind: "failed", Fields: map[string]string{"reason": admission.BadCertificate.String()}}, need.Of(c.Read())(t))
 	need.Soon(t, func() bool { h.mu.Lock(); defer h.mu.Unlock(); return len(h.told) == 2 })
 	end()
 	assert.Equal(t, []string{"taken", "given up"}, h.told, "the handler passes over word of a call that it has not got")
--- a/internal/front/front.go
+++ b/internal/downstream/front.go
@@ -1,5 +1,5 @@
-// Package front is the listener and the connections of clients: a thin driver of the client protocol.
-package front
+// Package downstream is the listener and the connections of clients: a thin driver of the client protocol.
+package downstream
 
 import (
 	"net"
@@ -8,7 +8,7 @@
 
 	"elderwall/internal/call"
 	"elderwall/internal/thrift"
-	"elderwall/stages/callers"
+	"elderwall/core/admission"
 )
 
 const (
@@ -41,11 +41,11 @@
 // Callers tells who is calling; without one nobody asks, and the service lacks the method identify.
 type Callers interface {
 	// Connected takes a connection, whose handshake is done, and says what is known of it.
-	Connected(remote netip.Addr, socket net.Conn) *callers.Conn
+	Connected(remote netip.Addr, socket net.Conn) *admission.Conn
 	// Identify takes a token for all GETs of a connection that bring none; a reason tells that it names nobody.
-	Identify(c *callers.Conn, token string) (reason string)
+	Identify(c *admission.Conn, token string) (reason string)
 	// Standing tells whether a connection may stay.
-	Standing(c *callers.Conn) callers.Standing
+	Standing(c *admission.Conn) admission.Standing
 }
 
 // Devices tells in which field the class of a client's device stands.
--- a/internal/front/front_test.go
+++ b/internal/downstream/front_test.go
@@ -1,4 +1,4 @@
-package front_test
+package downstream_test
 
 import (
 	"context"
@@ -20,8 +20,8 @@
 
 	"elderwall/internal/call"
 	"elderwall/internal/counters"
-	"elderwall/internal/front"
-	"elderwall/internal/room"
+	"elderwall/internal/downstream"
+	"elderwall/internal/memquota"
 	"elderwall/internal/standin"
 	"elderwall/internal/standin/need"
 )
@@ -42,12 +42,12 @@
 func (h *handler) GiveUp(c call.Call) { h.givenUp <- c }
 func (h *handler) Ready() bool        { return true }
 
-func server(h *handler, most int) *front.Server {
-	return &front.Server{Handler: h, Log: zerolog.Nop(), Counts: &counters.Counters{}, Room: room.New(bytesOfRoom), Most: most}
+func server(h *handler, most int) *downstream.Server {
+	return &downstream.Server{Handler: h, Log: zerolog.Nop(), Counts: &counters.Counters{}, Room: memquota.New(bytesOfRoom), Most: most}
 }
 
 // serve starts a server; what it returns ends it and checks that nothing is left of it.
-func serve(t *testing.T, most int) (h *handler, s *front.Server, address string) {
+func serve(t *testing.T, most int) (h *handler, s *downstream.Server, address string) {
 	h = &handler{calls: make(chan call.Call, 100), givenUp: make(chan call.Call, 100)}
 	s = server(h, most)
 	l := need.Listener(t)
@@ -65,7 +65,7 @@
 }
 
 // body is an answer's bytes that have taken their room.
-func body(s *front.Server, text string) []byte { s.Room.Take(len(text)); return []byte(text) }
+func body(s *downstream.Server, text string) []byte { s.Room.Take(len(text)); return []byte(text) }
 
 func TestAnswersGoOutInAnyOrder(t *testing.T) {
 	h, s, address := serve(t, 4)
--- a/internal/front/leave_test.go
+++ b/internal/downstream/leave_test.go
@@ -1,4 +1,4 @@
-package front_test
+package downstream_test
 
 import (
 	"net"
--- a/internal/front/partial_test.go
+++ b/internal/downstream/partial_test.go
@@ -1,4 +1,4 @@
-package front_test
+package downstream_test
 
 import (
 	"context"
@@ -11,13 +11,13 @@
 	"github.com/stretchr/testify/assert"
 
 	"elderwall/internal/call"
-	"elderwall/internal/front"
+	"elderwall/internal/downstream"
 	"elderwall/internal/standin"
 	"elderwall/internal/standin/need"
 )
 
 // half writes half a probe, and waits until the server has read it; rest is what it lacks.
-func half(t *testing.T, s *front.Server, c *standin.Client) (rest []byte) {
+func half(t *testing.T, s *downstream.Server, c *standin.Client) (rest []byte) {
 	probe := standin.Call("probe", 1, 9, []byte{2, 0, 1, 0})
 	before := s.Counts.ClientBytesIn.Load()
 	need.Of(c.Conn.Write(probe[:7]))(t)
@@ -27,13 +27,13 @@
 
 func TestAMessageUnderWayIsNoReasonToGiveWay(t *testing.T) {
 	h, l := &handler{calls: make(chan call.Call, 9), givenUp: make(chan call.Call, 9)}, need.Listener(t)
-	s := &front.Server{Handler: h, Most: 4}
+	s := &downstream.Server{Handler: h, Most: 4}
 	serveOn(t, s, l)
 	address := l.Addr().String()
 	c, idle := need.Client(t, address), need.Client(t, address)
 	rest := half(t, s, c)
 	need.Of(idle.Probe())(t) // the other has sent nothing of use
-	time.Sleep(front.SpeaksIn)
+	time.Sleep(downstream.SpeaksIn)
 	for range 2 {
 		need.Of(need.Client(t, address).Probe())(t)
 	}
@@ -120,12 +120,12 @@
 // A message that was begun and left keeps its connection no longer than two seconds where others want a place.
 func TestAMessageThatWasLeftGivesWay(t *testing.T) {
 	h, l := &handler{calls: make(chan call.Call, 9), givenUp: make(chan call.Call, 9)}, need.Listener(t)
-	s := &front.Server{Handler: h, Most: 4, Longest: time.Minute}
+	s := &downstream.Server{Handler: h, Most: 4, Longest: time.Minute}
 	serveOn(t, s, l)
 	address := l.Addr().String()
 	left := need.Client(t, address)
 	half(t, s, left)
-	time.Sleep(front.WholeIn)
+	time.Sleep(downstream.WholeIn)
 	used := need.Client(t, address)
 	need.Of(used.Probe())(t)
 	for range 2 {
--- a/internal/front/read.go
+++ b/internal/downstream/read.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 
 	"elderwall/internal/call"
 	"elderwall/internal/thrift"
-	"elderwall/stages/callers"
+	"elderwall/core/admission"
 )
 
 const (
@@ -26,7 +26,7 @@
 
 // read makes a GET of a message, with strings of its own. Its token names the caller where somebody asks for that; elsewhere it is the
 // key by which hosts tell a repeat of a request that must not take effect twice, and is passed on to them.
-func read(m thrift.Call, caller *callers.Conn) call.GET {
+func read(m thrift.Call, caller *admission.Conn) call.GET {
 	g := call.GET{ID: string(m.ID), Service: string(m.Service), Object: string(m.Object), PartText: string(m.Part),
 		Tag: string(m.Tag), Body: slices.Clone(m.Body), Conn: caller}
 	check := func(ok bool, name string, text []byte) {
--- a/internal/front/read_test.go
+++ b/internal/downstream/read_test.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"testing"
@@ -6,13 +6,13 @@
 	"github.com/stretchr/testify/assert"
 
 	"elderwall/internal/thrift"
-	"elderwall/stages/callers"
+	"elderwall/core/admission"
 )
 
 // A token that names a caller is a secret between the two: no host may get it.
 func TestATokenThatNamesACallerIsNoIdempotencyKey(t *testing.T) {
 	m := thrift.Call{Token: []byte("secret")}
-	asked, unasked := read(m, &callers.Conn{}), read(m, nil)
+	asked, unasked := read(m, &admission.Conn{}), read(m, nil)
 	assert.Equal(t, []string{"secret", ""}, []string{asked.Token, asked.IdempotencyKey})
 	assert.Equal(t, []string{"", "secret"}, []string{unasked.Token, unasked.IdempotencyKey})
 }
--- a/internal/front/receive.go
+++ b/internal/downstream/receive.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"errors"
@@ -140,13 +140,13 @@
 	if get.Budget > 0 {
 		call.deadline = time.Now().Add(clock.Duration(get.Budget))
 	}
-	admission, err := c.enter(call)
+	verdict, err := c.enter(call)
 	switch {
 	case err != nil:
 		return err
-	case admission == callOverLimit:
+	case verdict == callOverLimit:
 		c.send(thrift.Refused(m.Seq, 0), nil)
-	case admission == callTooLate || c.server.refusing.Load():
+	case verdict == callTooLate || c.server.refusing.Load():
 		call.Refuse(0)
 	default:
 		c.hand(call, get)
@@ -168,17 +168,17 @@
 	return nil
 }
 
-// admission is what becomes of a call that was read.
-type admission int
+// callAdmission is what becomes of a call that was read.
+type callAdmission int
 
 const (
-	callAdmitted  admission = iota
+	callAdmitted  callAdmission = iota
 	callTooLate             // the connection is closing: it is answered, and not sent on, as its client may send it again
 	callOverLimit           // as many calls as may be open are
 )
 
 // enter books a call as open, unless there are too many. A number that is open already can't be answered apart from the call that has it: an error.
-func (c *conn) enter(call *Call) (admission, error) {
+func (c *conn) enter(call *Call) (callAdmission, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.open[call.seq] != nil {
--- a/internal/front/send.go
+++ b/internal/downstream/send.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"errors"
--- a/internal/front/send_test.go
+++ b/internal/downstream/send_test.go
@@ -1,4 +1,4 @@
-package front_test
+package downstream_test
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/assert"
 
 	"elderwall/internal/call"
-	"elderwall/internal/front"
+	"elderwall/internal/downstream"
 	"elderwall/internal/standin"
 	"elderwall/internal/standin/need"
 )
@@ -30,9 +30,9 @@
 		ends   time.Duration // at the latest
 	}{
 		{"20 KB/s, and it waits for long", "20000", 1000, 50 * time.Millisecond, true, 13 * time.Second},
-		{"20 KB/s, and it waits for 2 s", "2000", 1000, 50 * time.Millisecond, false, front.Stalled + time.Second},
-		{"20 KB/s, and it waits for 7 s", "7000", 1000, 50 * time.Millisecond, false, 7*time.Second + front.ReadsLate + time.Second},
-		{"nothing, and it waits for long", "20000", 0, 0, false, front.Stalled + time.Second}} {
+		{"20 KB/s, and it waits for 2 s", "2000", 1000, 50 * time.Millisecond, false, downstream.Stalled + time.Second},
+		{"20 KB/s, and it waits for 7 s", "7000", 1000, 50 * time.Millisecond, false, 7*time.Second + downstream.ReadsLate + time.Second},
+		{"nothing, and it waits for long", "20000", 0, 0, false, downstream.Stalled + time.Second}} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				h, ended := &handler{calls: make(chan call.Call, 9), givenUp: make(chan call.Call, 9)}, make(chan error)
--- a/internal/front/server.go
+++ b/internal/downstream/server.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"context"
@@ -17,9 +17,9 @@
 
 	"elderwall/internal/clock"
 	"elderwall/internal/counters"
-	"elderwall/internal/room"
+	"elderwall/internal/memquota"
 	"elderwall/internal/syserr"
-	"elderwall/stages/callers"
+	"elderwall/core/admission"
 )
 
 // Server serves clients until its context ends.
@@ -28,7 +28,7 @@
 	Callers Callers // nil where nobody asks who is calling
 	Log     zerolog.Logger
 	Counts  *counters.Counters
-	Room    *room.Room    // what long calls and the bodies of answers hold
+	Room    *memquota.Room    // what long calls and the bodies of answers hold
 	Most    int           // connections at a time
 	Longest time.Duration // that a client waits for an answer: a message may take as long to be whole, and wholeIn at least
 	Devices Devices       // where the class of a client's device stands; nothing of it is looked for by the zero value
@@ -210,10 +210,10 @@
 			continue
 		}
 		switch s.Callers.Standing(caller) {
-		case callers.Leaving:
+		case admission.Leaving:
 			c.shutQuiet()
-		case callers.Left:
-			c.failAll(callers.BadCertificate.String())
+		case admission.Left:
+			c.failAll(admission.BadCertificate.String())
 			c.shutQuiet()
 		}
 	}
--- a/internal/extras/extras.go
+++ b/internal/extensions/extras.go
@@ -1,6 +1,6 @@
-// Package extras puts what an operator's own file says into a running service: the stage that asks who is calling and
+// Package extensions puts what an operator's own file says into a running service: the stage that asks who is calling and
 // the listener for TLS. A reload swaps all of it at once or nothing.
-package extras
+package extensions
 
 import (
 	"context"
@@ -14,21 +14,21 @@
 
 	"github.com/rs/zerolog"
 
-	"elderwall/control/retries"
-	"elderwall/fleet/budgets"
-	"elderwall/fleet/floors"
+	"elderwall/core/routing/retrybudget"
+	"elderwall/core/cluster/quota"
+	"elderwall/core/cluster/purgefloor"
 	"elderwall/internal/certs"
 	"elderwall/internal/changelog"
 	"elderwall/internal/clock"
 	"elderwall/internal/counters"
 	"elderwall/internal/extproc"
-	"elderwall/internal/fleet"
-	"elderwall/internal/front"
-	"elderwall/internal/gate"
-	"elderwall/internal/node"
+	"elderwall/internal/cluster"
+	"elderwall/internal/downstream"
+	"elderwall/internal/authn"
+	"elderwall/internal/dispatcher"
 	"elderwall/internal/operator"
 	"elderwall/internal/service"
-	"elderwall/internal/variants"
+	"elderwall/internal/variantfilter"
 )
 
 // Extras is an operator's file in force.
@@ -37,14 +37,14 @@
 	name     string // the dispatcher's
 	services []string
 	told     *operator.Config
-	gate     *gate.Gate // nil where nobody asks who is calling
+	gate     *authn.Gate // nil where nobody asks who is calling
 	secure   certs.Listener
 	proxies  certs.Listener
-	fleet    atomic.Pointer[fleet.Fleet] // nil where the dispatcher is by itself, and before it is opened
+	fleet    atomic.Pointer[cluster.Fleet] // nil where the dispatcher is by itself, and before it is opened
 	early    early                       // purges told before the fleet was opened
-	purged   func(floors.Floor)          // takes what others learned of purges; nil where the fleet remembers nothing
+	purged   func(purgefloor.Floor)          // takes what others learned of purges; nil where the fleet remembers nothing
 	gone     float64                     // s after which a purge needs no memory
-	variants *variants.Stage             // nil where none are declared
+	variants *variantfilter.Stage             // nil where none are declared
 	cores    int                         // that the command line says, before the file; 0 where it says none
 }
 
@@ -84,7 +84,7 @@
 	if e.told.Callers == nil {
 		return all, nil, nil
 	}
-	e.gate = &gate.Gate{Clock: clock.New(), Log: log, Counts: counts}
+	e.gate = &authn.Gate{Clock: clock.New(), Log: log, Counts: counts}
 	if e.divides() {
 		e.gate.Fleet = spender{e}
 	}
@@ -104,11 +104,11 @@
 func (e *Extras) Joins() []bool { return e.told.Joins }
 
 // Retries bounds forwards after failed ones.
-func (e *Extras) Retries() retries.Settings {
+func (e *Extras) Retries() retrybudget.Settings {
 	s := e.told.Retries
 	if e.divides() {
 		s.Fleet = func() bool {
-			_, ok := spender{e}.Spend(budgets.UseRetries) // a rate: nothing is to be given back
+			_, ok := spender{e}.Spend(quota.UseRetries) // a rate: nothing is to be given back
 			return ok
 		}
 	}
@@ -133,11 +133,11 @@
 func (s spender) Spent(of []string) { s.fleet.Load().Spent(of) }
 
 // Origins gives a module its part in the budgets at the origin; nil where none is divided.
-func (e *Extras) Origins() func() node.Bounder {
+func (e *Extras) Origins() func() dispatcher.Bounder {
 	if !e.divides() {
 		return nil
 	}
-	return func() node.Bounder { return &bounder{of: e} }
+	return func() dispatcher.Bounder { return &bounder{of: e} }
 }
 
 // Changes has purges that the change log tells remembered by the fleet, and those that others tell taken here: they only narrow.
@@ -145,14 +145,14 @@
 	if e.told.Fleet == nil || e.told.Fleet.Memory == nil {
 		return take
 	}
-	e.purged = func(p floors.Floor) {
+	e.purged = func(p purgefloor.Floor) {
 		take(changelog.Event{Purge: &changelog.Purge{Object: p.Object, Group: p.Group, Time: p.Time, Learned: true}})
 	}
 	e.gone = gone
 	return func(c changelog.Event) {
 		take(c)
 		if c.Purge != nil {
-			e.early.tell(&e.fleet, floors.Floor{Object: c.Purge.Object, Group: c.Purge.Group, Time: c.Purge.Time})
+			e.early.tell(&e.fleet, purgefloor.Floor{Object: c.Purge.Object, Group: c.Purge.Group, Time: c.Purge.Time})
 		}
 	}
 }
@@ -162,10 +162,10 @@
 // early keeps purges until there is a fleet.
 type early struct {
 	mu  sync.Mutex
-	all []floors.Floor
+	all []purgefloor.Floor
 }
 
-func (e *early) tell(to *atomic.Pointer[fleet.Fleet], p floors.Floor) {
+func (e *early) tell(to *atomic.Pointer[cluster.Fleet], p purgefloor.Floor) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if f := to.Load(); f != nil {
@@ -175,7 +175,7 @@
 	}
 }
 
-func (e *early) open(to *atomic.Pointer[fleet.Fleet], f *fleet.Fleet) {
+func (e *early) open(to *atomic.Pointer[cluster.Fleet], f *cluster.Fleet) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	to.Store(f)
@@ -188,7 +188,7 @@
 // bounder is one module's part, once the fleet is opened.
 type bounder struct {
 	of *Extras
-	*fleet.Bounded
+	*cluster.Bounded
 }
 
 // Bound is node.Bounder.
@@ -215,16 +215,16 @@
 }
 
 // Variants makes the stage that names the variant of an object that a GET is sent for.
-func (e *Extras) Variants() (node.Variants, front.Devices, error) {
+func (e *Extras) Variants() (dispatcher.Variants, downstream.Devices, error) {
 	t := e.told.Variants
 	if t == nil {
-		return nil, front.Devices{}, nil
+		return nil, downstream.Devices{}, nil
 	}
 	s := t.Settings
 	s.Module.Self = e.name
-	stage, err := variants.New(s)
+	stage, err := variantfilter.New(s)
 	if err != nil {
-		return nil, front.Devices{}, err
+		return nil, downstream.Devices{}, err
 	}
 	e.variants = stage
 	return stage, t.Devices, nil
@@ -235,7 +235,7 @@
 	if t := e.told.Fleet; t != nil {
 		s := *t
 		s.Name = e.name
-		f, err := fleet.Open(s, e.told.Generation, to.Log)
+		f, err := cluster.Open(s, e.told.Generation, to.Log)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/extras/extras_test.go
+++ b/internal/extensions/extras_test.go
@@ -1,4 +1,4 @@
-package extras
+package extensions
 
 import (
 	"context"
@@ -27,7 +27,7 @@
 	"elderwall/internal/standin/proxy"
 	rigs "elderwall/internal/standin/rig"
 	"elderwall/internal/token"
-	"elderwall/stages/callers"
+	"elderwall/core/admission"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -58,7 +58,7 @@
 	changes := need.Of(standin.ListenChangeLog("127.0.0.1:0"))(t)
 	t.Cleanup(changes.Close)
 	changes.Push(standin.List(1, true, "s-1 "+r.hosts.All[0].Address+" std SERVING", "s-2 127.0.0.1:1 origin SERVING"))
-	r.key("k1", callers.Active)
+	r.key("k1", admission.Active)
 	r.put("revoked.json", []byte(`{}`))
 	if secure {
 		r.secure, r.authority = standin.Free(), standin.NewAuthority("ours")
@@ -102,7 +102,7 @@
 }
 
 // key makes a key, or gives one another state, and writes the set.
-func (r *rig) key(id string, state callers.KeyState) {
+func (r *rig) key(id string, state admission.KeyState) {
 	if r.keys[id] == nil {
 		r.keys[id] = need.Of(token.NewKey(id, "EdDSA"))(r)
 	}
@@ -124,11 +124,11 @@
 const again, old = "callers read again", "the old one stays"
 
 // turn gives a key another state, and has that read.
-func (r *rig) turn(id string, state callers.KeyState) { r.key(id, state); r.reload(again) }
+func (r *rig) turn(id string, state admission.KeyState) { r.key(id, state); r.reload(again) }
 
 func (r *rig) token(key, tenant, subject string) string {
 	now := float64(time.Now().Unix())
-	return need.Of(r.keys[key].Sign(callers.Claims{Subject: subject, Tenant: tenant, ID: subject, IssuedAt: now, Expiry: now + 60}))(r)
+	return need.Of(r.keys[key].Sign(admission.Claims{Subject: subject, Tenant: tenant, ID: subject, IssuedAt: now, Expiry: now + 60}))(r)
 }
 
 // send sends a new GET with a token, "" for none, of which the open ids differ.
@@ -160,7 +160,7 @@
 func TestWhoIsCalling(t *testing.T) {
 	r := newRig(t, false)
 	c, good := r.Dial(), r.token("k1", "counter", "till-4")
-	over := need.Of(r.keys["k1"].Sign(callers.Claims{Subject: "x", Tenant: "counter", Expiry: float64(time.Now().Unix() - 31)}))(t)
+	over := need.Of(r.keys["k1"].Sign(admission.Claims{Subject: "x", Tenant: "counter", Expiry: float64(time.Now().Unix() - 31)}))(t)
 	for _, tt := range []struct{ name, token, want string }{
 		{"a good token", good, "served"},
 		{"the same again", good, "served"},
@@ -212,27 +212,27 @@
 func TestKeysRotateUnderSteadyLoad(t *testing.T) {
 	r := newRig(t, false)
 	var signed atomic.Pointer[[]string] // tokens in use
-	r.turn("bad", callers.Active)
+	r.turn("bad", admission.Active)
 	bad, before := r.token("bad", "counter", "thief"), r.token("k1", "counter", "till")
 	signed.Store(&[]string{before})
 	steady := r.load(8, func(i int) string { now := *signed.Load(); return now[i%len(now)] })
 	pass := func() { time.Sleep(50 * time.Millisecond) }
 	pass()
 	assert.Equal(t, "served", ask(t, r.Dial(), bad))
-	r.turn("bad", callers.Revoked) // from here on the window, of which nothing is needed
+	r.turn("bad", admission.Revoked) // from here on the window, of which nothing is needed
 	thief := r.load(2, func(int) string { return bad })
 	for i := 2; i <= 4; i++ {
 		id, last := fmt.Sprint("k", i), fmt.Sprint("k", i-1)
-		r.turn(id, callers.Announced)
-		r.turn(id, callers.Active)
+		r.turn(id, admission.Announced)
+		r.turn(id, admission.Active)
 		fresh := r.token(id, "counter", "till")
 		signed.Store(&[]string{before, fresh})
 		pass()
-		r.turn(last, callers.Retiring)
+		r.turn(last, admission.Retiring)
 		pass()
 		signed.Store(&[]string{fresh})
 		pass() // those with an old token in hand are done
-		r.turn(last, callers.Revoked)
+		r.turn(last, admission.Revoked)
 		assert.Equal(t, "failed token", ask(t, r.Dial(), before))
 		before = fresh
 	}
@@ -372,7 +372,7 @@
 			need.Soon(t, func() bool { n, _ := r.hosts.Count(); return n == 1 })
 			r.Signals <- syscall.SIGTERM
 			time.Sleep(after)
-			r.turn("k1", callers.Revoked)
+			r.turn("k1", admission.Revoked)
 			assert.NotEqual(t, "served", ask(t, c, good), "revoked, or too late")
 			close(wait)
 			got := need.Of(c.Read())(t)
--- a/internal/extproc/call.go
+++ b/internal/extproc/call.go
@@ -6,22 +6,22 @@
 	"time"
 
 	"elderwall/internal/call"
-	"elderwall/internal/room"
-	"elderwall/stages/calls"
+	"elderwall/internal/memquota"
+	"elderwall/core/proxycall"
 )
 
 const lookAgain = time.Millisecond // at a route that news has overtaken: a shard that does not stand still hears it in less
 
 // ask is one GET of a proxy, over as many streams as it takes.
 type ask struct {
-	row    *calls.Call
+	row    *proxycall.Call
 	get    call.GET
 	as     call.Call // as the handler knows it
 	origin uint64
 
 	entered   atomic.Int32 // how far it has come to the handler
 	abandoned atomic.Bool  // the operator's choice went out before its decision
-	room      *room.Room   // that the bytes of its answer hold
+	room      *memquota.Room   // that the bytes of its answer hold
 	mark      atomic.Int32
 
 	mu     sync.Mutex
--- a/internal/extproc/extproc_test.go
+++ b/internal/extproc/extproc_test.go
@@ -24,23 +24,23 @@
 	healthpb "google.golang.org/grpc/health/grpc_health_v1"
 	"google.golang.org/grpc/status"
 
-	"elderwall/control"
-	pure "elderwall/fleet/variants"
+	"elderwall/core/routing"
+	pure "elderwall/core/cluster/variant"
 	"elderwall/internal/call"
 	"elderwall/internal/changelog"
 	"elderwall/internal/clock"
-	"elderwall/internal/node"
+	"elderwall/internal/dispatcher"
 	"elderwall/internal/standin"
 	"elderwall/internal/standin/need"
 	"elderwall/internal/standin/proxy"
 	rigs "elderwall/internal/standin/rig"
-	"elderwall/internal/variants"
-	"elderwall/stages/calls"
+	"elderwall/internal/variantfilter"
+	"elderwall/core/proxycall"
 )
 
 // paused is a handler that a test can hold up.
 type paused struct {
-	*node.Node
+	*dispatcher.Node
 	mu sync.Mutex
 }
 
@@ -69,11 +69,11 @@
 	r := &rig{TB: t, sent: map[string]int{}}
 	o, end := rigs.Life(t)
 	s := rigs.Settings(100_000)
-	r.end, s.Detail, s.MaxRetryAfter = end, control.Full, 1
+	r.end, s.Detail, s.MaxRetryAfter = end, routing.Full, 1
 	s.Settings.Services[0].Objective, s.Settings.Services[0].ViewerTimeout = 1, 10
-	n := node.New(node.Config{Settings: s, Clock: clock.New(), Options: o, Connections: 400})
+	n := dispatcher.New(dispatcher.Config{Settings: s, Clock: clock.New(), Options: o, Connections: 400})
 	r.handler = &paused{Node: n}
-	options := Options{Decide: 0.5, Calls: calls.Settings{Hold: 0.1, Share: 1, Open: 20_000}, Rules: rules()}
+	options := Options{Decide: 0.5, Calls: proxycall.Settings{Hold: 0.1, Share: 1, Open: 20_000}, Rules: rules()}
 	if change != nil {
 		change(&options)
 	}
@@ -223,7 +223,7 @@
 	budget, _ := strconv.Atoi(set["x-elderwall-budget-ms"])
 	assert.InDelta(t, 2000, budget, 100)
 	by, _ := strconv.ParseInt(set["x-elderwall-send-by"], 10, 64)
-	assert.LessOrEqual(t, by, time.Now().Add(calls.SendWithin*1e9).UnixMilli(), "what was named is to be sent within half of the drain's grace")
+	assert.LessOrEqual(t, by, time.Now().Add(proxycall.SendWithin*1e9).UnixMilli(), "what was named is to be sent within half of the drain's grace")
 	assert.Contains(t, common.GetHeaderMutation().GetRemoveHeaders(), "x-elderwall-unsent", "what clients forge is taken out")
 	assert.Equal(t, set["x-elderwall-host"], m.GetDynamicMetadata().GetFields()["elderwall"].GetStructValue().GetFields()["host"].GetStringValue())
 	require.NoError(t, s.CloseSend())
@@ -405,7 +405,7 @@
 }
 
 func TestABoundOnWhatIsOpen(t *testing.T) {
-	r := newRig(t, func(o *Options) { o.Calls = calls.Settings{Open: 10, Share: 0.5, Hold: 0.3} })
+	r := newRig(t, func(o *Options) { o.Calls = proxycall.Settings{Open: 10, Share: 0.5, Hold: 0.3} })
 	statuses := map[int]int{}
 	for range 8 {
 		statuses[r.one(proxy.GoneAfterTold).Status]++
@@ -653,7 +653,7 @@
 func declared(t *testing.T, r *rig) {
 	one := pure.Service{Classes: []string{"tv", "phone"}, Proof: pure.ByDigest, Witnesses: 1, Repeats: true, Fresh: math.Inf(1),
 		Presume: &pure.Presumed{Objects: 1, Checks: 1e-6}}
-	stage, err := variants.New(variants.Settings{Module: pure.Settings{Services: []pure.Service{one}, Objects: 10, Seed: 3, Self: "d1"}, Fields: []string{""}})
+	stage, err := variantfilter.New(variantfilter.Settings{Module: pure.Settings{Services: []pure.Service{one}, Objects: 10, Seed: 3, Self: "d1"}, Fields: []string{""}})
 	require.NoError(t, err)
 	same := func(c int) pure.Answer {
 		return pure.Answer{Object: pure.Object{Object: 99}, Class: c, Host: 1, Proof: 5}
--- a/internal/extproc/messages.go
+++ b/internal/extproc/messages.go
@@ -13,7 +13,7 @@
 	"google.golang.org/protobuf/types/known/structpb"
 
 	"elderwall/internal/call"
-	"elderwall/stages/calls"
+	"elderwall/core/proxycall"
 )
 
 // namespace is that of dynamic metadata.
@@ -33,7 +33,7 @@
 }
 
 // routeHeaders says where a proxy is to send a forward, and until when.
-func (r *Rules) routeHeaders(route *call.Route, id calls.ID, sendIn float64, now time.Time) []pair {
+func (r *Rules) routeHeaders(route *call.Route, id proxycall.ID, sendIn float64, now time.Time) []pair {
 	all := []pair{
 		{r.Prefix + "host", route.Address}, {r.Prefix + "host-name", route.Host},
 		{r.Prefix + "get", fmt.Sprintf("%016x", uint64(id))}, {r.Prefix + "forward", strconv.Itoa(route.Number)},
--- a/internal/extproc/room_test.go
+++ b/internal/extproc/room_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"elderwall/internal/room"
+	"elderwall/internal/memquota"
 	"elderwall/internal/standin/need"
 	"elderwall/internal/standin/proxy"
 	rigs "elderwall/internal/standin/rig"
@@ -21,7 +21,7 @@
 		"the answer comes behind the end":  func(a *ask, serve func()) { a.drop(); serve() },
 		"a second answer comes":            func(a *ask, serve func()) { a.Refuse(0); serve() },
 	} {
-		r := room.New(1000)
+		r := memquota.New(1000)
 		a := &ask{room: r, wake: make(chan struct{}, 1)}
 		play(a, func() { r.Take(400); a.Serve(make([]byte, 400), false) })
 		assert.EqualValues(t, 1000, r.Left(), name)
--- a/internal/extproc/rules.go
+++ b/internal/extproc/rules.go
@@ -15,8 +15,8 @@
 	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 
 	"elderwall/internal/call"
-	"elderwall/internal/lines"
-	"elderwall/stages/calls"
+	"elderwall/internal/hostproto"
+	"elderwall/core/proxycall"
 )
 
 const (
@@ -52,7 +52,7 @@
 // Asked is what a request asks for.
 type Asked struct {
 	call.GET
-	Again  calls.ID // of the GET that it goes on with, 0 for none
+	Again  proxycall.ID // of the GET that it goes on with, 0 for none
 	Unsent bool     // the proxy tells that it could not send the forward before
 }
 
@@ -144,7 +144,7 @@
 		a.Token = token[len(bearer):]
 	}
 	if id, err := strconv.ParseUint(h[r.Prefix+"get"], 16, 64); err == nil {
-		a.Again = calls.ID(id)
+		a.Again = proxycall.ID(id)
 	}
 	if header := r.Devices[a.Service]; header != "" {
 		a.Device = h[header]
@@ -179,17 +179,17 @@
 }
 
 // reply reads a response's headers.
-func (r *Rules) reply(m *corev3.HeaderMap) (_ calls.Reply, note string, p lines.Proofs, _ error) {
+func (r *Rules) reply(m *corev3.HeaderMap) (_ proxycall.Reply, note string, p hostproto.Proofs, _ error) {
 	h, err := headers(m, longestHead)
 	if err != nil {
-		return calls.Reply{}, "", p, err
+		return proxycall.Reply{}, "", p, err
 	}
 	status, err := strconv.Atoi(h[statusName])
 	if err != nil || status < 100 || status > 999 {
-		return calls.Reply{}, "", p, fmt.Errorf("%w: status", ErrBad)
+		return proxycall.Reply{}, "", p, fmt.Errorf("%w: status", ErrBad)
 	}
 	note = h[r.Prefix+"note"]
-	reply := calls.Reply{Status: status, Full: note == "full", Age: -1}
+	reply := proxycall.Reply{Status: status, Full: note == "full", Age: -1}
 	if age, err := strconv.ParseFloat(h[ageName], 64); err == nil && age >= 0 {
 		reply.Age = age
 	}
@@ -200,11 +200,11 @@
 }
 
 // proofs is what a response tells of its content. A weak tag proves nothing (RFC 9110, section 8.8.1).
-func (r *Rules) proofs(h map[string]string) (p lines.Proofs) {
+func (r *Rules) proofs(h map[string]string) (p hostproto.Proofs) {
 	if tag := h["etag"]; len(tag) > 2 && tag[0] == '"' && tag[len(tag)-1] == '"' {
-		p.Tag = lines.Hash([]byte(tag[1 : len(tag)-1]))
+		p.Tag = hostproto.Hash([]byte(tag[1 : len(tag)-1]))
 	}
-	p.Digest = lines.Hash([]byte(h["repr-digest"]))
+	p.Digest = hostproto.Hash([]byte(h["repr-digest"]))
 	p.Version, _ = strconv.ParseUint(h[r.Prefix+"version"], 10, 64)
 	return p
 }
--- a/internal/extproc/server.go
+++ b/internal/extproc/server.go
@@ -27,15 +27,15 @@
 	"google.golang.org/grpc/peer"
 	"google.golang.org/grpc/status"
 
-	"elderwall/control"
+	"elderwall/core/routing"
 	"elderwall/internal/certs"
 	"elderwall/internal/clock"
 	"elderwall/internal/counters"
-	"elderwall/internal/front"
-	"elderwall/internal/room"
+	"elderwall/internal/downstream"
+	"elderwall/internal/memquota"
 	"elderwall/internal/syserr"
-	"elderwall/stages/callers"
-	"elderwall/stages/calls"
+	"elderwall/core/admission"
+	"elderwall/core/proxycall"
 )
 
 const (
@@ -52,7 +52,7 @@
 // Options is what the operator's file says.
 type Options struct {
 	Rules    Rules
-	Calls    calls.Settings
+	Calls    proxycall.Settings
 	Decide   float64 // s; what can't be decided by then gets the operator's choice
 	Open     bool    // that choice: the request goes on unrouted, else it is shed
 	Metadata bool    // routes are in dynamic metadata too
@@ -63,11 +63,11 @@
 // Server serves proxies.
 type Server struct {
 	Options
-	Handler front.Handler
-	Callers front.Callers // nil where nobody asks who is calling
+	Handler downstream.Handler
+	Callers downstream.Callers // nil where nobody asks who is calling
 	Log     zerolog.Logger
 	Counts  *counters.Counters
-	Room    *room.Room
+	Room    *memquota.Room
 	Clock   clock.Clock
 
 	closing atomic.Bool
@@ -75,11 +75,11 @@
 	health  *health.Server
 
 	mu    sync.Mutex // of what follows; taken under the node's lock, and held for no call
-	table *calls.Table
-	asks  map[calls.ID]*ask
+	table *proxycall.Table
+	asks  map[proxycall.ID]*ask
 
 	lineMu sync.Mutex
-	line   calls.Line[*ask]
+	line   proxycall.Line[*ask]
 	wake   chan struct{}
 }
 
@@ -117,7 +117,7 @@
 func (s *Server) begin() {
 	var seed [32]byte
 	_, _ = crypto.Read(seed[:])
-	s.table, s.asks = calls.New(s.Calls, seed), map[calls.ID]*ask{}
+	s.table, s.asks = proxycall.New(s.Calls, seed), map[proxycall.ID]*ask{}
 	s.line.Most, s.wake, s.health = s.table.Open, make(chan struct{}, 1), health.NewServer()
 	s.health.SetServingStatus("", healthpb.HealthCheckResponse_SERVING)
 }
@@ -227,7 +227,7 @@
 	*Server
 	grpc   procv3.ExternalProcessor_ProcessServer
 	proxy  uint64
-	conn   *callers.Conn
+	conn   *admission.Conn
 	ask    *ask // nil before it has asked, and where it went on unrouted
 	asked  bool
 	told   bool // a response was told
@@ -294,9 +294,9 @@
 }
 
 // identify tells proxies apart: by certificate where there is one, else by address.
-func (s *Server) identify(ctx context.Context) (uint64, *callers.Conn) {
+func (s *Server) identify(ctx context.Context) (uint64, *admission.Conn) {
 	sum := fnv.New64a()
-	conn := &callers.Conn{}
+	conn := &admission.Conn{}
 	if p, ok := peer.FromContext(ctx); ok {
 		if at, err := netip.ParseAddrPort(p.Addr.String()); err == nil {
 			conn.Remote = at.Addr()
@@ -418,8 +418,8 @@
 	}
 	st.Counts.ProxyAgain.Add(1)
 	st.ask, st.closes = a, time.Now().Add(clock.Duration(row.Until-st.Clock.Now())+linger)
-	if route := a.current(); route != nil && proof != calls.Nothing {
-		route.End(func(float64) (control.Outcome, control.Note, bool) { return outcomes[proof], control.NoNote, true })
+	if route := a.current(); route != nil && proof != proxycall.Nothing {
+		route.End(func(float64) (routing.Outcome, routing.Note, bool) { return outcomes[proof], routing.NoNote, true })
 	}
 	return true
 }
@@ -459,13 +459,13 @@
 }
 
 // outcomes is what the module is told of a proof.
-var outcomes = map[calls.Proof]control.Outcome{calls.Returned: control.Returned, calls.HostError: control.HostError,
-	calls.Full: control.NotTaken, calls.TooOld: control.NotTaken, calls.Lacks: control.Empty, calls.Unreached: control.Unreached,
-	calls.Dropped: control.Dropped}
+var outcomes = map[proxycall.Proof]routing.Outcome{proxycall.Returned: routing.Returned, proxycall.HostError: routing.HostError,
+	proxycall.Full: routing.NotTaken, proxycall.TooOld: routing.NotTaken, proxycall.Lacks: routing.Empty, proxycall.Unreached: routing.Unreached,
+	proxycall.Dropped: routing.Dropped}
 
 // notes is what hosts say of a hit or a fill in a header.
-var notes = map[string]control.Note{"hit": control.Hit, "filled": control.Filled, "origin": control.FilledByOrigin, "joined": control.Joined,
-	"source-refused": control.SourceRefused, "source-failed": control.SourceFailed, "source-lacks": control.SourceLacks, "origin-failed": control.OriginFailed}
+var notes = map[string]routing.Note{"hit": routing.Hit, "filled": routing.Filled, "origin": routing.FilledByOrigin, "joined": routing.Joined,
+	"source-refused": routing.SourceRefused, "source-failed": routing.SourceFailed, "source-lacks": routing.SourceLacks, "origin-failed": routing.OriginFailed}
 
 // response takes how a forward went, and says what the client gets.
 func (st *stream) response(h *procv3.HttpHeaders) (*procv3.ProcessingResponse, error) {
@@ -480,8 +480,8 @@
 	if _, f := a.more(); f != nil {
 		return st.last(a, f), nil
 	}
-	route, proofs := a.current(), make(chan calls.Proof, 1)
-	route.End(func(oldest float64) (control.Outcome, control.Note, bool) {
+	route, proofs := a.current(), make(chan proxycall.Proof, 1)
+	route.End(func(oldest float64) (routing.Outcome, routing.Note, bool) {
 		st.mu.Lock()
 		defer st.mu.Unlock()
 		if route.Good != nil && reply.Status < statusBad && !route.Good(tells) {
@@ -489,7 +489,7 @@
 		}
 		proof := st.table.Replied(st.Clock.Now(), a.row, reply, oldest, route.HeldOnly)
 		proofs <- proof
-		return outcomes[proof], notes[note], proof != calls.Nothing
+		return outcomes[proof], notes[note], proof != proxycall.Nothing
 	})
 	by := time.NewTimer(time.Duration(st.Decide * float64(time.Second)))
 	defer by.Stop()
@@ -506,8 +506,8 @@
 }
 
 // proven says what the client gets of a response: the copy, the answer that the proxy may come again on, or the final one.
-func (st *stream) proven(a *ask, proof calls.Proof) *procv3.ProcessingResponse {
-	if proof == calls.Returned {
+func (st *stream) proven(a *ask, proof proxycall.Proof) *procv3.ProcessingResponse {
+	if proof == proxycall.Returned {
 		st.over(a)
 		st.ask = nil
 		return continueResponse(mutation(nil, st.Rules.Prefix+"again"))
@@ -517,7 +517,7 @@
 	switch {
 	case f != nil:
 		return st.last(a, f)
-	case waits && proof != calls.TooOld:
+	case waits && proof != proxycall.TooOld:
 		return continueResponse(mutation([]pair{{st.Rules.Prefix + "again", fmt.Sprintf("%016x", uint64(a.row.ID))}}))
 	case waits: // the copy itself must not go out
 		out := st.Rules.immediate(&final{status: statusShed})
@@ -541,11 +541,11 @@
 	}
 	st.mu.Lock()
 	proof := st.table.Ended(st.Clock.Now(), a.row)
-	if proof == calls.Left {
+	if proof == proxycall.Left {
 		delete(st.asks, a.row.ID)
 	}
 	st.mu.Unlock()
-	if proof == calls.Left {
+	if proof == proxycall.Left {
 		st.abandon(a)
 	}
 }
--- a/internal/lines/lines.go
+++ b/internal/hostproto/lines.go
@@ -1,6 +1,6 @@
-// Package lines speaks the protocol of the cache hosts: lines of words, with bodies of a told length. It is
+// Package hostproto speaks the protocol of the cache hosts: lines of words, with bodies of a told length. It is
 // fed bytes and knows no socket.
-package lines
+package hostproto
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"elderwall/control"
+	"elderwall/core/routing"
 )
 
 const (
@@ -42,17 +42,17 @@
 }
 
 // notes are the values of the field that tells of a hit or a fill.
-var notes = map[string]control.Note{
-	"mem": control.Hit, "parent": control.Filled, "origin": control.FilledByOrigin, "shared": control.Joined,
-	"old": control.Aged, "denied": control.SourceRefused, "unreached": control.SourceFailed,
-	"absent": control.SourceLacks, "crowded": control.NoFillPlace, "behind": control.OriginFailed,
+var notes = map[string]routing.Note{
+	"mem": routing.Hit, "parent": routing.Filled, "origin": routing.FilledByOrigin, "shared": routing.Joined,
+	"old": routing.Aged, "denied": routing.SourceRefused, "unreached": routing.SourceFailed,
+	"absent": routing.SourceLacks, "crowded": routing.NoFillPlace, "behind": routing.OriginFailed,
 }
 
 // Answer is one answer. Its ID is good until Space is called; the body is the caller's to keep.
 type Answer struct {
 	ID     []byte
 	Word   Word
-	Note   control.Note
+	Note   routing.Note
 	Waited float64 // s; how long the fill waited for its source, 0 where that is not told
 	Tag    string  // of the copy that the host calls current, for Valid alone
 	Body   []byte
--- a/internal/lines/lines_test.go
+++ b/internal/hostproto/lines_test.go
@@ -1,4 +1,4 @@
-package lines_test
+package hostproto_test
 
 import (
 	"strings"
@@ -7,16 +7,16 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"elderwall/control"
-	"elderwall/internal/lines"
+	"elderwall/core/routing"
+	"elderwall/internal/hostproto"
 	"elderwall/internal/standin"
 	"elderwall/internal/standin/need"
 )
 
 // answers feeds text in pieces of a size and gives back the answers, until the first error.
-func answers(text string, piece int, room func(int) bool) (got []lines.Answer, err error) {
-	r := lines.Reader{Room: room}
-	return need.Pieces([]byte(text), piece, r.Space, r.Fed, func() (lines.Answer, bool, error) {
+func answers(text string, piece int, room func(int) bool) (got []hostproto.Answer, err error) {
+	r := hostproto.Reader{Room: room}
+	return need.Pieces([]byte(text), piece, r.Space, r.Fed, func() (hostproto.Answer, bool, error) {
 		a, ok, err := r.Next()
 		a.ID = []byte(string(a.ID)) // Space ends it
 		return a, ok, err
@@ -26,7 +26,7 @@
 func roomy(int) bool { return true }
 
 func TestWhichAnswerIsUnderWay(t *testing.T) {
-	r := lines.Reader{Room: roomy}
+	r := hostproto.Reader{Room: roomy}
 	for _, step := range []struct {
 		bytes string
 		under int
@@ -46,33 +46,33 @@
 	long, empty := strings.Repeat("x\r\n", 80000), []byte{}
 	for _, tt := range []struct {
 		text string
-		want lines.Answer
+		want hostproto.Answer
 	}{
-		{standin.Hit("a", "bytes"), lines.Answer{Word: lines.Hit, Note: control.Hit, Body: []byte("bytes")}},
-		{standin.Hit("a", long), lines.Answer{Word: lines.Hit, Note: control.Hit, Body: []byte(long)}},
-		{standin.Answer("a", "HIT", "rev=1,detail=parent,fill=20", "x"), lines.Answer{Word: lines.Hit, Note: control.Filled, Waited: 0.02, Body: []byte("x")}},
-		{standin.Answer("a", "HIT", "detail=parent,fill=1e300", "x"), lines.Answer{Word: lines.Hit, Note: control.Filled, Body: []byte("x")}},
-		{standin.Answer("a", "HIT", "detail=parent,fill=-4", "x"), lines.Answer{Word: lines.Hit, Note: control.Filled, Body: []byte("x")}},
-		{standin.Answer("a", "HIT", "detail=parent,fill=NaN", "x"), lines.Answer{Word: lines.Hit, Note: control.Filled, Body: []byte("x")}},
-		{standin.Answer("a", "HIT", "detail=origin", "x"), lines.Answer{Word: lines.Hit, Note: control.FilledByOrigin, Body: []byte("x")}},
-		{standin.Answer("a", "HIT", "detail=shared", "x"), lines.Answer{Word: lines.Hit, Note: control.Joined, Body: []byte("x")}},
-		{standin.Answer("a", "HIT", "detail=old", "x"), lines.Answer{Word: lines.Hit, Note: control.Aged, Body: []byte("x")}},
-		{standin.Answer("a", "VALID", "detail=mem", ""), lines.Answer{Word: lines.Valid, Note: control.Hit, Body: empty}},
-		{standin.Answer("a", "VALID", "rev=7,detail=old", ""), lines.Answer{Word: lines.Valid, Note: control.Aged, Tag: "7", Body: empty}},
-		{standin.Answer("a", "NONE", "-", ""), lines.Answer{Word: lines.None, Body: empty}},
-		{standin.Answer("a", "NONE", "detail=absent", ""), lines.Answer{Word: lines.None, Note: control.SourceLacks, Body: empty}},
-		{standin.Answer("a", "SHED", "detail=denied", ""), lines.Answer{Word: lines.Shed, Note: control.SourceRefused, Body: empty}},
-		{standin.Answer("a", "SHED", "detail=crowded", ""), lines.Answer{Word: lines.Shed, Note: control.NoFillPlace, Body: empty}},
-		{standin.Answer("a", "FAULT", "detail=unreached", ""), lines.Answer{Word: lines.Fault, Note: control.SourceFailed, Body: empty}},
-		{standin.Answer("a", "FAULT", "detail=behind", ""), lines.Answer{Word: lines.Fault, Note: control.OriginFailed, Body: empty}},
-		{standin.Answer("a", "LATE", "detail=new", ""), lines.Answer{Word: lines.Late, Body: empty}},
-		{"a PONG\r\n", lines.Answer{Word: lines.Pong}},
-		{"a PONG - 0\r\n\r\n", lines.Answer{Word: lines.Pong, Body: empty}}} {
+		{standin.Hit("a", "bytes"), hostproto.Answer{Word: hostproto.Hit, Note: routing.Hit, Body: []byte("bytes")}},
+		{standin.Hit("a", long), hostproto.Answer{Word: hostproto.Hit, Note: routing.Hit, Body: []byte(long)}},
+		{standin.Answer("a", "HIT", "rev=1,detail=parent,fill=20", "x"), hostproto.Answer{Word: hostproto.Hit, Note: routing.Filled, Waited: 0.02, Body: []byte("x")}},
+		{standin.Answer("a", "HIT", "detail=parent,fill=1e300", "x"), hostproto.Answer{Word: hostproto.Hit, Note: routing.Filled, Body: []byte("x")}},
+		{standin.Answer("a", "HIT", "detail=parent,fill=-4", "x"), hostproto.Answer{Word: hostproto.Hit, Note: routing.Filled, Body: []byte("x")}},
+		{standin.Answer("a", "HIT", "detail=parent,fill=NaN", "x"), hostproto.Answer{Word: hostproto.Hit, Note: routing.Filled, Body: []byte("x")}},
+		{standin.Answer("a", "HIT", "detail=origin", "x"), hostproto.Answer{Word: hostproto.Hit, Note: routing.FilledByOrigin, Body: []byte("x")}},
+		{standin.Answer("a", "HIT", "detail=shared", "x"), hostproto.Answer{Word: hostproto.Hit, Note: routing.Joined, Body: []byte("x")}},
+		{standin.Answer("a", "HIT", "detail=old", "x"), hostproto.Answer{Word: hostproto.Hit, Note: routing.Aged, Body: []byte("x")}},
+		{standin.Answer("a", "VALID", "detail=mem", ""), hostproto.Answer{Word: hostproto.Valid, Note: routing.Hit, Body: empty}},
+		{standin.Answer("a", "VALID", "rev=7,detail=old", ""), hostproto.Answer{Word: hostproto.Valid, Note: routing.Aged, Tag: "7", Body: empty}},
+		{standin.Answer("a", "NONE", "-", ""), hostproto.Answer{Word: hostproto.None, Body: empty}},
+		{standin.Answer("a", "NONE", "detail=absent", ""), hostproto.Answer{Word: hostproto.None, Note: routing.SourceLacks, Body: empty}},
+		{standin.Answer("a", "SHED", "detail=denied", ""), hostproto.Answer{Word: hostproto.Shed, Note: routing.SourceRefused, Body: empty}},
+		{standin.Answer("a", "SHED", "detail=crowded", ""), hostproto.Answer{Word: hostproto.Shed, Note: routing.NoFillPlace, Body: empty}},
+		{standin.Answer("a", "FAULT", "detail=unreached", ""), hostproto.Answer{Word: hostproto.Fault, Note: routing.SourceFailed, Body: empty}},
+		{standin.Answer("a", "FAULT", "detail=behind", ""), hostproto.Answer{Word: hostproto.Fault, Note: routing.OriginFailed, Body: empty}},
+		{standin.Answer("a", "LATE", "detail=new", ""), hostproto.Answer{Word: hostproto.Late, Body: empty}},
+		{"a PONG\r\n", hostproto.Answer{Word: hostproto.Pong}},
+		{"a PONG - 0\r\n\r\n", hostproto.Answer{Word: hostproto.Pong, Body: empty}}} {
 		tt.want.ID = []byte("a")
 		for _, piece := range []int{1, 11, 1 << 20} {
 			got, err := answers(tt.text+tt.text, piece, roomy)
 			require.NoError(t, err, "%.40q", tt.text)
-			assert.Equal(t, []lines.Answer{tt.want, tt.want}, got, "%.40q", tt.text)
+			assert.Equal(t, []hostproto.Answer{tt.want, tt.want}, got, "%.40q", tt.text)
 		}
 	}
 }
@@ -102,16 +102,16 @@
 }
 
 func TestRequests(t *testing.T) {
-	bare := lines.Request{ID: "9b1f", Service: "segment", Object: "7f3a", Part: "3", Budget: 1500}
+	bare := hostproto.Request{ID: "9b1f", Service: "segment", Object: "7f3a", Part: "3", Budget: 1500}
 	full := bare
 	full.Source, full.Rank, full.MaxAge, full.Tag, full.Body = "s-0", 2, 900, "4be0", []byte("xy")
 	full.Join, full.HeldOnly, full.Renew = true, true, true
-	for want, q := range map[string]lines.Request{
+	for want, q := range map[string]hostproto.Request{
 		"REQ 9b1f queue=segment,path=7f3a,blk=3,budget=1500 0\r\n":                                                   bare,
 		"REQ 9b1f queue=segment,path=7f3a,blk=3,budget=1500,up=s-0,store=2,cap=900,do=share+peek+swr,inm=4be0 2\r\n": full} {
 		assert.Equal(t, want, string(q.AppendHead(nil)))
 	}
-	assert.Equal(t, "STOP 9b1f\r\nHELO t\r\n", string(lines.AppendHello(lines.AppendStop(nil, "9b1f"), "t")))
+	assert.Equal(t, "STOP 9b1f\r\nHELO t\r\n", string(hostproto.AppendHello(hostproto.AppendStop(nil, "9b1f"), "t")))
 }
 
 func FuzzAnswers(f *testing.F) {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 
 	"elderwall/internal/call"
-	"elderwall/internal/front"
+	"elderwall/internal/downstream"
 	"elderwall/internal/standin/need"
 	"elderwall/internal/standin/rig"
 )
@@ -41,7 +41,7 @@
 
 // peer is a dispatcher that answers as a test says.
 type peer struct {
-	*front.Server
+	*downstream.Server
 	process func(p *peer, c call.Call, g call.GET)
 	givenUp atomic.Int64
 }
@@ -56,7 +56,7 @@
 func play(t *testing.T, c Case, rate, warm, seconds float64, process func(p *peer, c call.Call, g call.GET)) (*Tally, *peer) {
 	o, _ := rig.Life(t)
 	p := &peer{process: process}
-	p.Server = &front.Server{Handler: p, Log: o.Log, Counts: o.Counts, Room: o.Room, Most: 100}
+	p.Server = &downstream.Server{Handler: p, Log: o.Log, Counts: o.Counts, Room: o.Room, Most: 100}
 	l := need.Listener(t)
 	o.Group.Go(func() error { return p.Server.Serve(o.Context, l) })
 	return need.Of(Play(l.Addr().String(), c, "", rate, 1, warm, seconds))(t), p
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -9,7 +9,7 @@
 	"os"
 
 	"elderwall/internal/standin"
-	"elderwall/internal/strict"
+	"elderwall/internal/configfile"
 )
 
 // Plan is an experiment: every case, with every subject, so many rounds in turn.
@@ -70,7 +70,7 @@
 }
 
 func decode(path, text string) (*Plan, error) {
-	o, f, err := strict.Open(path, text)
+	o, f, err := configfile.Open(path, text)
 	if err != nil {
 		return nil, err
 	}
@@ -111,7 +111,7 @@
 	return p, errors.Join(f.All...)
 }
 
-func (p *Plan) farm(o *strict.Object) {
+func (p *Plan) farm(o *configfile.Object) {
 	o.Count("caches", &p.Farm.Caches, 1, 1000)
 	o.Count("parents", &p.Farm.Parents, 0, 1000)
 	o.Count("holds", &p.Farm.Holds, 1, mostObjects)
@@ -125,7 +125,7 @@
 	o.Done()
 }
 
-func (p *Plan) oneCase(o *strict.Object) Case {
+func (p *Plan) oneCase(o *configfile.Object) Case {
 	c := Case{Connections: 32, UnderWay: 16, Objects: 10000, Parts: 1, Service: "segment", Budget: 5}
 	o.Text("name", &c.Name)
 	o.Rate("rate", &c.Rate, 0.1, 1e7)
--- a/internal/room/room.go
+++ b/internal/memquota/room.go
@@ -1,5 +1,5 @@
-// Package room bounds the memory that long calls and the bodies of requests and answers take.
-package room
+// Package memquota bounds the memory that long calls and the bodies of requests and answers take.
+package memquota
 
 import "sync/atomic"
 
--- a/internal/cores/cores.go
+++ b/internal/multicore/cores.go
@@ -1,7 +1,7 @@
-// Package cores is several nodes in one process, each a shard with a module, a lock and connections to hosts of its own:
+// Package multicore is several nodes in one process, each a shard with a module, a lock and connections to hosts of its own:
 // it hands each GET to the shard that the module shards names, each notice to all, and answers in place of a shard that
 // stands still. It decides nothing.
-package cores
+package multicore
 
 import (
 	"context"
@@ -12,14 +12,14 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"elderwall/control"
-	"elderwall/control/order"
+	"elderwall/core/routing"
+	"elderwall/core/routing/rendezvous"
 	"elderwall/internal/call"
 	"elderwall/internal/changelog"
 	"elderwall/internal/counters"
-	"elderwall/internal/node"
+	"elderwall/internal/dispatcher"
 	"elderwall/internal/upstream"
-	"elderwall/stages/shards"
+	"elderwall/core/sharding"
 )
 
 const (
@@ -33,7 +33,7 @@
 
 // Group is the shards of a process.
 type Group struct {
-	config node.Config
+	config dispatcher.Config
 	turns  atomic.Uint64 // GETs, by which hot items are spread
 	fail   func(shard int, by time.Time) int
 
@@ -41,14 +41,14 @@
 	members atomic.Pointer[[]*member] // by number, those too that get nothing new any more; nil for those that are gone
 
 	shared sync.Mutex // of pots; taken under shards' locks, and held for no call
-	pots   shards.Pots
+	pots   sharding.Pots
 	kept   sync.Mutex // of memory, likewise
-	memory shards.Memory
+	memory sharding.Memory
 	order  uint64 // of the newest event
 
 	mu       sync.Mutex // of what follows
-	module   *shards.Module
-	together *node.Together
+	module   *sharding.Module
+	together *dispatcher.Together
 	draining bool
 	past     *counters.Counters // of shards that are gone
 	run      func(func() error) // starts what Run waits for
@@ -56,13 +56,13 @@
 
 // places is where GETs go. Guards against a table read with the nodes of another moment, which may be fewer.
 type places struct {
-	table *shards.Table
-	nodes []*node.Node // by shard
+	table *sharding.Table
+	nodes []*dispatcher.Node // by shard
 }
 
 // member is one shard that there is or was.
 type member struct {
-	*node.Node
+	*dispatcher.Node
 	counts *counters.Counters
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -75,8 +75,8 @@
 }
 
 // New makes a group of n shards; fail answers what a shard that stands still owes by a moment, and tells how many.
-func New(c node.Config, n int, way shards.Way, fail func(shard int, by time.Time) int) *Group {
-	g := &Group{config: c, module: shards.New(n, way), together: node.NewTogether(), fail: fail, past: &counters.Counters{}}
+func New(c dispatcher.Config, n int, way sharding.Way, fail func(shard int, by time.Time) int) *Group {
+	g := &Group{config: c, module: sharding.New(n, way), together: dispatcher.NewTogether(), fail: fail, past: &counters.Counters{}}
 	g.memory.Keep = c.Settings.OldCopies
 	g.run = c.Options.Group.Go
 	g.members.Store(&[]*member{})
@@ -86,7 +86,7 @@
 }
 
 // grow makes members until there are n shards; nothing goes to them yet.
-func (g *Group) grow(nodes []*node.Node, n int) (fresh []*member, all []*node.Node) {
+func (g *Group) grow(nodes []*dispatcher.Node, n int) (fresh []*member, all []*dispatcher.Node) {
 	nodes, members := slices.Clone(nodes), slices.Clone(*g.members.Load())
 	for len(nodes) < n {
 		c, o := g.config, g.config.Options
@@ -95,8 +95,8 @@
 		c.Options = &upstream.Options{Log: o.Log, Counts: m.counts, Room: o.Room, Dialer: o.Dialer, IdleClose: o.IdleClose,
 			Streams: o.Streams, Proofs: o.Proofs, Places: o.Places, Dials: o.Dials, Context: m.ctx, Group: o.Group}
 		c.Connections = max(1, g.config.Connections/n)
-		c.Shard = &node.Shard{Index: len(members), Shards: n, Peers: &peers{g, len(members)}, Together: g.together, Known: g.known}
-		m.Node = node.New(c)
+		c.Shard = &dispatcher.Shard{Index: len(members), Shards: n, Peers: &peers{g, len(members)}, Together: g.together, Known: g.known}
+		m.Node = dispatcher.New(c)
 		nodes, members, fresh = append(nodes, m.Node), append(members, m), append(fresh, m)
 	}
 	g.members.Store(&members)
@@ -205,10 +205,10 @@
 func (g *Group) Process(c call.Call, in call.GET) {
 	p := g.places.Load()
 	var key uint64
-	if p.table.Way() == shards.ByConnection {
-		key = order.Mix(c.Origin())
+	if p.table.Way() == sharding.ByConnection {
+		key = rendezvous.Mix(c.Origin())
 	} else {
-		key = shards.Key(in.Object, in.Part)
+		key = sharding.Key(in.Object, in.Part)
 	}
 	p.nodes[p.table.Of(key, g.turns.Add(1))].ProcessAs(c, in, key)
 }
@@ -299,9 +299,9 @@
 // rebalance takes the reports of a turn; a shard that gives none is not heard of.
 func (g *Group) rebalance() {
 	nodes := g.places.Load().nodes
-	reports, chans := make([]shards.Report, len(nodes)), make([]chan shards.Report, len(nodes))
+	reports, chans := make([]sharding.Report, len(nodes)), make([]chan sharding.Report, len(nodes))
 	for i, n := range nodes {
-		chans[i] = make(chan shards.Report, 1)
+		chans[i] = make(chan sharding.Report, 1)
 		n.Turn(chans[i])
 	}
 	until := time.After(heardIn)
@@ -350,7 +350,7 @@
 	}
 }
 
-func (g *Group) lookAt(i int, n *node.Node, told map[int]bool) {
+func (g *Group) lookAt(i int, n *dispatcher.Node, told map[int]bool) {
 	stalled := n.Stalled()
 	if stalled < still {
 		if told[i] {
@@ -363,7 +363,7 @@
 		told[i] = true
 		g.config.Options.Log.Warn().Int("shard", i).Dur("for", stalled).Msg("shard stands still")
 	}
-	g.config.Options.Counts.Overdue.Add(int64(g.fail(i, time.Now().Add(node.Lead()))))
+	g.config.Options.Counts.Overdue.Add(int64(g.fail(i, time.Now().Add(dispatcher.Lead()))))
 }
 
 // peers is what the shards have in common, as one of them sees it.
@@ -372,7 +372,7 @@
 	index int
 }
 
-var _ control.Peers = (*peers)(nil)
+var _ routing.Peers = (*peers)(nil)
 
 func (p *peers) Credit(host uint32, since, first, add, most float64) float64 {
 	p.shared.Lock()
@@ -393,8 +393,8 @@
 }
 
 // Tell passes news on to the other shards; it is called under the lock of one, so it only puts them in line.
-func (p *peers) Tell(news control.News) {
-	if !news.Left && news.Limit == control.NoLimit {
+func (p *peers) Tell(news routing.News) {
+	if !news.Left && news.Limit == routing.NoLimit {
 		p.shared.Lock()
 		p.pots.Done(news.Host)
 		p.shared.Unlock()
--- a/internal/cores/cores_test.go
+++ b/internal/multicore/cores_test.go
@@ -1,4 +1,4 @@
-package cores
+package multicore
 
 import (
 	"fmt"
@@ -17,12 +17,12 @@
 	"elderwall/internal/call"
 	"elderwall/internal/clock"
 	"elderwall/internal/counters"
-	"elderwall/internal/front"
-	"elderwall/internal/node"
+	"elderwall/internal/downstream"
+	"elderwall/internal/dispatcher"
 	"elderwall/internal/standin"
 	"elderwall/internal/standin/need"
 	rigs "elderwall/internal/standin/rig"
-	"elderwall/stages/shards"
+	"elderwall/core/sharding"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -31,7 +31,7 @@
 type rig struct {
 	*testing.T
 	*Group
-	server  *front.Server
+	server  *downstream.Server
 	address string
 	counts  *counters.Counters
 	late    atomic.Pointer[chan bool] // that connections to hosts wait for
@@ -47,7 +47,7 @@
 
 func (t telling) GiveUp(c call.Call) { t.Group.GiveUp(c); t.gaveUp.Add(1) }
 
-func newRig(t *testing.T, n int, way shards.Way, hosts int, changes ...func(*node.Config)) *rig {
+func newRig(t *testing.T, n int, way sharding.Way, hosts int, changes ...func(*dispatcher.Config)) *rig {
 	r := &rig{T: t, hosts: rigs.NewHosts(t, hosts)}
 	o, _ := rigs.Life(t)
 	o.Streams, r.counts = 100, o.Counts
@@ -57,12 +57,12 @@
 		}
 		return nil
 	}
-	c := node.Config{Settings: rigs.Settings(1000), Clock: clock.New(), Options: o, Connections: 400}
+	c := dispatcher.Config{Settings: rigs.Settings(1000), Clock: clock.New(), Options: o, Connections: 400}
 	for _, change := range changes {
 		change(&c)
 	}
 	r.Group = New(c, n, way, func(shard int, by time.Time) int { return r.server.FailOverdue(shard, by) })
-	r.server = &front.Server{Handler: telling{r.Group, &r.gaveUp}, Log: zerolog.Nop(), Counts: r.counts, Room: o.Room, Most: 100}
+	r.server = &downstream.Server{Handler: telling{r.Group, &r.gaveUp}, Log: zerolog.Nop(), Counts: r.counts, Room: o.Room, Most: 100}
 	l := need.Listener(t)
 	r.address = l.Addr().String()
 	o.Group.Go(func() error { return r.Group.Run(o.Context) })
@@ -108,7 +108,7 @@
 func (r *rig) of(shard int) string {
 	for i := 0; ; i++ {
 		name := fmt.Sprintf("%016x", i)
-		if r.places.Load().table.Of(shards.Key(name, 0), 0) == shard {
+		if r.places.Load().table.Of(sharding.Key(name, 0), 0) == shard {
 			return name
 		}
 	}
@@ -123,7 +123,7 @@
 }
 
 func TestGETsOfAllShards(t *testing.T) {
-	for _, way := range []shards.Way{shards.ByItem, shards.ByConnection} {
+	for _, way := range []sharding.Way{sharding.ByItem, sharding.ByConnection} {
 		r := newRig(t, 4, way, 3)
 		c := r.dial()
 		for i := range 200 {
@@ -140,7 +140,7 @@
 				at++
 			}
 		}
-		assert.Equal(t, map[shards.Way]int{shards.ByItem: 4, shards.ByConnection: 1}[way], at)
+		assert.Equal(t, map[sharding.Way]int{sharding.ByItem: 4, sharding.ByConnection: 1}[way], at)
 		assert.EqualValues(t, 1000, r.sum().Returned.Load())
 	}
 }
@@ -148,7 +148,7 @@
 // A purge and a drain with one shard standing still for a second: the others act as told at once, and that one sends
 // nothing against them once it goes on; what it owes is answered in its clients' time.
 func TestAPurgeAndADrainWhileAShardStandsStill(t *testing.T) {
-	r := newRig(t, 2, shards.ByItem, 2)
+	r := newRig(t, 2, sharding.ByItem, 2)
 	still, other, a, b := r.of(0), r.of(1), r.dial(), r.dial()
 	for _, name := range []string{still, other} {
 		r.ask(a, "obj", name, "nth", "0")
@@ -190,7 +190,7 @@
 
 // A notice that comes while a shard decides is heard before what was decided goes out.
 func TestAForwardThatANoticeOvertookIsKeptBack(t *testing.T) {
-	r := newRig(t, 2, shards.ByItem, 1)
+	r := newRig(t, 2, sharding.ByItem, 1)
 	name, n, c := r.of(0), r.places.Load().nodes[0], rigs.NewCall(r.config.Options.Room)
 	n.Within(func() { // as if in the middle of a decision
 		r.Take(rigs.Purge(name))
@@ -202,7 +202,7 @@
 
 // The same where the shard stands still by then, and the forward waits for its connection: that comes up, and nothing goes out.
 func TestAForwardThatWaitsWhileAShardStandsStill(t *testing.T) {
-	r, up := newRig(t, 2, shards.ByItem, 2), make(chan bool)
+	r, up := newRig(t, 2, sharding.ByItem, 2), make(chan bool)
 	r.late.Store(&up)
 	name, c := r.of(0), r.dial()
 	r.send(c, "obj", name, "nth", "0", "budget", "30000")
@@ -220,7 +220,7 @@
 }
 
 func TestACancelThatComesWithTheAnswer(t *testing.T) {
-	r := newRig(t, 4, shards.ByItem, 2)
+	r := newRig(t, 4, sharding.ByItem, 2)
 	c := r.dial()
 	for i := range 300 {
 		seq := r.send(c, "obj", fmt.Sprintf("%016x", i%40))
@@ -248,7 +248,7 @@
 }
 
 func TestAnIDThatIsOpenInAnotherShard(t *testing.T) {
-	r := newRig(t, 2, shards.ByItem, 1)
+	r := newRig(t, 2, sharding.ByItem, 1)
 	wait, a, b := r.hosts.Hold(), r.dial(), r.dial()
 	need.Sent(t, a, "obj", r.of(0), "nth", "0")
 	r.held(1)
@@ -260,7 +260,7 @@
 
 // A shard whose module breaks answers what it held, and goes on as told before.
 func TestAShardThatPanics(t *testing.T) {
-	r := newRig(t, 2, shards.ByItem, 2)
+	r := newRig(t, 2, sharding.ByItem, 2)
 	name, other := r.of(0), r.of(1)
 	r.Take(rigs.Purge(name))
 	r.told("DELETED")
@@ -289,7 +289,7 @@
 }
 
 func TestShardsComeAndGoUnderLoad(t *testing.T) {
-	r := newRig(t, 2, shards.ByItem, 3)
+	r := newRig(t, 2, sharding.ByItem, 3)
 	c, wait := r.dial(), r.hosts.Hold()
 	for i := range 8 { // under way through all of it
 		r.send(c, "obj", fmt.Sprintf("%016x", i))
@@ -312,7 +312,7 @@
 }
 
 func TestAHotObjectIsSpread(t *testing.T) {
-	r := newRig(t, 4, shards.ByItem, 3)
+	r := newRig(t, 4, sharding.ByItem, 3)
 	end := r.load(need.Clients(t, r.address, 8), func(i int) string {
 		if i%10 < 6 {
 			return rigs.Object
@@ -322,14 +322,14 @@
 	need.Soon(t, func() bool { return r.counts.HotItems.Load() > 0 })
 	over := map[int]bool{}
 	for i := range uint64(64) {
-		over[r.places.Load().table.Of(shards.Key(rigs.Object, 3), i)] = true
+		over[r.places.Load().table.Of(sharding.Key(rigs.Object, 3), i)] = true
 	}
 	end()
 	assert.Greater(t, len(over), 2, "60%% of the load is more than two shards should have")
 }
 
 func TestAllConnectionsInOneShardAreRelieved(t *testing.T) {
-	r := newRig(t, 4, shards.ByConnection, 3)
+	r := newRig(t, 4, sharding.ByConnection, 3)
 	var mine []*standin.Client
 	first := -1
 	for len(mine) < 6 { // connections that fall to one shard
@@ -356,13 +356,13 @@
 
 // A shard's line that is too long sheds what comes, and loses no end of what the shard holds.
 func TestALineThatIsTooLongLosesNothing(t *testing.T) {
-	r := newRig(t, 2, shards.ByItem, 1)
+	r := newRig(t, 2, sharding.ByItem, 1)
 	wait, c, name := r.hosts.Hold(), r.dial(), r.of(0)
 	held := r.send(c, "obj", name, "nth", "0")
 	need.Soon(t, func() bool { n, _ := r.hosts.Count(); return n > 0 })
 	goOn := r.stall(0)
 	for range 5000 {
-		r.places.Load().nodes[0].Turn(make(chan shards.Report, 1))
+		r.places.Load().nodes[0].Turn(make(chan sharding.Report, 1))
 	}
 	r.send(c, "obj", name, "nth", "0")
 	assert.Equal(t, "refused", r.read(c).Kind)
--- a/internal/cores/held_test.go
+++ b/internal/multicore/held_test.go
@@ -1,4 +1,4 @@
-package cores
+package multicore
 
 import (
 	"testing"
@@ -6,10 +6,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"elderwall/internal/node"
+	"elderwall/internal/dispatcher"
 	"elderwall/internal/standin"
 	"elderwall/internal/standin/need"
-	"elderwall/stages/shards"
+	"elderwall/core/sharding"
 )
 
 // settled waits until a shard has done all that is in its line by now.
@@ -74,7 +74,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, 2, shards.ByItem, 2, func(c *node.Config) { c.Joins = []bool{true} })
+			r := newRig(t, 2, sharding.ByItem, 2, func(c *dispatcher.Config) { c.Joins = []bool{true} })
 			wait, anchor, c := r.hosts.Hold(), r.dial(), r.dial()
 			defer close(wait)
 			r.send(anchor, "obj", r.of(1), "nth", "0")
--- a/internal/cores/left_test.go
+++ b/internal/multicore/left_test.go
@@ -1,4 +1,4 @@
-package cores
+package multicore
 
 import (
 	"net"
@@ -8,11 +8,11 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"elderwall/internal/node"
+	"elderwall/internal/dispatcher"
 	"elderwall/internal/standin"
 	"elderwall/internal/standin/need"
 	"elderwall/internal/upstream"
-	"elderwall/stages/shards"
+	"elderwall/core/sharding"
 )
 
 // ways in which a client leaves.
@@ -72,9 +72,9 @@
 
 // A client that has left is gone: nothing of its GET begins at a host, wherever that waited. Those who wait with it are served.
 func TestNothingBeginsForAClientThatHasLeft(t *testing.T) {
-	joins := func(c *node.Config) { c.Joins = []bool{true} }
+	joins := func(c *dispatcher.Config) { c.Joins = []bool{true} }
 	for name, tt := range map[string]struct {
-		change func(*node.Config)
+		change func(*dispatcher.Config)
 		waits  func(l *leaver)
 		begins bool // a forward under its id, which others need
 	}{
@@ -85,7 +85,7 @@
 			l.goes()
 			up()
 		}, false},
-		"for a connection to hosts that can't be told to stop": {func(c *node.Config) { c.Settings.MayCancel = false }, func(l *leaver) {
+		"for a connection to hosts that can't be told to stop": {func(c *dispatcher.Config) { c.Settings.MayCancel = false }, func(l *leaver) {
 			up := l.hold()
 			l.asks()
 			l.deciding(1)
@@ -111,7 +111,7 @@
 			l.goes()
 			goOn()
 		}, false},
-		"for a further forward, while its shard stands still": {func(c *node.Config) { c.Options.Places = upstream.NewPlaces(100) }, func(l *leaver) {
+		"for a further forward, while its shard stands still": {func(c *dispatcher.Config) { c.Options.Places = upstream.NewPlaces(100) }, func(l *leaver) {
 			wait := l.hosts.Hold()
 			l.asks()
 			need.Soon(l, func() bool { n, _ := l.hosts.Count(); return n == 1 })
@@ -181,11 +181,11 @@
 	} {
 		for how, way := range ways {
 			t.Run(name+"/"+how, func(t *testing.T) {
-				changes := []func(*node.Config){}
+				changes := []func(*dispatcher.Config){}
 				if tt.change != nil {
 					changes = append(changes, tt.change)
 				}
-				r := newRig(t, 2, shards.ByItem, 2, changes...)
+				r := newRig(t, 2, sharding.ByItem, 2, changes...)
 				l := &leaver{rig: r, Client: r.dial(), way: way}
 				tt.waits(l)
 				r.held(0)
--- a/internal/operator/callers.go
+++ b/internal/operator/callers.go
@@ -8,9 +8,9 @@
 	"strconv"
 	"strings"
 
-	"elderwall/internal/strict"
+	"elderwall/internal/configfile"
 	"elderwall/internal/token"
-	"elderwall/stages/callers"
+	"elderwall/core/admission"
 )
 
 const (
@@ -24,8 +24,8 @@
 )
 
 // callers reads who may call, and what they may ask for.
-func (d *decoder) callers(o *strict.Object) {
-	s := callers.Defaults()
+func (d *decoder) callers(o *configfile.Object) {
+	s := admission.Defaults()
 	d.config.Callers = &s
 	o.Duration("skew", &s.Skew, 0, day)
 	o.Duration("window", &s.Window, 0.5, day)
@@ -37,7 +37,7 @@
 	}
 	for i, v := range o.List("certificates") {
 		c := o.Element("certificates", i, v)
-		var n callers.Name
+		var n admission.Name
 		c.Text("name", &n.Name)
 		c.Text("tenant", &n.Tenant)
 		if kind, rest, _ := strings.Cut(n.Name, ":"); !slices.Contains([]string{"uri", "dns", "cn"}, kind) || rest == "" {
@@ -46,7 +46,7 @@
 		c.Done()
 		s.Names = append(s.Names, n)
 	}
-	s.Roles = map[string][]callers.Rule{}
+	s.Roles = map[string][]admission.Rule{}
 	if roles := o.Inner("roles"); roles != nil {
 		for _, name := range roles.Keys() {
 			s.Roles[name] = d.rules(roles, name)
@@ -61,14 +61,14 @@
 	o.Done()
 }
 
-func (d *decoder) tokens(o *strict.Object, s *callers.Settings) {
+func (d *decoder) tokens(o *configfile.Object, s *admission.Settings) {
 	o.Text("audience", &s.Audience)
 	o.Duration("longest", &s.MostLife, 0, 3650*day)
 	if _, told := o.Get("require"); told {
 		s.Require = o.Texts("require")
 	}
 	for _, claim := range s.Require {
-		if !callers.Requirable(claim) {
+		if !admission.Requirable(claim) {
 			o.Fault("require", "%q is no claim that can be required", claim)
 		}
 	}
@@ -102,7 +102,7 @@
 }
 
 // revocations reads a file of what is revoked: {"tokens": [jti …], "subjects": [sub …]}.
-func revocations(raw []byte, to *callers.Revocations) error {
+func revocations(raw []byte, to *admission.Revocations) error {
 	var r struct{ Tokens, Subjects []string }
 	d := json.NewDecoder(strings.NewReader(string(raw)))
 	d.DisallowUnknownFields()
@@ -116,8 +116,8 @@
 	return nil
 }
 
-func (d *decoder) tenant(o *strict.Object, name string) callers.Tenant {
-	t := callers.Tenant{Name: name}
+func (d *decoder) tenant(o *configfile.Object, name string) admission.Tenant {
+	t := admission.Tenant{Name: name}
 	if o == nil {
 		return t
 	}
@@ -131,7 +131,7 @@
 	return t
 }
 
-func (d *decoder) share(o *strict.Object) (s callers.Share) {
+func (d *decoder) share(o *configfile.Object) (s admission.Share) {
 	if o == nil {
 		return s
 	}
@@ -147,7 +147,7 @@
 }
 
 // rules reads a list of rules, each {allow: {…}} or {deny: {…}}.
-func (d *decoder) rules(o *strict.Object, key string) (rules []callers.Rule) {
+func (d *decoder) rules(o *configfile.Object, key string) (rules []admission.Rule) {
 	for i, v := range o.List(key) {
 		at := fmt.Sprintf("%s[%d]", key, i)
 		r := o.Element(key, i, v)
@@ -157,7 +157,7 @@
 			o.Fault(at, `must have "allow" or "deny"`)
 			continue
 		}
-		rule := callers.Rule{Deny: deny != nil}
+		rule := admission.Rule{Deny: deny != nil}
 		if deny != nil {
 			allow = deny
 		}
@@ -167,14 +167,14 @@
 	return rules
 }
 
-func (d *decoder) rule(o *strict.Object, r *callers.Rule) {
+func (d *decoder) rule(o *configfile.Object, r *admission.Rule) {
 	for _, name := range o.Texts("services") {
 		place := slices.Index(d.services, name)
 		if place < 0 && d.open {
 			d.services = append(d.services, name)
 			place = len(d.services) - 1
 		}
-		if place < 0 || place >= callers.MostServices {
+		if place < 0 || place >= admission.MostServices {
 			o.Fault("services", "%q is no delivery service that rules can name", name)
 			continue
 		}
@@ -208,16 +208,16 @@
 }
 
 // prefix reads an object, or the beginning of many with a star behind it.
-func prefix(text string) (callers.Prefix, error) {
+func prefix(text string) (admission.Prefix, error) {
 	digits, many := strings.CutSuffix(text, "*")
 	bits, err := strconv.ParseUint(digits+strings.Repeat("0", max(0, hexDigits-len(digits))), 16, 64)
 	if err != nil || digits != strings.ToLower(digits) || len(digits) > hexDigits || many == (len(digits) == hexDigits) {
-		return callers.Prefix{}, fmt.Errorf(`%q is neither 16 hex digits nor fewer with a star, such as "7f3a*"`, text)
+		return admission.Prefix{}, fmt.Errorf(`%q is neither 16 hex digits nor fewer with a star, such as "7f3a*"`, text)
 	}
-	return callers.Prefix{Bits: bits, Digits: len(digits)}, nil
+	return admission.Prefix{Bits: bits, Digits: len(digits)}, nil
 }
 
-func (d *decoder) limits(o *strict.Object, l *callers.Limits) {
+func (d *decoder) limits(o *configfile.Object, l *admission.Limits) {
 	if o == nil {
 		return
 	}
--- a/internal/operator/channels.go
+++ b/internal/operator/channels.go
@@ -4,9 +4,9 @@
 	"errors"
 	"os"
 
-	"elderwall/fleet/channels"
-	"elderwall/internal/fleet"
-	"elderwall/internal/strict"
+	"elderwall/core/cluster/channel"
+	"elderwall/internal/cluster"
+	"elderwall/internal/configfile"
 )
 
 // What a channel is kept by where its declaration does not say.
@@ -16,17 +16,17 @@
 	defaultKept      = 3600.0  // s
 	defaultReadWait  = 2.0     // s
 	defaultForget    = 86400.0 // s
-	longestTotal     = 100 - len(channels.Duty)
+	longestTotal     = 100 - len(channel.Duty)
 	mostGenerations  = 1<<31 - 1
 	wordLatest       = "latest"
 	wordToldOrClosed = "told"
 )
 
-var orders = map[string]channels.Order{wordLatest: channels.Latest, "key": channels.ByKey, "sender": channels.BySender, "causal": channels.Causal, "total": channels.Total}
+var orders = map[string]channel.Order{wordLatest: channel.Latest, "key": channel.ByKey, "sender": channel.BySender, "causal": channel.Causal, "total": channel.Total}
 
 // channels reads the declarations of the operator's own channels.
-func (d *decoder) channels(o *strict.Object) *fleet.Channels {
-	to := &fleet.Channels{}
+func (d *decoder) channels(o *configfile.Object) *cluster.Channels {
+	to := &cluster.Channels{}
 	for _, name := range o.Keys() {
 		if in := o.Inner(name); in != nil {
 			to.Declared = append(to.Declared, declaration(d.Faults, o, in, name))
@@ -36,10 +36,10 @@
 	return to
 }
 
-func declaration(f *strict.Faults, o, in *strict.Object, name string) channels.Declaration {
+func declaration(f *configfile.Faults, o, in *configfile.Object, name string) channel.Declaration {
 	order, gaps, repeats, slow := "", "never", "never", "cut"
 	generation, entries, bytes := 1, defaultEntries, defaultBytes
-	d := channels.Declaration{Name: name, Seconds: defaultKept, Wait: defaultReadWait}
+	d := channel.Declaration{Name: name, Seconds: defaultKept, Wait: defaultReadWait}
 	in.Word("order", &order, wordLatest, "key", "sender", "causal", "total")
 	if order == wordLatest {
 		gaps = wordToldOrClosed
@@ -51,34 +51,34 @@
 	in.Word("repeats", &repeats, "never", "allowed")
 	in.Word("slow", &slow, "cut", wordToldOrClosed)
 	in.Count("generation", &generation, 1, mostGenerations)
-	in.Count("entries", &entries, 0, channels.MostEntries)
-	in.Size("bytes", &bytes, 0, channels.MostBytes)
-	in.Duration("time", &d.Seconds, 0, channels.MostSeconds)
-	in.Duration("wait", &d.Wait, 0, channels.MostWait)
+	in.Count("entries", &entries, 0, channel.MostEntries)
+	in.Size("bytes", &bytes, 0, channel.MostBytes)
+	in.Duration("time", &d.Seconds, 0, channel.MostSeconds)
+	in.Duration("wait", &d.Wait, 0, channel.MostWait)
 	in.Flag("end", &d.End)
-	if d.Order = orders[order]; d.Order < channels.Causal {
+	if d.Order = orders[order]; d.Order < channel.Causal {
 		d.Forget = defaultForget
 	}
-	in.Duration("forget", &d.Forget, 0, channels.MostSilence)
+	in.Duration("forget", &d.Forget, 0, channel.MostSilence)
 	in.Done()
 	d.Order, d.Generation, d.Told, d.Repeats, d.Slow = orders[order], uint64(generation), gaps == wordToldOrClosed, repeats == "allowed", slow == "cut"
 	d.Entries, d.Bytes = entries, int(bytes)
 	if err := d.Check(); err != nil {
 		f.Each(o.At(name), err)
 	}
-	if d.Order == channels.Total && len(name) > longestTotal {
+	if d.Order == channel.Total && len(name) > longestTotal {
 		o.Fault(name, "with total order a name has at most %d bytes", longestTotal)
 	}
 	return d
 }
 
 // ReadDeclarations reads a file of declarations alone: an object of channels, as under fleet.channels.
-func ReadDeclarations(path string) ([]channels.Declaration, error) {
+func ReadDeclarations(path string) ([]channel.Declaration, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	o, faults, err := strict.Open(path, string(text))
+	o, faults, err := configfile.Open(path, string(text))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/operator/channels_test.go
+++ b/internal/operator/channels_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"elderwall/fleet/channels"
+	"elderwall/core/cluster/channel"
 )
 
 func TestChannels(t *testing.T) {
@@ -16,9 +16,9 @@
 	needs := `duties: {voter: true, folder: 'd'}, memory: {}, `
 	c, err := decode("/etc/f", file(`a: {order: 'total', generation: 2, entries: 100, bytes: '1MiB', time: '10m', wait: '1s'}, b: {order: 'latest'}`, needs), services)
 	require.NoError(t, err)
-	assert.Equal(t, []channels.Declaration{
-		{Name: "a", Generation: 2, Order: channels.Total, Slow: true, Entries: 100, Bytes: 1 << 20, Seconds: 600, Wait: 1},
-		{Name: "b", Generation: 1, Order: channels.Latest, Told: true, Entries: 10_000, Bytes: 8 << 20, Seconds: 3600, Wait: 2, Forget: 86400},
+	assert.Equal(t, []channel.Declaration{
+		{Name: "a", Generation: 2, Order: channel.Total, Slow: true, Entries: 100, Bytes: 1 << 20, Seconds: 600, Wait: 1},
+		{Name: "b", Generation: 1, Order: channel.Latest, Told: true, Entries: 10_000, Bytes: 8 << 20, Seconds: 3600, Wait: 2, Forget: 86400},
 	}, c.Fleet.Channels.Declared)
 	c, err = decode("/etc/f", file(``, needs), services)
 	require.NoError(t, err)
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -5,11 +5,11 @@
 	"path/filepath"
 	"strings"
 
-	"elderwall/fleet/budgets"
-	"elderwall/fleet/duties"
-	"elderwall/fleet/members"
-	"elderwall/internal/fleet"
-	"elderwall/internal/strict"
+	"elderwall/core/cluster/quota"
+	"elderwall/core/cluster/lease"
+	"elderwall/core/cluster/membership"
+	"elderwall/internal/cluster"
+	"elderwall/internal/configfile"
 )
 
 const (
@@ -20,14 +20,14 @@
 )
 
 // fleet reads how this dispatcher knows the others.
-func (d *decoder) fleet(o *strict.Object) {
-	f := &fleet.Settings{Pace: members.DefaultInterval, Wire: fleet.Wire}
+func (d *decoder) fleet(o *configfile.Object) {
+	f := &cluster.Settings{Pace: membership.DefaultInterval, Wire: cluster.Wire}
 	o.Address("listen", &f.Listen)
 	o.Address("address", &f.Address)
 	o.Text("zone", &f.Zone)
 	o.Duration("pace", &f.Pace, leastPace, mostPace)
 	wire := int(f.Wire)
-	o.Count("wire", &wire, fleet.Wire1, fleet.Wire)
+	o.Count("wire", &wire, cluster.Wire1, cluster.Wire)
 	f.Wire = uint8(wire)
 	if f.Peers = o.Texts("peers"); len(f.Peers) > mostPeers {
 		o.Fault("peers", "%d, at most %d", len(f.Peers), mostPeers)
@@ -37,8 +37,8 @@
 			o.Fault("peers", "%q is no address with a port", p)
 		}
 	}
-	if f.Reach = o.Pairs("reach"); len(f.Reach) > members.Most {
-		o.Fault("reach", "%d, at most %d", len(f.Reach), members.Most)
+	if f.Reach = o.Pairs("reach"); len(f.Reach) > membership.Most {
+		o.Fault("reach", "%d, at most %d", len(f.Reach), membership.Most)
 	}
 	for from, to := range f.Reach {
 		for _, a := range []string{from, to} {
@@ -52,7 +52,7 @@
 		if !filepath.IsAbs(path) {
 			path = filepath.Join(d.folder, path)
 		}
-		keys, err := fleet.ReadKeys(path)
+		keys, err := cluster.ReadKeys(path)
 		if err != nil {
 			o.Fault("key", "%v", err)
 		}
@@ -100,8 +100,8 @@
 )
 
 // memory reads how this dispatcher remembers with the others.
-func (d *decoder) memory(o *strict.Object) *fleet.Memory {
-	to := &fleet.Memory{Horizon: fleet.DefaultHorizon, Rate: fleet.DefaultRate}
+func (d *decoder) memory(o *configfile.Object) *cluster.Memory {
+	to := &cluster.Memory{Horizon: cluster.DefaultHorizon, Rate: cluster.DefaultRate}
 	if o.Text("folder", &to.Folder) && !filepath.IsAbs(to.Folder) {
 		to.Folder = filepath.Join(d.folder, to.Folder)
 	}
@@ -118,8 +118,8 @@
 )
 
 // budgets reads the wholes that all dispatchers divide among them.
-func (d *decoder) budgets(o *strict.Object) *fleet.Budgets {
-	to := &fleet.Budgets{Generation: 1, Tail: defaultTail, Uses: map[string][]string{}}
+func (d *decoder) budgets(o *configfile.Object) *cluster.Budgets {
+	to := &cluster.Budgets{Generation: 1, Tail: defaultTail, Uses: map[string][]string{}}
 	generation := 1
 	o.Count("generation", &generation, 1, 1<<31-1)
 	to.Generation = uint64(generation)
@@ -136,22 +136,22 @@
 		if one == nil {
 			continue
 		}
-		b := budgets.Budget{Name: name}
+		b := quota.Budget{Name: name}
 		most, amount, rate := -1, -1, -1.0
 		one.Count("most", &most, 0, 1<<31-1)
 		one.Number("rate", &rate, 0, mostRate)
 		one.Count("amount", &amount, 0, 1<<50)
 		kinds := 0
 		if most >= 0 {
-			b.Kind, b.Whole = budgets.UnderWay, int64(most)
+			b.Kind, b.Whole = quota.UnderWay, int64(most)
 			kinds++
 		}
 		if rate >= 0 {
-			b.Kind, b.Whole = budgets.Rate, int64(rate*float64(budgets.Thousand))
+			b.Kind, b.Whole = quota.Rate, int64(rate*float64(quota.Thousand))
 			kinds++
 		}
 		if amount >= 0 {
-			b.Kind, b.Whole = budgets.Amount, int64(amount)
+			b.Kind, b.Whole = quota.Amount, int64(amount)
 			kinds++
 		}
 		if kinds != 1 {
@@ -164,19 +164,19 @@
 		one.Count("ceiling", &ceiling, 0, 1<<31-1)
 		one.Duration("window", &b.Window, 1, 31*24*3600)
 		unit := int64(1)
-		if b.Kind == budgets.Rate {
-			unit = budgets.Thousand
+		if b.Kind == quota.Rate {
+			unit = quota.Thousand
 		}
 		b.Burst, b.Floor, b.Ceiling = int64(burst), int64(floor)*unit, int64(ceiling)*unit
 		if one.Text("of", &of); of != "" {
-			tenant := strings.HasPrefix(of, budgets.UseTenant) && len(of) > len(budgets.UseTenant)
-			host := strings.HasPrefix(of, budgets.UseHost) && len(of) > len(budgets.UseHost) || of == budgets.UseOrigin
+			tenant := strings.HasPrefix(of, quota.UseTenant) && len(of) > len(quota.UseTenant)
+			host := strings.HasPrefix(of, quota.UseHost) && len(of) > len(quota.UseHost) || of == quota.UseOrigin
 			switch {
-			case b.Kind == budgets.Amount, host && b.Kind != budgets.UnderWay, of == budgets.UseRetries && b.Kind != budgets.Rate:
+			case b.Kind == quota.Amount, host && b.Kind != quota.UnderWay, of == quota.UseRetries && b.Kind != quota.Rate:
 				one.Fault("of", "%q can't be bounded by that: a tenant by most or rate, the origin and a host by most, retries by rate", of)
-			case !host && of != budgets.UseRetries && !tenant:
+			case !host && of != quota.UseRetries && !tenant:
 				one.Fault("of", "%q is none of origin, host:NAME, retries and tenant:NAME", of)
-			case b.Kind == budgets.Rate:
+			case b.Kind == quota.Rate:
 				rates[of] = append(rates[of], name)
 			default:
 				to.Uses[of] = append(to.Uses[of], name)
@@ -196,19 +196,19 @@
 			o.Fault("wholes", "%s: more than two bound one use", strings.Join(names, ", "))
 		}
 	}
-	if n := len(to.Hosts()); n > budgets.MostHosts {
-		o.Fault("wholes", "%d bound the origin or a host, at most %d", n, budgets.MostHosts)
+	if n := len(to.Hosts()); n > quota.MostHosts {
+		o.Fault("wholes", "%d bound the origin or a host, at most %d", n, quota.MostHosts)
 	}
-	if len(to.All) > budgets.MostBudgets {
-		o.Fault("wholes", "%d, at most %d", len(to.All), budgets.MostBudgets)
+	if len(to.All) > quota.MostBudgets {
+		o.Fault("wholes", "%d, at most %d", len(to.All), quota.MostBudgets)
 	}
 	o.Done()
 	return to
 }
 
 // duties reads which duties this dispatcher stands for, and whether it votes on them.
-func (d *decoder) duties(o *strict.Object) *fleet.Duties {
-	to := &fleet.Duties{Stands: map[string]float64{}, Report: fleet.ReportEach}
+func (d *decoder) duties(o *configfile.Object) *cluster.Duties {
+	to := &cluster.Duties{Stands: map[string]float64{}, Report: cluster.ReportEach}
 	o.Flag("voter", &to.Voter)
 	if o.Text("folder", &to.Folder); to.Folder != "" && !filepath.IsAbs(to.Folder) {
 		to.Folder = filepath.Join(d.folder, to.Folder)
@@ -220,14 +220,14 @@
 	o.Duration("report", &to.Report, 1, 24*3600)
 	if in := o.Inner("stands"); in != nil {
 		for _, name := range in.Keys() {
-			var lease float64
-			in.Duration(name, &lease, duties.LeastTime, duties.MostTime)
-			if to.Stands[name] = lease; name == "" || len(name) > duties.LongestName {
-				o.Fault("stands", "%.20q must have 1 to %d bytes", name, duties.LongestName)
+			var term float64
+			in.Duration(name, &term, lease.LeastTime, lease.MostTime)
+			if to.Stands[name] = term; name == "" || len(name) > lease.LongestName {
+				o.Fault("stands", "%.20q must have 1 to %d bytes", name, lease.LongestName)
 			}
 		}
-		if len(to.Stands) > duties.MostDuties {
-			o.Fault("stands", "%d, at most %d", len(to.Stands), duties.MostDuties)
+		if len(to.Stands) > lease.MostDuties {
+			o.Fault("stands", "%d, at most %d", len(to.Stands), lease.MostDuties)
 		}
 	}
 	o.Done()
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -12,15 +12,15 @@
 	"path/filepath"
 	"slices"
 
-	"elderwall/control/retries"
+	"elderwall/core/routing/retrybudget"
 	"elderwall/internal/certs"
 	"elderwall/internal/extproc"
-	"elderwall/internal/fleet"
+	"elderwall/internal/cluster"
 	"elderwall/internal/service"
-	"elderwall/internal/strict"
+	"elderwall/internal/configfile"
 	"elderwall/internal/token"
-	"elderwall/stages/callers"
-	"elderwall/stages/shards"
+	"elderwall/core/admission"
+	"elderwall/core/sharding"
 )
 
 const mostCores = 256 // of a machine; as many shards would each see hardly a GET of an item
@@ -29,15 +29,15 @@
 
 // Config is what the file says.
 type Config struct {
-	Callers  *callers.Settings     // nil where nobody asks who is calling
+	Callers  *admission.Settings     // nil where nobody asks who is calling
 	Keys     map[string]*token.Key // that tokens may be signed by
 	TLS      *TLS                  // nil where there is no listener for it
 	Cores    service.Cores
 	Joins    []bool // by delivery service, whether GETs for the same part share a forward; nil for none
-	Retries  retries.Settings
+	Retries  retrybudget.Settings
 	Proxies  *Proxies        // nil where none may ask
 	Variants *Variants       // nil where no device classes are declared
-	Fleet    *fleet.Settings // nil where the dispatcher is by itself
+	Fleet    *cluster.Settings // nil where the dispatcher is by itself
 
 	Generation uint32 // of the file: a hash of its text
 }
@@ -78,7 +78,7 @@
 
 // decoder holds what the parts of a file share.
 type decoder struct {
-	*strict.Faults
+	*configfile.Faults
 	folder   string
 	services []string
 	open     bool // services are not known: those named are taken as they come
@@ -86,7 +86,7 @@
 }
 
 func decode(path, text string, services []string) (*Config, error) {
-	o, faults, err := strict.Open(path, text)
+	o, faults, err := configfile.Open(path, text)
 	if err != nil {
 		return nil, err
 	}
@@ -102,7 +102,7 @@
 	}
 	d.joins(o)
 	if r := o.Inner("retries"); r != nil {
-		d.config.Retries = retries.Default()
+		d.config.Retries = retrybudget.Default()
 		r.Number("share", &d.config.Retries.Share, 0.001, 10)
 		r.Rate("floor", &d.config.Retries.Floor, 0.1, mostRate)
 		r.Done()
@@ -129,7 +129,7 @@
 }
 
 // joins reads the delivery services whose GETs share forwards.
-func (d *decoder) joins(o *strict.Object) {
+func (d *decoder) joins(o *configfile.Object) {
 	for _, name := range o.Texts("joins") {
 		place := slices.Index(d.services, name)
 		if place < 0 && !d.open {
@@ -145,7 +145,7 @@
 }
 
 // file reads a file that a key names, beside the operator's own.
-func (d *decoder) file(o *strict.Object, key string) (raw []byte, path string, ok bool) {
+func (d *decoder) file(o *configfile.Object, key string) (raw []byte, path string, ok bool) {
 	var name string
 	if !o.Text(key, &name) {
 		return nil, "", false
@@ -153,7 +153,7 @@
 	return d.named(o, key, name)
 }
 
-func (d *decoder) named(o *strict.Object, key, name string) (raw []byte, path string, ok bool) {
+func (d *decoder) named(o *configfile.Object, key, name string) (raw []byte, path string, ok bool) {
 	if path = name; !filepath.IsAbs(path) {
 		path = filepath.Join(d.folder, path)
 	}
@@ -165,19 +165,19 @@
 }
 
 // cores reads how many cores are used, and how GETs are divided among shards.
-func (d *decoder) cores(o *strict.Object) {
+func (d *decoder) cores(o *configfile.Object) {
 	c, way := &d.config.Cores, "items"
 	o.Count("count", &c.Count, 1, mostCores)
 	c.Shards = c.Count
 	o.Count("shards", &c.Shards, 1, mostCores)
 	o.Word("divided", &way, "items", "connections")
 	if way == "connections" {
-		c.Way = shards.ByConnection
+		c.Way = sharding.ByConnection
 	}
 	o.Done()
 }
 
-func (d *decoder) tls(o *strict.Object) {
+func (d *decoder) tls(o *configfile.Object) {
 	t := &TLS{}
 	o.Address("listen", &t.Listen)
 	if t.Listen == "" {
@@ -206,7 +206,7 @@
 
 // material reads the certificates of a listener; the rest of its keys has been asked for before. One fault is told once: a file that can't be
 // read is not missed a second time by what needs it.
-func (d *decoder) material(o *strict.Object, m *certs.Material, crls [][]byte) bool {
+func (d *decoder) material(o *configfile.Object, m *certs.Material, crls [][]byte) bool {
 	chain, _, haveChain := d.file(o, "certificate")
 	key, keyPath, haveKey := d.file(o, "key")
 	authorities, _, haveAuthorities := d.file(o, "authorities")
@@ -232,7 +232,7 @@
 }
 
 // secret refuses a file with a secret that others on the machine may read.
-func (d *decoder) secret(o *strict.Object, key, path string) {
+func (d *decoder) secret(o *configfile.Object, key, path string) {
 	if info, err := os.Stat(path); err == nil && info.Mode().Perm()&0o077 != 0 {
 		o.Fault(key, "%s holds a secret, and its mode %v lets others at it; make it 0600", path, info.Mode().Perm())
 	}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -13,14 +13,14 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"elderwall/fleet/budgets"
-	pure "elderwall/fleet/variants"
-	"elderwall/internal/fleet"
-	"elderwall/internal/front"
+	"elderwall/core/cluster/quota"
+	pure "elderwall/core/cluster/variant"
+	"elderwall/internal/cluster"
+	"elderwall/internal/downstream"
 	"elderwall/internal/standin"
 	"elderwall/internal/standin/need"
 	"elderwall/internal/token"
-	"elderwall/stages/callers"
+	"elderwall/core/admission"
 )
 
 var services = []string{"segment", "page"}
@@ -30,7 +30,7 @@
 	dir := t.TempDir()
 	put := func(name string, raw []byte) { require.NoError(t, os.WriteFile(filepath.Join(dir, name), raw, 0o600)) }
 	k := need.Of(token.NewKey("k1", "EdDSA"))(t)
-	k.State = callers.Active
+	k.State = admission.Active
 	put("keys.json", need.Of(token.WriteSet([]*token.Key{k.Public()}))(t))
 	put("revoked.json", []byte(`{"tokens":["j9"],"subjects":["till-9"]}`))
 	a := standin.NewAuthority("clients")
@@ -54,11 +54,11 @@
 	c := need.Of(decode(filepath.Join(folder(t), "operator.jsonnet"), example(t), services))(t)
 	s := c.Callers
 	assert.Equal(t, []any{30.0, 2.0, 43200.0, "elderwall", 1, []string{"j9"}}, []any{s.Skew, s.Window, s.MostLife, s.Audience, len(s.Keys), s.Revoked.Tokens})
-	assert.Equal(t, callers.Tenant{Name: "reseller-south", Roles: []string{"clips", "pages"}, Rules: []callers.Rule{{Deny: true, Groups: []int{17}}},
-		Share: callers.Share{Rate: 200, Burst: 400, Most: 256, Weight: 2}, Caller: callers.Share{Rate: 20, Burst: 40}}, s.Tenants[2])
-	assert.Equal(t, callers.Rule{Deny: true, Services: []int{1}, Objects: []callers.Prefix{{Bits: 0xff << 48, Digits: 4}}}, s.Roles["pages"][1])
+	assert.Equal(t, admission.Tenant{Name: "reseller-south", Roles: []string{"clips", "pages"}, Rules: []admission.Rule{{Deny: true, Groups: []int{17}}},
+		Share: admission.Share{Rate: 200, Burst: 400, Most: 256, Weight: 2}, Caller: admission.Share{Rate: 20, Burst: 40}}, s.Tenants[2])
+	assert.Equal(t, admission.Rule{Deny: true, Services: []int{1}, Objects: []admission.Prefix{{Bits: 0xff << 48, Digits: 4}}}, s.Roles["pages"][1])
 	assert.Equal(t, []any{"127.0.0.1:4143", true, false, 1, 1}, []any{c.TLS.Listen, c.TLS.Required, c.TLS.Only13, len(s.Authorities), len(s.Revoked.Certificates)})
-	need.Of(callers.New(0, 0, *s))(t)
+	need.Of(admission.New(0, 0, *s))(t)
 }
 
 // faults checks that each text is refused with a fault that says what is wanted; wrap makes a whole file of it.
@@ -150,7 +150,7 @@
 		}
 		c, err := decode(filepath.Join(dir, "operator.jsonnet"), text, services)
 		if err == nil && c.Callers != nil {
-			_, err = callers.New(0, 0, *c.Callers)
+			_, err = admission.New(0, 0, *c.Callers)
 			assert.NoError(t, err, "what passes the check can be put in force")
 		}
 	})
@@ -162,13 +162,13 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		var r callers.Revocations
+		var r admission.Revocations
 		if err := revocations(raw, &r); err != nil {
 			assert.NotContains(t, err.Error(), "\n", "one line")
 			return
 		}
 		again := need.Of(json.Marshal(map[string][]string{"tokens": r.Tokens, "subjects": r.Subjects}))(t)
-		var same callers.Revocations
+		var same admission.Revocations
 		require.NoError(t, revocations(again, &same))
 		assert.Equal(t, [2]int{len(r.Tokens), len(r.Subjects)}, [2]int{len(same.Tokens), len(same.Subjects)})
 	})
@@ -218,8 +218,8 @@
 	assert.Equal(t, uint64(3), b.Generation)
 	assert.Equal(t, 4.0, b.Tail)
 	assert.Equal(t, map[string][]string{"origin": {"fills"}, "tenant:a": {"aa", "a"}, "retries": {"again"}}, b.Uses, "what can be given back comes first")
-	assert.Contains(t, b.All, budgets.Budget{Name: "a", Kind: budgets.Rate, Whole: 2500, Burst: 10})
-	assert.Contains(t, b.All, budgets.Budget{Name: "fills", Kind: budgets.UnderWay, Whole: 40, Floor: 1, Ceiling: 9})
+	assert.Contains(t, b.All, quota.Budget{Name: "a", Kind: quota.Rate, Whole: 2500, Burst: 10})
+	assert.Contains(t, b.All, quota.Budget{Name: "fills", Kind: quota.UnderWay, Whole: 40, Floor: 1, Ceiling: 9})
 	faults(t, with, map[string]string{
 		``:                                                 "wholes: is needed",
 		`wholes: {x: {}}`:                                  "needs one of most, rate and amount",
@@ -234,9 +234,9 @@
 
 func TestMemory(t *testing.T) {
 	c := need.Of(decode("/etc/f", file(`memory: {folder: 'here', horizon: '2h', rate: '64KiB'}`), services))(t)
-	assert.Equal(t, &fleet.Memory{Folder: "/etc/here", Horizon: 7200, Rate: 64 << 10}, c.Fleet.Memory)
+	assert.Equal(t, &cluster.Memory{Folder: "/etc/here", Horizon: 7200, Rate: 64 << 10}, c.Fleet.Memory)
 	c = need.Of(decode("f", file(`memory: {}`), services))(t)
-	assert.Equal(t, &fleet.Memory{Horizon: 3600, Rate: 1 << 20}, c.Fleet.Memory)
+	assert.Equal(t, &cluster.Memory{Horizon: 3600, Rate: 1 << 20}, c.Fleet.Memory)
 	c = need.Of(decode("f", file(``), services))(t)
 	assert.Nil(t, c.Fleet.Memory)
 	faults(t, func(text string) string { return file(`memory: {` + text + `}`) }, map[string]string{`horizon: 5`: "memory.horizon", `horizon: '1s'`: "memory.horizon",
@@ -253,7 +253,7 @@
 	assert.NoError(t, v.Repeatable(services, []bool{true, false}))
 	assert.ErrorContains(t, v.Repeatable(services, []bool{false, true}), "fleet.variants.services.segment: its GETs are tokened or non-idempotent")
 	assert.Equal(t, []string{"device"}, v.Devices.Fields)
-	assert.Equal(t, front.Device{Classes: map[string]string{"tv": "tv", "phone": "phone", "car": "car"}}, v.Devices.By["segment"])
+	assert.Equal(t, downstream.Device{Classes: map[string]string{"tv": "tv", "phone": "phone", "car": "car"}}, v.Devices.By["segment"])
 
 	const good = `classes: ['a', 'b'], field: 'Dev', host_field: 'dev', proof: 'body'`
 	one := func(more string) string { return file(`variants: {services: {segment: {` + good + more + `}}}`) }
--- a/internal/operator/proxies.go
+++ b/internal/operator/proxies.go
@@ -6,8 +6,8 @@
 
 	"elderwall/internal/certs"
 	"elderwall/internal/extproc"
-	"elderwall/internal/strict"
-	"elderwall/stages/calls"
+	"elderwall/internal/configfile"
+	"elderwall/core/proxycall"
 )
 
 const (
@@ -20,9 +20,9 @@
 var prefixPattern = regexp.MustCompile(`^[a-z][a-z0-9-]{0,30}-$`)
 
 // proxies reads the listener for proxies that ask for each request.
-func (d *decoder) proxies(o *strict.Object) {
-	p := &Proxies{Options: extproc.Options{Decide: calls.DefaultDecide, Rules: extproc.Rules{Prefix: prefixDefault},
-		Calls: calls.Settings{Open: calls.DefaultOpen, Share: calls.DefaultShare, Hold: calls.DefaultHold}}}
+func (d *decoder) proxies(o *configfile.Object) {
+	p := &Proxies{Options: extproc.Options{Decide: proxycall.DefaultDecide, Rules: extproc.Rules{Prefix: prefixDefault},
+		Calls: proxycall.Settings{Open: proxycall.DefaultOpen, Share: proxycall.DefaultShare, Hold: proxycall.DefaultHold}}}
 	o.Address("listen", &p.Listen)
 	if p.Listen == "" {
 		o.Fault("listen", "is needed")
@@ -59,8 +59,8 @@
 	d.config.Proxies = p
 }
 
-func (d *decoder) path(o *strict.Object, p *Proxies) {
-	rule, text := extproc.Path{Budget: calls.DefaultBudget}, ""
+func (d *decoder) path(o *configfile.Object, p *Proxies) {
+	rule, text := extproc.Path{Budget: proxycall.DefaultBudget}, ""
 	o.Text("match", &text)
 	o.Text("service", &rule.Service)
 	o.Duration("budget", &rule.Budget, 0.01, mostBudget)
--- a/internal/operator/variants.go
+++ b/internal/operator/variants.go
@@ -8,12 +8,12 @@
 	"slices"
 	"strings"
 
-	pure "elderwall/fleet/variants"
-	"elderwall/internal/front"
-	"elderwall/internal/lines"
-	"elderwall/internal/strict"
+	pure "elderwall/core/cluster/variant"
+	"elderwall/internal/downstream"
+	"elderwall/internal/hostproto"
+	"elderwall/internal/configfile"
 	"elderwall/internal/thrift"
-	"elderwall/internal/variants"
+	"elderwall/internal/variantfilter"
 )
 
 const (
@@ -29,8 +29,8 @@
 
 // Variants is which device classes there are, and where they are named.
 type Variants struct {
-	variants.Settings
-	Devices front.Devices
+	variantfilter.Settings
+	Devices downstream.Devices
 	headers map[string]string // by delivery service
 }
 
@@ -47,12 +47,12 @@
 }
 
 // variants reads which device classes may share copies of an object.
-func (d *decoder) variants(o *strict.Object) {
+func (d *decoder) variants(o *configfile.Object) {
 	to := &Variants{headers: map[string]string{}}
 	to.Module.Services = make([]pure.Service, len(d.services))
 	to.Module.Self = "check" // until the dispatcher's is known
 	to.Fields = make([]string, len(d.services))
-	to.Devices.By = map[string]front.Device{}
+	to.Devices.By = map[string]downstream.Device{}
 	to.Module.Objects = objectsDefault
 	o.Count("objects", &to.Module.Objects, 1, pure.MaxObjects)
 	in := o.Inner("services")
@@ -69,7 +69,7 @@
 	d.config.Variants = to
 }
 
-func (d *decoder) variantsOf(in *strict.Object, name string, o *strict.Object, to *Variants) {
+func (d *decoder) variantsOf(in *configfile.Object, name string, o *configfile.Object, to *Variants) {
 	place := slices.Index(d.services, name)
 	if place < 0 && !d.open {
 		in.Fault(name, "%q is no delivery service", name)
@@ -81,7 +81,7 @@
 		o.Fault("field", "is needed, the name of a field or header that tells the class of a client's device and nothing else")
 	}
 	o.Text("host_field", &host)
-	if !fieldPattern.MatchString(host) || lines.Known(host) {
+	if !fieldPattern.MatchString(host) || hostproto.Known(host) {
 		o.Fault("host_field", "is needed, the name of a field that tells a cache host the class and nothing else")
 	}
 	o.Word("proof", &proof, "tag", "digest", "body")
@@ -107,7 +107,7 @@
 	if len(v.Classes) < 2 {
 		o.Fault("classes", "two at least are needed, the first of them preferred to stand for others")
 	}
-	device := front.Device{Classes: map[string]string{}}
+	device := downstream.Device{Classes: map[string]string{}}
 	for _, c := range v.Classes {
 		if !classPattern.MatchString(c) {
 			o.Fault("classes", `%.40q must be letters, digits, ".", "_" and "-", 32 at most`, c)
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"os"
 
-	"elderwall/emulate"
-	"elderwall/internal/strict"
+	"elderwall/emulator"
+	"elderwall/internal/configfile"
 )
 
 const (
@@ -16,18 +16,18 @@
 )
 
 // Read reads a scenario.
-func Read(path string) (emulate.Scenario, error) {
+func Read(path string) (emulator.Scenario, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return emulate.Scenario{}, fmt.Errorf("scenario: %w", err)
+		return emulator.Scenario{}, fmt.Errorf("scenario: %w", err)
 	}
 	return Decode(path, string(raw))
 }
 
 // Decode takes a scenario's text; what it does not name is as in emulate.Default.
-func Decode(path, text string) (emulate.Scenario, error) {
-	s := emulate.Default()
-	o, f, err := strict.Open(path, text)
+func Decode(path, text string) (emulator.Scenario, error) {
+	s := emulator.Default()
+	o, f, err := configfile.Open(path, text)
 	if err != nil {
 		return s, err
 	}
@@ -65,8 +65,8 @@
 	return s, errors.Join(f.All...)
 }
 
-func trouble(o *strict.Object) (t emulate.Trouble) {
-	o.Word("kind", &t.Kind, emulate.Kinds...)
+func trouble(o *configfile.Object) (t emulator.Trouble) {
+	o.Word("kind", &t.Kind, emulator.Kinds...)
 	o.Duration("at", &t.At, 0, times)
 	o.Duration("for", &t.For, 0, times)
 	o.Number("share", &t.Share, 0, 1)
--- a/internal/service/config.go
+++ b/internal/service/config.go
@@ -10,10 +10,10 @@
 	"strconv"
 	"time"
 
-	"elderwall/control"
+	"elderwall/core/routing"
 	"elderwall/internal/changelog"
 	"elderwall/internal/clock"
-	"elderwall/settings"
+	"elderwall/core/settings"
 )
 
 // Config is what a dispatcher is told.
@@ -64,7 +64,7 @@
 // Repeats tells which delivery services' GETs may be repeated, by their place.
 func (c *Config) Repeats() (may []bool) {
 	for _, s := range c.settings.Settings.Services {
-		may = append(may, s.Effect == control.Idempotent)
+		may = append(may, s.Effect == routing.Idempotent)
 	}
 	return may
 }
--- a/internal/service/drain_test.go
+++ b/internal/service/drain_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"elderwall/control"
+	"elderwall/core/routing"
 	"elderwall/internal/standin/need"
 )
 
@@ -44,7 +44,7 @@
 		300 * time.Millisecond: stillComing, 400 * time.Millisecond: stillComing, time.Second: 1300 * time.Millisecond,
 		3 * time.Second: 3300 * time.Millisecond, time.Minute: 3300 * time.Millisecond} {
 		c := &Config{}
-		c.settings.Settings.Services = []control.DeliveryService{{ViewerTimeout: longest.Seconds()}}
+		c.settings.Settings.Services = []routing.DeliveryService{{ViewerTimeout: longest.Seconds()}}
 		plan, killed := planShutdown(c.longest()), min(longest, longestWait)+stillComing
 		assert.Equal(t, giveUpAt, plan.giveUpAt, longest)
 		assert.LessOrEqual(t, plan.refuseAt, plan.giveUpAt, longest)
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -21,16 +21,16 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"elderwall/control/retries"
+	"elderwall/core/routing/retrybudget"
 	"elderwall/internal/changelog"
 	"elderwall/internal/clock"
-	"elderwall/internal/cores"
+	"elderwall/internal/multicore"
 	"elderwall/internal/counters"
-	"elderwall/internal/front"
-	"elderwall/internal/node"
-	"elderwall/internal/room"
+	"elderwall/internal/downstream"
+	"elderwall/internal/dispatcher"
+	"elderwall/internal/memquota"
 	"elderwall/internal/upstream"
-	"elderwall/stages/shards"
+	"elderwall/core/sharding"
 )
 
 const (
@@ -54,15 +54,15 @@
 	// Joins is the delivery services, by their place, whose GETs for the same part share a forward; none for nil.
 	Joins() []bool
 	// Retries bounds forwards after failed ones; the zero value does not.
-	Retries() retries.Settings
+	Retries() retrybudget.Settings
 	// Origins makes a module's part in what the fleet lets all dispatchers have at the origin; nil where nothing is shared out.
-	Origins() func() node.Bounder
+	Origins() func() dispatcher.Bounder
 	// Changes is given what takes the change log's events, and gives what takes them from the follower: itself, or one around it that
 	// learns more. After gone seconds no copy is left that is older than a purge.
 	Changes(take func(changelog.Event), gone float64) func(changelog.Event)
 	// Variants makes the stage that names the variant of an object that a GET is sent for, and tells what names the class of a client's
 	// device; nil where none are declared.
-	Variants() (node.Variants, front.Devices, error)
+	Variants() (dispatcher.Variants, downstream.Devices, error)
 	// Beside opens fronts of other protocols, which hand their GETs to the same handler.
 	Beside(to Handling) ([]Beside, error)
 	// Cores tells how many cores are used and how GETs are divided among shards; the zero value is one of each.
@@ -71,11 +71,11 @@
 
 // Handling is what a front needs of the service.
 type Handling struct {
-	front.Handler
-	Callers front.Callers // nil where nobody asks who is calling
+	downstream.Handler
+	Callers downstream.Callers // nil where nobody asks who is calling
 	Log     zerolog.Logger
 	Counts  *counters.Counters
-	Room    *room.Room
+	Room    *memquota.Room
 	Clock   clock.Clock
 }
 
@@ -93,12 +93,12 @@
 type Cores struct {
 	Count  int // cores, 0 for what the platform's configuration says
 	Shards int // modules among which GETs are divided; below 2 there is one, as on the platform
-	Way    shards.Way
+	Way    sharding.Way
 }
 
 // core is what GETs are handed to: one node, or several as shards.
 type core interface {
-	front.Handler
+	downstream.Handler
 	Run(ctx context.Context) error
 	Take(e changelog.Event)
 	Drain()
@@ -107,8 +107,8 @@
 
 // Gate asks who is calling, for the node and for the fronts.
 type Gate interface {
-	node.Gate
-	front.Callers
+	dispatcher.Gate
+	downstream.Callers
 }
 
 // Serve runs a dispatcher until a signal ends it, as the environment and an extension, nil for none, say. The
@@ -156,7 +156,7 @@
 }
 
 // fronts is all ways in.
-type fronts []*front.Server
+type fronts []*downstream.Server
 
 // Close has all calls that come from now on refused at once.
 func (f fronts) Close() {
@@ -176,7 +176,7 @@
 
 // Quiet tells whether nothing is open on any of them.
 func (f fronts) Quiet() bool {
-	return !slices.ContainsFunc(f, func(s *front.Server) bool { return !s.Quiet() })
+	return !slices.ContainsFunc(f, func(s *downstream.Server) bool { return !s.Quiet() })
 }
 
 // review looks over the connections for callers that may not stay.
@@ -192,7 +192,7 @@
 	extension Extension // nil for none
 	log       zerolog.Logger
 	core      core
-	group     *cores.Group // the same where there are shards, else nil
+	group     *multicore.Group // the same where there are shards, else nil
 	counts    *counters.Counters
 	fronts    fronts
 	beside    []Beside
@@ -221,12 +221,12 @@
 	defer cancel()
 	group, ctx := errgroup.WithContext(ctx)
 	clients := max(1, c.Limits.Sockets/clientShare)
-	o := &upstream.Options{Log: log, Counts: counts, Room: room.New(int64(bodyShare * memory)),
+	o := &upstream.Options{Log: log, Counts: counts, Room: memquota.New(int64(bodyShare * memory)),
 		Dialer:    net.Dialer{Timeout: clock.Duration(c.settings.ConnectTimeout)},
 		Places:    upstream.NewPlaces(c.Limits.Sockets - clients - ownSockets),
 		Dials:     upstream.NewDials(),
 		IdleClose: clock.Duration(c.settings.IdleClose), Streams: c.settings.MaxStreams, Context: ctx, Group: group}
-	n := node.Config{Settings: c.settings, Clock: clock.New(), Options: o, Connections: c.Limits.Sockets - clients - ownSockets}
+	n := dispatcher.Config{Settings: c.settings, Clock: clock.New(), Options: o, Connections: c.Limits.Sockets - clients - ownSockets}
 	if gate != nil {
 		n.Gate = gate
 	}
@@ -234,7 +234,7 @@
 		n.Joins, n.Settings.Retries = e.Joins(), e.Retries()
 		n.Bounders = e.Origins()
 	}
-	var devices front.Devices
+	var devices downstream.Devices
 	if e != nil {
 		if n.Variants, devices, err = e.Variants(); err != nil {
 			s.closeListeners()
@@ -244,10 +244,10 @@
 	}
 	if of.Shards > 1 {
 		debug.SetGCPercent(collectAt)
-		s.group = cores.New(n, of.Shards, of.Way, s.failOverdue)
+		s.group = multicore.New(n, of.Shards, of.Way, s.failOverdue)
 		s.core = s.group
 	} else {
-		s.core = node.New(n)
+		s.core = dispatcher.New(n)
 	}
 	take := s.core.Take
 	if e != nil {
@@ -261,7 +261,7 @@
 	group.Go(func() error { return s.core.Run(ctx) })
 	group.Go(func() error { return follower.Follow(ctx, c.Known) })
 	for _, l := range s.listeners {
-		server := &front.Server{Handler: s.core, Log: log, Counts: counts, Room: o.Room, Most: max(1, clients/len(s.listeners)),
+		server := &downstream.Server{Handler: s.core, Log: log, Counts: counts, Room: o.Room, Most: max(1, clients/len(s.listeners)),
 			Longest: c.longest(), Devices: devices}
 		if gate != nil {
 			server.Callers = gate
@@ -293,7 +293,7 @@
 }
 
 // openBeside opens the fronts of other protocols.
-func (s *service) openBeside(c clock.Clock, r *room.Room, gate Gate) (err error) {
+func (s *service) openBeside(c clock.Clock, r *memquota.Room, gate Gate) (err error) {
 	if s.extension == nil {
 		return nil
 	}
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -50,15 +50,15 @@
 }
 
 // dispatcher is one that runs for a test, between stand-ins of its own.
-type dispatcher struct {
+type testDispatcher struct {
 	*rig.Dispatcher
 	log    *standin.ChangeLog
 	reread func() (*Config, error) // on SIGHUP
 }
 
 // start runs a dispatcher that knows hosts and the source s-2.
-func start(t *testing.T, held int, hosts ...string) *dispatcher {
-	d := &dispatcher{log: changeLog(t)}
+func start(t *testing.T, held int, hosts ...string) *testDispatcher {
+	d := &testDispatcher{log: changeLog(t)}
 	c := need.Of(read(t, standin.Config(standin.Free(), d.log.Address, "", held)))(t)
 	d.log.Push(standin.List(1, true, append(hosts, source)...))
 	d.Dispatcher = rig.Start(t, c.Listen, func(log io.Writer, signals <-chan os.Signal) error {
@@ -82,7 +82,7 @@
 }
 
 // get asks one GET on a connection of its own.
-func (d *dispatcher) get(changes ...string) standin.Reply {
+func (d *testDispatcher) get(changes ...string) standin.Reply {
 	c := d.Dial()
 	defer func() { _ = c.Conn.Close() }()
 	need.Of(c.Process(standin.Fields(changes...), "body"))(d)
--- a/internal/service/usable.go
+++ b/internal/service/usable.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"slices"
 
-	"elderwall/settings"
+	"elderwall/core/settings"
 )
 
 // usable tells what of the settings no GET could be served by. Guards against a dispatcher that starts, says that it is ready, and fails all of a
--- a/internal/snake/snake.go
+++ b/internal/snakejson/snake.go
@@ -1,6 +1,6 @@
-// Package snake writes values as JSON in one style, for what the command line prints: keys in lower snake case, in the order of a
+// Package snakejson writes values as JSON in one style, for what the command line prints: keys in lower snake case, in the order of a
 // struct's fields, and states by their names. What a map names (dispatchers, duties) stays as it is.
-package snake
+package snakejson
 
 import (
 	"bytes"
--- a/internal/standin/rig/rig.go
+++ b/internal/standin/rig/rig.go
@@ -19,14 +19,14 @@
 	"github.com/stretchr/testify/assert"
 	"golang.org/x/sync/errgroup"
 
-	"elderwall/control"
+	"elderwall/core/routing"
 	"elderwall/internal/changelog"
 	"elderwall/internal/counters"
-	"elderwall/internal/room"
+	"elderwall/internal/memquota"
 	"elderwall/internal/standin"
 	"elderwall/internal/standin/need"
 	"elderwall/internal/upstream"
-	"elderwall/settings"
+	"elderwall/core/settings"
 )
 
 // Object is the one that GETs of a rig are for, as those of standin.Fields.
@@ -37,14 +37,14 @@
 // Settings is one zone with caches, parents and an origin, and one idempotent delivery service.
 func Settings(held int) settings.Settings {
 	return settings.Settings{Zones: []string{"z"}, Kinds: []string{"std", "parent", "origin"}, Services: []string{"segment"}, MostHeld: held,
-		Settings: control.Settings{ParentKind: 1, OriginKind: 2, MayCancel: true, MaxForwards: 6, OldCopies: 60, Joins: true,
+		Settings: routing.Settings{ParentKind: 1, OriginKind: 2, MayCancel: true, MaxForwards: 6, OldCopies: 60, Joins: true,
 			ColdFrom: 0.2, RampTime: 9, TipMultiple: 2, Fall: 1, Seats: []int{1}, Dispatchers: 1,
-			Services: []control.DeliveryService{{Objective: 5, ViewerTimeout: 60, Revenue: 1, Effect: control.Idempotent, Scope: control.AllHosts}}}}
+			Services: []routing.DeliveryService{{Objective: 5, ViewerTimeout: 60, Revenue: 1, Effect: routing.Idempotent, Scope: routing.AllHosts}}}}
 }
 
 // Options is connections that live in a group, with 16 MiB of room.
 func Options(ctx context.Context, group *errgroup.Group) *upstream.Options {
-	return &upstream.Options{Log: zerolog.Nop(), Counts: &counters.Counters{}, Room: room.New(roomOf), Context: ctx, Group: group,
+	return &upstream.Options{Log: zerolog.Nop(), Counts: &counters.Counters{}, Room: memquota.New(roomOf), Context: ctx, Group: group,
 		IdleClose: time.Minute, Streams: 1000, Dialer: net.Dialer{Timeout: time.Second}}
 }
 
@@ -152,11 +152,11 @@
 	N    atomic.Int32 // answers that it had
 	Left atomic.Bool  // its client no longer waits, whether that was told or not
 
-	room *room.Room
+	room *memquota.Room
 }
 
 // NewCall is one whose bytes have taken their room there.
-func NewCall(room *room.Room) *Call { return &Call{room: room, Got: make(chan string, 4)} }
+func NewCall(room *memquota.Room) *Call { return &Call{room: room, Got: make(chan string, 4)} }
 
 func (c *Call) answer(word string) { c.N.Add(1); c.Got <- word }
 
--- a/internal/token/keys.go
+++ b/internal/token/keys.go
@@ -18,7 +18,7 @@
 
 	"github.com/go-jose/go-jose/v4"
 
-	"elderwall/stages/callers"
+	"elderwall/core/admission"
 )
 
 const (
@@ -31,7 +31,7 @@
 
 // Key is one key of a set (RFC 7517) with what its file says of its life.
 type Key struct {
-	callers.Key
+	admission.Key
 	material any
 }
 
@@ -45,11 +45,11 @@
 	Tenants []string `json:"tenants,omitempty"`
 }
 
-var states = map[string]callers.KeyState{"announced": callers.Announced, "active": callers.Active,
-	"retiring": callers.Retiring, "revoked": callers.Revoked}
+var states = map[string]admission.KeyState{"announced": admission.Announced, "active": admission.Active,
+	"retiring": admission.Retiring, "revoked": admission.Revoked}
 
 // StateName is a state's word in a key file.
-func StateName(s callers.KeyState) string {
+func StateName(s admission.KeyState) string {
 	for name, state := range states {
 		if state == s {
 			return name
@@ -107,7 +107,7 @@
 	if !ok {
 		return k, fmt.Errorf("state %q, not announced, active, retiring or revoked", l.State)
 	}
-	k.Key = callers.Key{ID: jwk.KeyID, Algorithm: jwk.Algorithm, State: state, Issuer: l.Issuer, Tenants: l.Tenants}
+	k.Key = admission.Key{ID: jwk.KeyID, Algorithm: jwk.Algorithm, State: state, Issuer: l.Issuer, Tenants: l.Tenants}
 	for _, at := range []struct {
 		name, text string
 		to         *float64
@@ -208,7 +208,7 @@
 
 // NewKey makes a key for an algorithm, announced.
 func NewKey(id, algorithm string) (k *Key, err error) {
-	k = &Key{Key: callers.Key{ID: id, Algorithm: algorithm}}
+	k = &Key{Key: admission.Key{ID: id, Algorithm: algorithm}}
 	switch jose.SignatureAlgorithm(algorithm) {
 	case jose.EdDSA:
 		_, k.material, err = ed25519.GenerateKey(rand.Reader)
--- a/internal/token/token.go
+++ b/internal/token/token.go
@@ -14,7 +14,7 @@
 	"github.com/go-jose/go-jose/v4"
 	"github.com/go-jose/go-jose/v4/jwt"
 
-	"elderwall/stages/callers"
+	"elderwall/core/admission"
 )
 
 const (
@@ -83,33 +83,33 @@
 }
 
 // Verify checks the signature by a key, whose own algorithm the token must name, and gives what the token says.
-func (t *Token) Verify(k *Key) (callers.Claims, error) {
+func (t *Token) Verify(k *Key) (admission.Claims, error) {
 	if t.Algorithm != k.Algorithm { // or HS256 by the bytes of a public RSA key would pass
-		return callers.Claims{}, ErrSignature
+		return admission.Claims{}, ErrSignature
 	}
 	payload, err := t.signed.Verify(k.material)
 	if err != nil {
-		return callers.Claims{}, ErrSignature
+		return admission.Claims{}, ErrSignature
 	}
 	return decode(payload)
 }
 
 // Unverified is what a token says, by whomever: for people to look at.
-func (t *Token) Unverified() (callers.Claims, error) {
+func (t *Token) Unverified() (admission.Claims, error) {
 	return decode(t.signed.UnsafePayloadWithoutVerification())
 }
 
-func decode(payload []byte) (callers.Claims, error) {
+func decode(payload []byte) (admission.Claims, error) {
 	var c claims
 	if err := json.Unmarshal(payload, &c); err != nil {
-		return callers.Claims{}, fmt.Errorf("%w: %w", ErrForm, err)
+		return admission.Claims{}, fmt.Errorf("%w: %w", ErrForm, err)
 	}
 	for _, name := range append([]string{c.Issuer, c.Subject, c.ID, c.Tenant}, c.Audience...) {
 		if len(name) > longestName {
-			return callers.Claims{}, fmt.Errorf("%w: a claim of %d bytes", ErrForm, len(name))
+			return admission.Claims{}, fmt.Errorf("%w: a claim of %d bytes", ErrForm, len(name))
 		}
 	}
-	return callers.Claims{Issuer: c.Issuer, Subject: c.Subject, ID: c.ID, Tenant: c.Tenant, Audience: c.Audience,
+	return admission.Claims{Issuer: c.Issuer, Subject: c.Subject, ID: c.ID, Tenant: c.Tenant, Audience: c.Audience,
 		IssuedAt: unix(c.IssuedAt), NotBefore: unix(c.NotBefore), Expiry: unix(c.Expiry)}, nil
 }
 
@@ -121,7 +121,7 @@
 }
 
 // Sign makes a token that says these things, by a private key or a shared secret.
-func (k *Key) Sign(c callers.Claims) (string, error) {
+func (k *Key) Sign(c admission.Claims) (string, error) {
 	signer, err := jose.NewSigner(jose.SigningKey{Algorithm: jose.SignatureAlgorithm(k.Algorithm), Key: k.material},
 		(&jose.SignerOptions{}).WithType("JWT").WithHeader("kid", k.ID))
 	if err != nil {
--- a/internal/token/token_test.go
+++ b/internal/token/token_test.go
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/require"
 
 	"elderwall/internal/standin/need"
-	"elderwall/stages/callers"
+	"elderwall/core/admission"
 )
 
-var said = callers.Claims{Issuer: "us", Subject: "till-4", ID: "j1", Tenant: "counter", Audience: []string{"elderwall"},
+var said = admission.Claims{Issuer: "us", Subject: "till-4", ID: "j1", Tenant: "counter", Audience: []string{"elderwall"},
 	IssuedAt: 1764590400, NotBefore: 1764590400, Expiry: 1764594000}
 
 func newKey(t testing.TB, algorithm string) *Key { k := need.Of(NewKey("k1", algorithm))(t); return k }
@@ -35,10 +35,10 @@
 	return base64.RawURLEncoding.EncodeToString([]byte(header)) + "." + rest
 }
 
-func verify(text string, k *Key) (callers.Claims, error) {
+func verify(text string, k *Key) (admission.Claims, error) {
 	p, err := Parse(text)
 	if err != nil {
-		return callers.Claims{}, err
+		return admission.Claims{}, err
 	}
 	return p.Verify(k)
 }
@@ -68,7 +68,7 @@
 	ed, rs := newKey(t, "EdDSA"), newKey(t, "RS256")
 	good := sign(t, ed)
 	der := need.Of(x509.MarshalPKIXPublicKey(rs.Public().material))(t)
-	confused := need.Of((&Key{Key: callers.Key{ID: "k1", Algorithm: "HS256"}, material: der}).Sign(said))(t)
+	confused := need.Of((&Key{Key: admission.Key{ID: "k1", Algorithm: "HS256"}, material: der}).Sign(said))(t)
 	jwk := need.Of(json.Marshal(map[string]any{"alg": "EdDSA", "kid": "k1", "jwk": map[string]string{"kty": "OKP"}}))(t)
 	for _, tt := range []struct {
 		name, text string
@@ -103,7 +103,7 @@
 
 func TestKeySets(t *testing.T) {
 	ed, hs := newKey(t, "EdDSA"), newKey(t, "HS256")
-	hs.ID, hs.State, hs.From, hs.Tenants = "k2", callers.Retiring, 1764590400.5, []string{"counter"}
+	hs.ID, hs.State, hs.From, hs.Tenants = "k2", admission.Retiring, 1764590400.5, []string{"counter"}
 	whole := need.Of(WriteSet([]*Key{ed.Public(), hs}))(t)
 	keys := need.Of(ReadSet(whole, false))(t)
 	assert.Equal(t, hs.Key, keys[1].Key, "all that is told of a key comes back")
--- a/internal/upstream/blocked_test.go
+++ b/internal/upstream/blocked_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 
 	"elderwall/internal/counters"
-	"elderwall/internal/lines"
-	"elderwall/internal/room"
+	"elderwall/internal/hostproto"
+	"elderwall/internal/memquota"
 )
 
 // fullBuffer is a connection whose kernel takes nothing for some writes, and then all.
@@ -52,10 +52,10 @@
 		{"it is stopped", func(_ *conn, f *Forward, _ *bool) { f.Stop() }, false, nil},
 		{"its time is over", func(_ *conn, f *Forward, _ *bool) { f.Until = time.Now() }, false, ErrOvertaken}} {
 		t.Run(tt.name, func(t *testing.T) {
-			o := &Options{Log: zerolog.Nop(), Counts: &counters.Counters{}, Room: room.New(1 << 20), Context: context.Background()}
+			o := &Options{Log: zerolog.Nop(), Counts: &counters.Counters{}, Room: memquota.New(1 << 20), Context: context.Background()}
 			h, left, done := New("127.0.0.1:1", o, 0), false, make(chan Result, 1)
 			began := time.Now()
-			f := &Forward{Request: lines.Request{ID: "a", Service: "s", Object: "o", Part: "0", Budget: 60_000}, Until: began.Add(budget * time.Millisecond),
+			f := &Forward{Request: hostproto.Request{ID: "a", Service: "s", Object: "o", Part: "0", Budget: 60_000}, Until: began.Add(budget * time.Millisecond),
 				Overtaken: func() bool { return left }, Done: func(r Result) { done <- r }}
 			c := &conn{host: h, wake: make(chan struct{}, 1), open: map[string]*Forward{"a": f}, stopped: map[string]string{}, writing: f, stop: func() {}}
 			f.conn, f.stage, f.written = c, NotWritten, began
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"elderwall/internal/lines"
+	"elderwall/internal/hostproto"
 	"elderwall/internal/syserr"
 )
 
@@ -143,7 +143,7 @@
 	for {
 		buf = f.head(buf[:0])
 		enough := len(buf) + len(f.Request.Body)
-		parts := net.Buffers{buf, f.Request.Body, []byte(lines.LineEnd)}
+		parts := net.Buffers{buf, f.Request.Body, []byte(hostproto.LineEnd)}
 		_ = socket.SetWriteDeadline(time.Now().Add(firstByteIn))
 		n, err := parts.WriteTo(socket)
 		blocked := errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(end)
@@ -255,7 +255,7 @@
 
 // read takes answers off the connection until it ends.
 func (c *conn) read(socket net.Conn) error {
-	r := lines.Reader{Room: c.host.Room.Take, Keep: c.host.Proofs}
+	r := hostproto.Reader{Room: c.host.Room.Take, Keep: c.host.Proofs}
 	defer func() { c.host.Room.Give(r.Held()) }()
 	under, looked := 0, false
 	for {
@@ -284,7 +284,7 @@
 }
 
 // answers passes on all that is whole; an answer to a stopped or unknown id is dropped.
-func (c *conn) answers(r *lines.Reader) error {
+func (c *conn) answers(r *hostproto.Reader) error {
 	for {
 		a, ok, err := r.Next()
 		if !ok || err != nil {
@@ -322,11 +322,11 @@
 }
 
 // leave takes the forward that an answer is for off the connection; nil means that it is for none.
-func (c *conn) leave(a lines.Answer) *Forward {
+func (c *conn) leave(a hostproto.Answer) *Forward {
 	c.host.mu.Lock()
 	defer c.host.mu.Unlock()
 	id := string(a.ID)
-	if a.Word == lines.Pong {
+	if a.Word == hostproto.Pong {
 		maps.DeleteFunc(c.stopped, func(_, tag string) bool { return tag == id })
 		return nil
 	}
--- a/internal/upstream/places.go
+++ b/internal/upstream/places.go
@@ -5,14 +5,14 @@
 	"sync"
 	"time"
 
-	"elderwall/hosts"
+	"elderwall/core/endpoints"
 	"elderwall/internal/clock"
 )
 
 // Dials bounds the connections that are begun in a time.
 type Dials struct {
 	mu    sync.Mutex
-	pace  hosts.Pace
+	pace  endpoints.Pace
 	start time.Time
 }
 
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -16,8 +16,8 @@
 	"golang.org/x/sync/errgroup"
 
 	"elderwall/internal/counters"
-	"elderwall/internal/lines"
-	"elderwall/internal/room"
+	"elderwall/internal/hostproto"
+	"elderwall/internal/memquota"
 )
 
 const (
@@ -46,7 +46,7 @@
 // room of the answer's body.
 type Result struct {
 	Stage  Stage
-	Answer lines.Answer // when answered
+	Answer hostproto.Answer // when answered
 	Err    error        // when not
 }
 
@@ -62,7 +62,7 @@
 
 // Forward is one request to a host. Done is called at most once, and never by Send or Stop.
 type Forward struct {
-	Request lines.Request
+	Request hostproto.Request
 	Done    func(Result)
 	Once    bool // it must not run twice: that nothing of it went out is to be proved where it can be
 	// Previous is the forward of the same request before this one, nil for none.
@@ -72,7 +72,7 @@
 	Overtaken func() bool
 	Before    time.Time    // the same for as long as hosts know a repeat; the zero time for none
 	Alone     bool         // nothing of it goes out before the STOPs of the forwards before it have
-	Proofs    lines.Proofs // of its answer, once Done is called
+	Proofs    hostproto.Proofs // of its answer, once Done is called
 
 	stopping atomic.Bool          // its STOP is queued, and has not gone out
 	waits    atomic.Pointer[conn] // on which a later forward of the same request waits for that
@@ -87,7 +87,7 @@
 type Options struct {
 	Log       zerolog.Logger
 	Counts    *counters.Counters
-	Room      *room.Room
+	Room      *memquota.Room
 	Dialer    net.Dialer    // with the time after which a connection that is not up is none
 	IdleClose time.Duration // hosts close connections that were idle for so long; 0 where that is not told
 	Streams   int           // forwards out on one connection
@@ -237,7 +237,7 @@
 	c.stopped[id] = tag
 	c.doubted = c.doubted || !c.heard.After(f.written)
 	f.stopping.Store(true)
-	c.queue = append(c.queue, item{text: lines.AppendHello(lines.AppendStop(nil, id), tag), stops: f})
+	c.queue = append(c.queue, item{text: hostproto.AppendHello(hostproto.AppendStop(nil, id), tag), stops: f})
 	c.signal()
 }
 
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 
-	"elderwall/internal/lines"
+	"elderwall/internal/hostproto"
 	"elderwall/internal/standin"
 	"elderwall/internal/standin/need"
 	"elderwall/internal/standin/rig"
@@ -56,7 +56,7 @@
 
 func forward(id, body string) (*upstream.Forward, chan upstream.Result) {
 	done := make(chan upstream.Result, 2)
-	return &upstream.Forward{Request: lines.Request{ID: id, Service: "s", Object: "o", Part: "0", Budget: 1, Body: []byte(body)},
+	return &upstream.Forward{Request: hostproto.Request{ID: id, Service: "s", Object: "o", Part: "0", Budget: 1, Body: []byte(body)},
 		Done: func(r upstream.Result) { done <- r }}, done
 }
 
--- a/internal/variants/bench_test.go
+++ b/internal/variantfilter/bench_test.go
@@ -1,4 +1,4 @@
-package variants_test
+package variantfilter_test
 
 import (
 	"errors"
@@ -11,36 +11,36 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sync/errgroup"
 
-	"elderwall/control"
-	pure "elderwall/fleet/variants"
-	"elderwall/internal/lines"
-	"elderwall/internal/node"
+	"elderwall/core/routing"
+	pure "elderwall/core/cluster/variant"
+	"elderwall/internal/hostproto"
+	"elderwall/internal/dispatcher"
 	"elderwall/internal/standin"
 	"elderwall/internal/standin/need"
-	"elderwall/internal/variants"
+	"elderwall/internal/variantfilter"
 )
 
 // known is a stage that knows two classes of objects as one, and a GET of one of them on its whole way through it: a key, a field, the
 // evidence of its answer, and whether that fits.
-func known(t testing.TB, n int) (stage *variants.Stage, get func(in *control.GET, i int) bool) {
+func known(t testing.TB, n int) (stage *variantfilter.Stage, get func(in *routing.GET, i int) bool) {
 	one := pure.Service{Classes: classes, Proof: pure.ByTag, Witnesses: 1, Repeats: true, Fresh: math.Inf(1)}
 	of := pure.Settings{Services: []pure.Service{one}, Objects: 2 * max(n, 1<<11), Seed: 7, Self: "d1"}
-	stage, err := variants.New(variants.Settings{Module: of, Fields: []string{"dev"}})
+	stage, err := variantfilter.New(variantfilter.Settings{Module: of, Fields: []string{"dev"}})
 	require.NoError(t, err)
 	var names []string
-	get = func(in *control.GET, i int) bool {
+	get = func(in *routing.GET, i int) bool {
 		in.Object = names[int(uint64(i)*0x9e3779b97f4a7c15>>32)%n]
 		now := 100 + float64(i)*1e-6
 		v, _, _ := stage.Key(now, in, classes[i%2])
 		_, _ = stage.Field(0, v.Asked)
-		return stage.Answered(now, in, v, node.Evidence{Asked: v.Asked, Host: 3, Proof: stage.Proof(0, lines.Proofs{Tag: 9}, nil)})
+		return stage.Answered(now, in, v, dispatcher.Evidence{Asked: v.Asked, Host: 3, Proof: stage.Proof(0, hostproto.Proofs{Tag: 9}, nil)})
 	}
 	for i := range n {
 		names = append(names, fmt.Sprintf("%016x", uint64(i+1)*0xd6e8feb86659fd93))
-		in := control.GET{Object: names[i]}
+		in := routing.GET{Object: names[i]}
 		for class := range int16(2) {
 			v, _, _ := stage.Key(1, &in, classes[class])
-			stage.Answered(1, &in, v, node.Evidence{Asked: class, Host: 3, Proof: 9})
+			stage.Answered(1, &in, v, dispatcher.Evidence{Asked: class, Host: 3, Proof: 9})
 		}
 	}
 	return stage, get
@@ -49,7 +49,7 @@
 // The stage is in parts here: a GET allocates nothing, and what one stage tells another learns.
 func TestStageInParts(t *testing.T) {
 	stage, get := known(t, 100)
-	in, i := new(control.GET), 0
+	in, i := new(routing.GET), 0
 	assert.Zero(t, testing.AllocsPerRun(10_000, func() {
 		i++
 		assert.True(t, get(in, i), "same bytes")
@@ -60,7 +60,7 @@
 	other.Learn(2, all)
 	assert.Len(t, other.Notices(), 1+99, "one object both knew")
 	one := pure.Service{Classes: classes, Proof: pure.ByTag, Witnesses: 1, Repeats: true, Fresh: 20}
-	timed := need.Of(variants.New(variants.Settings{Module: pure.Settings{Services: []pure.Service{one}, Objects: 1 << 12, Self: "d2"}, Fields: []string{"dev"}}))(t)
+	timed := need.Of(variantfilter.New(variantfilter.Settings{Module: pure.Settings{Services: []pure.Service{one}, Objects: 1 << 12, Self: "d2"}, Fields: []string{"dev"}}))(t)
 	timed.Beat(2, 3, pure.Beat{Giver: 1, Number: 5})
 	aged := slices.Clone(all)
 	for n := range aged {
@@ -85,7 +85,7 @@
 				var group errgroup.Group
 				for shard := range shards {
 					group.Go(func() error {
-						in := new(control.GET)
+						in := new(routing.GET)
 						for i := range b.N / shards {
 							if !get(in, i*shards+shard) {
 								return errors.New("same bytes")
--- a/internal/variants/variants.go
+++ b/internal/variantfilter/variants.go
@@ -1,6 +1,6 @@
-// Package variants drives the module of the same name in the way of a GET: locks around it, that several shards share, and the names
+// Package variantfilter drives the module of the same name in the way of a GET: locks around it, that several shards share, and the names
 // by which hosts and operators know what it numbers. It decides nothing.
-package variants
+package variantfilter
 
 import (
 	"fmt"
@@ -10,17 +10,17 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"elderwall/control"
-	"elderwall/fleet/variants"
-	"elderwall/internal/lines"
-	"elderwall/internal/node"
+	"elderwall/core/routing"
+	"elderwall/core/cluster/variant"
+	"elderwall/internal/hostproto"
+	"elderwall/internal/dispatcher"
 )
 
 const nameSlots = 1 << 13 // names of objects by class that are at hand; others are made anew, 16 bytes each
 
 // Settings is what an operator declares.
 type Settings struct {
-	Module variants.Settings
+	Module variant.Settings
 	Fields []string // by delivery service, what names the class to a host; "" for none
 }
 
@@ -38,13 +38,13 @@
 // part is a module with its lock, in a line of memory of its own.
 type part struct {
 	sync.Mutex
-	module *variants.Module
+	module *variant.Module
 	_      [48]byte
 }
 
 // service is how a delivery service's classes are told.
 type service struct {
-	proof variants.Proof // 0 where nothing is declared
+	proof variant.Proof // 0 where nothing is declared
 	names []string
 	pairs []string // fields of requests to hosts
 }
@@ -54,15 +54,15 @@
 	text string
 }
 
-var _ node.Variants = (*Stage)(nil)
+var _ dispatcher.Variants = (*Stage)(nil)
 
 // New makes a stage, or names all that is wrong with the settings.
 func New(s Settings) (*Stage, error) {
-	st := &Stage{settings: s, parts: make([]part, variants.Parts(&s.Module)), names: make([]atomic.Pointer[name], nameSlots)}
+	st := &Stage{settings: s, parts: make([]part, variant.Parts(&s.Module)), names: make([]atomic.Pointer[name], nameSlots)}
 	of := s.Module
 	of.Parts, of.Objects = len(st.parts), of.Objects/len(st.parts)
 	for i := range st.parts {
-		module, err := variants.New(of)
+		module, err := variant.New(of)
 		if err != nil {
 			return nil, fmt.Errorf("variants: %w", err)
 		}
@@ -87,24 +87,24 @@
 }
 
 // part is the one of an object's number.
-func (s *Stage) part(number uint64) *part { return &s.parts[variants.PartOf(number, len(s.parts))] }
+func (s *Stage) part(number uint64) *part { return &s.parts[variant.PartOf(number, len(s.parts))] }
 
 // all does something with each part.
-func (s *Stage) all(do func(m *variants.Module)) {
+func (s *Stage) all(do func(m *variant.Module)) {
 	for i := range s.parts {
 		s.parts[i].do(do)
 	}
 }
 
-func (p *part) do(do func(m *variants.Module)) {
+func (p *part) do(do func(m *variant.Module)) {
 	p.Lock()
 	defer p.Unlock()
 	do(p.module)
 }
 
 // object is what the module knows of a GET's object by, with its own number.
-func object(in *control.GET, number uint64) variants.Object {
-	return variants.Object{Service: in.Service, Object: number, Part: in.Part, Group: in.Group}
+func object(in *routing.GET, number uint64) variant.Object {
+	return variant.Object{Service: in.Service, Object: number, Part: in.Part, Group: in.Group}
 }
 
 // digits are the values of hex digits in small letters, 0x80 for what is none. A table: which digits are letters can't be foretold.
@@ -141,7 +141,7 @@
 }
 
 // Key is node.Variants.
-func (s *Stage) Key(now float64, in *control.GET, device string) (v node.Variant, text string, ok bool) {
+func (s *Stage) Key(now float64, in *routing.GET, device string) (v dispatcher.Variant, text string, ok bool) {
 	of := s.of(in.Service)
 	if of == nil {
 		return v, "", false
@@ -151,7 +151,7 @@
 	if class < 0 || !ok {
 		return v, "", false
 	}
-	v = node.Variant{Number: number, Own: class, Asked: class, Declared: true, Tagged: of.proof == variants.ByTag}
+	v = dispatcher.Variant{Number: number, Own: class, Asked: class, Declared: true, Tagged: of.proof == variant.ByTag}
 	p := s.part(number)
 	p.Lock()
 	k := p.module.Key(now, object(in, number), int(class))
@@ -161,13 +161,13 @@
 }
 
 // Own is node.Variants.
-func (s *Stage) Own(in *control.GET, v node.Variant) string {
+func (s *Stage) Own(in *routing.GET, v dispatcher.Variant) string {
 	return s.name(in.Object, v.Number, int(v.Own), 0)
 }
 
 // name is an object's by a class and place.
 func (s *Stage) name(as string, number uint64, class, beside int) string {
-	key := variants.PlaceOf(number, class, beside)
+	key := variant.PlaceOf(number, class, beside)
 	if key == number {
 		return as
 	}
@@ -198,14 +198,14 @@
 }
 
 // Proof is node.Variants.
-func (s *Stage) Proof(service int, p lines.Proofs, body []byte) uint64 {
+func (s *Stage) Proof(service int, p hostproto.Proofs, body []byte) uint64 {
 	of := s.of(service)
 	switch {
 	case of == nil:
 		return 0
-	case of.proof == variants.ByTag:
+	case of.proof == variant.ByTag:
 		return p.Tag
-	case of.proof == variants.ByDigest:
+	case of.proof == variant.ByDigest:
 		return p.Digest
 	case body == nil:
 		return 0
@@ -214,13 +214,13 @@
 }
 
 // answer is evidence as the module takes it.
-func answer(in *control.GET, v node.Variant, e node.Evidence) variants.Answer {
-	return variants.Answer{Object: object(in, v.Number), Class: int(e.Asked), Beside: int(e.Beside), Host: e.Host, Proof: e.Proof,
-		Generation: variants.Generation{Purge: e.Told, Version: e.Version}, Known: e.Known}
+func answer(in *routing.GET, v dispatcher.Variant, e dispatcher.Evidence) variant.Answer {
+	return variant.Answer{Object: object(in, v.Number), Class: int(e.Asked), Beside: int(e.Beside), Host: e.Host, Proof: e.Proof,
+		Generation: variant.Generation{Purge: e.Told, Version: e.Version}, Known: e.Known}
 }
 
 // Answered is node.Variants.
-func (s *Stage) Answered(now float64, in *control.GET, v node.Variant, e node.Evidence) (fits bool) {
+func (s *Stage) Answered(now float64, in *routing.GET, v dispatcher.Variant, e dispatcher.Evidence) (fits bool) {
 	a := answer(in, v, e)
 	p := s.part(v.Number)
 	p.Lock()
@@ -231,7 +231,7 @@
 }
 
 // Fits is node.Variants.
-func (s *Stage) Fits(now float64, in *control.GET, v node.Variant, e node.Evidence) bool {
+func (s *Stage) Fits(now float64, in *routing.GET, v dispatcher.Variant, e dispatcher.Evidence) bool {
 	if v.Own == e.Asked {
 		return true
 	}
@@ -242,8 +242,8 @@
 	return p.fits(now, v, &a)
 }
 
-func (p *part) fits(now float64, v node.Variant, a *variants.Answer) bool {
-	return p.module.Fits(now, int(v.Own), variants.Key{Class: a.Class, Presume: v.Presumed}, a)
+func (p *part) fits(now float64, v dispatcher.Variant, a *variant.Answer) bool {
+	return p.module.Fits(now, int(v.Own), variant.Key{Class: a.Class, Presume: v.Presumed}, a)
 }
 
 // Purged is node.Variants.
@@ -257,9 +257,9 @@
 		switch {
 		case s.of(i) == nil:
 		case object == "":
-			s.all(func(m *variants.Module) { m.Purged(i, 0, group, at, order) })
+			s.all(func(m *variant.Module) { m.Purged(i, 0, group, at, order) })
 		default:
-			s.part(key).do(func(m *variants.Module) { m.Purged(i, key, -1, at, order) })
+			s.part(key).do(func(m *variant.Module) { m.Purged(i, key, -1, at, order) })
 		}
 	}
 	if object == "" {
@@ -268,7 +268,7 @@
 	for beside := range s.places + 1 {
 		for c := range s.most {
 			if c+beside > 0 {
-				names = append(names, text(variants.PlaceOf(key, c, beside)))
+				names = append(names, text(variant.PlaceOf(key, c, beside)))
 			}
 		}
 	}
@@ -276,45 +276,45 @@
 }
 
 // Facts takes what the other dispatchers are to be told, the oldest of each part first.
-func (s *Stage) Facts(most int) (all []variants.Fact) {
+func (s *Stage) Facts(most int) (all []variant.Fact) {
 	first := int(s.turn.Add(1))
 	for n := range s.parts {
 		left := len(s.parts) - n
-		s.parts[(first+n)%len(s.parts)].do(func(m *variants.Module) { all = append(all, m.Facts((most-len(all)+left-1)/left)...) })
+		s.parts[(first+n)%len(s.parts)].do(func(m *variant.Module) { all = append(all, m.Facts((most-len(all)+left-1)/left)...) })
 	}
 	return all
 }
 
 // Learn takes what another dispatcher told.
-func (s *Stage) Learn(now float64, facts []variants.Fact) {
-	by := map[*part][]variants.Fact{}
+func (s *Stage) Learn(now float64, facts []variant.Fact) {
+	by := map[*part][]variant.Fact{}
 	for _, f := range facts {
 		p := s.part(f.Object.Object)
 		by[p] = append(by[p], f)
 	}
 	for p, of := range by {
-		p.do(func(m *variants.Module) { m.Learn(now, of) })
+		p.do(func(m *variant.Module) { m.Learn(now, of) })
 	}
 }
 
 // Notices takes the joins and splits since it was last asked.
-func (s *Stage) Notices() (all []variants.Notice) {
-	s.all(func(m *variants.Module) { all = append(all, m.Notices()...) })
+func (s *Stage) Notices() (all []variant.Notice) {
+	s.all(func(m *variant.Module) { all = append(all, m.Notices()...) })
 	return all
 }
 
 // Peers tells how many dispatchers share their facts, this one too.
 func (s *Stage) Peers(n int) {
-	s.all(func(m *variants.Module) { m.Peers(n) })
+	s.all(func(m *variant.Module) { m.Peers(n) })
 }
 
 // Beat takes the answer to a question for a beat, of one process as for all parts. Those that it has not reached yet know the beats before it.
-func (s *Stage) Beat(sent, heard float64, b variants.Beat) {
-	s.all(func(m *variants.Module) { m.Beat(sent, heard, b) })
+func (s *Stage) Beat(sent, heard float64, b variant.Beat) {
+	s.all(func(m *variant.Module) { m.Beat(sent, heard, b) })
 }
 
 // Keep tells whether a fact that was told is still of use; own for one that this dispatcher told.
-func (s *Stage) Keep(f *variants.Fact, own bool) (keeps bool) {
-	s.part(f.Object.Object).do(func(m *variants.Module) { keeps = m.Keeps(f, own) })
+func (s *Stage) Keep(f *variant.Fact, own bool) (keeps bool) {
+	s.part(f.Object.Object).do(func(m *variant.Module) { keeps = m.Keeps(f, own) })
 	return keeps
 }
--- a/internal/variants/way_test.go
+++ b/internal/variantfilter/way_test.go
@@ -1,4 +1,4 @@
-package variants_test
+package variantfilter_test
 
 import (
 	"fmt"
@@ -15,16 +15,16 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"elderwall/control"
-	pure "elderwall/fleet/variants"
+	"elderwall/core/routing"
+	pure "elderwall/core/cluster/variant"
 	"elderwall/internal/changelog"
 	"elderwall/internal/clock"
-	"elderwall/internal/front"
-	"elderwall/internal/node"
+	"elderwall/internal/downstream"
+	"elderwall/internal/dispatcher"
 	"elderwall/internal/standin"
 	"elderwall/internal/standin/need"
 	"elderwall/internal/standin/rig"
-	"elderwall/internal/variants"
+	"elderwall/internal/variantfilter"
 )
 
 var (
@@ -53,17 +53,17 @@
 
 // later is a stage that lives some seconds ahead.
 type later struct {
-	*variants.Stage
+	*variantfilter.Stage
 	by atomic.Int64
 }
 
-func (l *later) Key(now float64, in *control.GET, device string) (node.Variant, string, bool) {
+func (l *later) Key(now float64, in *routing.GET, device string) (dispatcher.Variant, string, bool) {
 	return l.Stage.Key(now+float64(l.by.Load()), in, device)
 }
-func (l *later) Answered(now float64, in *control.GET, v node.Variant, e node.Evidence) bool {
+func (l *later) Answered(now float64, in *routing.GET, v dispatcher.Variant, e dispatcher.Evidence) bool {
 	return l.Stage.Answered(now+float64(l.by.Load()), in, v, e)
 }
-func (l *later) Fits(now float64, in *control.GET, v node.Variant, e node.Evidence) bool {
+func (l *later) Fits(now float64, in *routing.GET, v dispatcher.Variant, e dispatcher.Evidence) bool {
 	return l.Stage.Fits(now+float64(l.by.Load()), in, v, e)
 }
 
@@ -71,7 +71,7 @@
 type way struct {
 	testing.TB
 	*truth
-	*node.Node
+	*dispatcher.Node
 	stage   *later
 	address string
 	ids     atomic.Int64
@@ -86,18 +86,18 @@
 	s := rig.Settings(10_000)
 	s.Services = append(s.Services, "order")
 	tokened := s.Settings.Services[0]
-	tokened.Effect = control.Tokened
+	tokened.Effect = routing.Tokened
 	s.Settings.Services = append(s.Settings.Services, tokened)
 	one := pure.Service{Classes: classes, Proof: proof, Witnesses: max(1, len(witnesses)), Repeats: true, Fresh: math.Inf(1)}
-	w.stage = &later{Stage: need.Of(variants.New(variants.Settings{Module: pure.Settings{Services: []pure.Service{one, one}, Objects: 1000, Seed: 7, Self: "d1"}, Fields: []string{"dev", "dev"}}))(t)}
+	w.stage = &later{Stage: need.Of(variantfilter.New(variantfilter.Settings{Module: pure.Settings{Services: []pure.Service{one, one}, Objects: 1000, Seed: 7, Self: "d1"}, Fields: []string{"dev", "dev"}}))(t)}
 	o.Proofs = true
-	w.Node = node.New(node.Config{Settings: s, Clock: clock.New(), Options: o, Connections: 100, Variants: w.stage, Joins: []bool{joins, joins}})
+	w.Node = dispatcher.New(dispatcher.Config{Settings: s, Clock: clock.New(), Options: o, Connections: 100, Variants: w.stage, Joins: []bool{joins, joins}})
 	w.take(rig.Whole(w.hosts.Entries...))
 	l := need.Listener(t)
 	w.address = l.Addr().String()
-	named := front.Device{Classes: map[string]string{"tv": "tv", "phone": "phone", "car": "car"}}
-	server := &front.Server{Handler: w.Node, Log: zerolog.Nop(), Counts: o.Counts, Room: o.Room, Most: 100,
-		Devices: front.Devices{Fields: []string{"device"}, By: map[string]front.Device{"segment": named, "order": named}}}
+	named := downstream.Device{Classes: map[string]string{"tv": "tv", "phone": "phone", "car": "car"}}
+	server := &downstream.Server{Handler: w.Node, Log: zerolog.Nop(), Counts: o.Counts, Room: o.Room, Most: 100,
+		Devices: downstream.Devices{Fields: []string{"device"}, By: map[string]downstream.Device{"segment": named, "order": named}}}
 	o.Group.Go(func() error { return w.Node.Run(o.Context) })
 	o.Group.Go(func() error { return server.Serve(o.Context, l) })
 	return w
@@ -342,14 +342,14 @@
 func TestEvidenceOfBeforeAPurge(t *testing.T) {
 	for known, same := range map[uint64]bool{4: false, 5: true, 0: false} {
 		w := newWay(t, pure.ByTag, false)
-		in := control.GET{Object: objects[0], Part: 40}
+		in := routing.GET{Object: objects[0], Part: 40}
 		for class := range int16(2) {
-			v := node.Variant{Own: class, Asked: class, Declared: true}
+			v := dispatcher.Variant{Own: class, Asked: class, Declared: true}
 			early, _, _ := w.stage.Key(1, &in, classes[class])
 			assert.Len(t, w.stage.Purged(900, 5, objects[0], 0), 2, "names by the other classes")
 			late, _, _ := w.stage.Key(1, &in, classes[class])
 			v.Number = late.Number
-			e := node.Evidence{Asked: class, Host: 1, Known: known, Told: late.Told, Proof: 9}
+			e := dispatcher.Evidence{Asked: class, Host: 1, Known: known, Told: late.Told, Proof: 9}
 			if known == 0 {
 				e.Known, e.Told = 5, early.Told
 				if class > 0 {
