--- a/client/client.go
+++ b/client/client.go
@@ -5,15 +5,14 @@
 
 import (
 	"context"
+	"elderwall/core/cluster/channel"
+	"elderwall/internal/cluster"
 	"errors"
 	"fmt"
 	"math/rand/v2"
 	"os"
 	"slices"
 	"time"
-
-	"elderwall/core/cluster/channel"
-	"elderwall/internal/cluster"
 )
 
 // Waits of a reader or writer that has lost its dispatcher; each is spread by chance, so that those of one that was killed don't come as a herd.
--- a/client/publish.go
+++ b/client/publish.go
@@ -2,15 +2,14 @@
 
 import (
 	"context"
+	"elderwall/core/cluster/channel"
+	"elderwall/internal/cluster"
 	"errors"
 	"fmt"
 	"maps"
 	"math/rand/v2"
 	"sync"
 	"time"
-
-	"elderwall/core/cluster/channel"
-	"elderwall/internal/cluster"
 )
 
 const (
@@ -29,7 +28,7 @@
 	Writer  string            `json:"writer"`
 	Last    uint64            `json:"last"`  // number, of those that are acknowledged
 	Clock   uint64            `json:"clock"` // of the last
-	Pending []channel.Entry  `json:"pending,omitempty"`
+	Pending []channel.Entry   `json:"pending,omitempty"`
 	After   map[string]uint64 `json:"after,omitempty"`
 }
 
@@ -102,8 +101,10 @@
 	for _, m := range all {
 		number++
 		s.Clock++
-		s.Pending = append(s.Pending, channel.Entry{Channel: p.channel, Key: m.Key, Writer: s.Writer, Number: number, Clock: s.Clock,
-			After: maps.Clone(s.After), Body: m.Body})
+		s.Pending = append(s.Pending, channel.Entry{
+			Channel: p.channel, Key: m.Key, Writer: s.Writer, Number: number, Clock: s.Clock,
+			After: maps.Clone(s.After), Body: m.Body,
+		})
 	}
 	p.seen.Unlock()
 	if err := p.save(p.State()); err != nil {
--- a/cmd/benchlink/link.go
+++ b/cmd/benchlink/link.go
@@ -1,12 +1,11 @@
 package main
 
 import (
+	"elderwall/core/routing"
+	"elderwall/internal/benchwire"
 	"fmt"
 	"io"
 	"runtime/debug"
-
-	"elderwall/core/routing"
-	"elderwall/internal/benchwire"
 )
 
 // instance is one dispatcher with what the wire needs to reach it.
--- a/cmd/benchlink/link_test.go
+++ b/cmd/benchlink/link_test.go
@@ -54,20 +54,35 @@
 		{"empty batch", nil, `{"actions":[]}`},
 		{"first timer", []string{batch(2000, start(3))}, `{"actions":[["schedule",3,10000,"tick"]]}`},
 		{"a GET is sent to its cache", []string{batch(2000, start(3)), batch(4000, demand(3, 7))}, `{"actions":[` + issued + `]}`},
-		{"a returned GET needs nothing more", []string{batch(2000, start(3)), batch(4000, demand(3, 7)),
-			batch(22500, fmt.Sprintf(answer, "delivered", true))}, `{"actions":[]}`},
-		{"a GET with no way left is shed with a time to come back", []string{batch(2000, start(3)), batch(4000, demand(3, 7)),
-			batch(22500, fmt.Sprintf(answer, "app_error", false))}, `{"actions":[["notNow",3,7,125000]]}`},
-		{"a client that goes is not answered", []string{batch(2000, start(3)), batch(4000, demand(3, 7)),
-			batch(5000, `["clientGone",3,7]`)}, `{"actions":[["abandon",3,7,0]]}`},
-		{"a purge sets the age, exact to the microsecond", []string{batch(2000, start(3)),
-			batch(4000, `["invalidated",3,"a:x7",3,1001]`), batch(6000, demand(3, 7))}, `{"actions":[["serveOrFill",3,7,11,0,21,1,3001,0]]}`},
-		{"a purge of the whole group", []string{batch(2000, start(3)), batch(4000, `["invalidated",3,0,3,1000]`),
-			batch(6000, demand(3, 7))}, `{"actions":[["serveOrFill",3,7,11,0,21,1,3000,0]]}`},
-		{"a host absent from a full list is gone", []string{batch(2000, start(3)),
-			batch(4000, `["backendsChanged",3,1,2,[[21,0,1,0,1,1,null]]]`, demand(3, 7))}, `{"actions":[["notNow",3,7,125000]]}`},
-		{"a restart in one batch forgets", []string{batch(2000, start(3)), batch(4000, demand(3, 7)),
-			batch(6000, `["stop",3]`, start(3), `["clientGone",3,7]`)}, `{"actions":[["schedule",3,10000,"tick"]]}`}} {
+		{"a returned GET needs nothing more", []string{
+			batch(2000, start(3)), batch(4000, demand(3, 7)),
+			batch(22500, fmt.Sprintf(answer, "delivered", true)),
+		}, `{"actions":[]}`},
+		{"a GET with no way left is shed with a time to come back", []string{
+			batch(2000, start(3)), batch(4000, demand(3, 7)),
+			batch(22500, fmt.Sprintf(answer, "app_error", false)),
+		}, `{"actions":[["notNow",3,7,125000]]}`},
+		{"a client that goes is not answered", []string{
+			batch(2000, start(3)), batch(4000, demand(3, 7)),
+			batch(5000, `["clientGone",3,7]`),
+		}, `{"actions":[["abandon",3,7,0]]}`},
+		{"a purge sets the age, exact to the microsecond", []string{
+			batch(2000, start(3)),
+			batch(4000, `["invalidated",3,"a:x7",3,1001]`), batch(6000, demand(3, 7)),
+		}, `{"actions":[["serveOrFill",3,7,11,0,21,1,3001,0]]}`},
+		{"a purge of the whole group", []string{
+			batch(2000, start(3)), batch(4000, `["invalidated",3,0,3,1000]`),
+			batch(6000, demand(3, 7)),
+		}, `{"actions":[["serveOrFill",3,7,11,0,21,1,3000,0]]}`},
+		{"a host absent from a full list is gone", []string{
+			batch(2000, start(3)),
+			batch(4000, `["backendsChanged",3,1,2,[[21,0,1,0,1,1,null]]]`, demand(3, 7)),
+		}, `{"actions":[["notNow",3,7,125000]]}`},
+		{"a restart in one batch forgets", []string{
+			batch(2000, start(3)), batch(4000, demand(3, 7)),
+			batch(6000, `["stop",3]`, start(3), `["clientGone",3,7]`),
+		}, `{"actions":[["schedule",3,10000,"tick"]]}`},
+	} {
 		t.Run(tt.name, func(t *testing.T) {
 			replies, report := play(t, append([]string{batch(1000)}, tt.lines...)...)
 			assert.Equal(t, tt.want, replies[len(replies)-1])
@@ -89,7 +104,8 @@
 		{"an instance that does not run", `["clientGone",8,7]`, "instance 8 does not run"},
 		{"unknown phase", `["backendsChanged",3,0,2,[[11,0,0,0,9]]]`, "unknown phase 9"},
 		{"short entry", `["backendsChanged",3,0,2,[[11,0]]]`, "backendsChanged entry: 2 values"},
-		{"unknown form", `["backendsChanged",3,8,2,[]]`, "unknown form 8"}} {
+		{"unknown form", `["backendsChanged",3,8,2,[]]`, "unknown form 8"},
+	} {
 		t.Run(tt.name, func(t *testing.T) {
 			replies, report := play(t, batch(2000, start(3)), batch(4000, tt.message), batch(6000, demand(3, 7)))
 			assert.Contains(t, report, tt.want)
--- a/cmd/elderwall-operator/budgetsplay.go
+++ b/cmd/elderwall-operator/budgetsplay.go
@@ -1,14 +1,13 @@
 package main
 
 import (
+	"elderwall/core/cluster/quota"
+	"elderwall/emulator"
+	"elderwall/internal/chart"
 	"fmt"
 	"os"
 	"path/filepath"
 	"text/tabwriter"
-
-	"elderwall/emulator"
-	"elderwall/core/cluster/quota"
-	"elderwall/internal/chart"
 )
 
 // budgetsPlayCommand plays dispatchers that share a budget, with no sockets.
--- a/cmd/elderwall-operator/check.go
+++ b/cmd/elderwall-operator/check.go
@@ -1,11 +1,10 @@
 package main
 
 import (
-	"fmt"
-	"os"
-
 	"elderwall/internal/operator"
 	"elderwall/internal/service"
+	"fmt"
+	"os"
 )
 
 // checkCommand checks an operator's file.
--- a/cmd/elderwall-operator/commands_test.go
+++ b/cmd/elderwall-operator/commands_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"elderwall/internal/standin/need"
 	"io"
 	"os"
 	"path/filepath"
@@ -10,8 +11,6 @@
 	"github.com/alecthomas/kong"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/standin/need"
 )
 
 // command runs one and gives what it prints.
@@ -63,7 +62,8 @@
 		{"revoked", "keys revoke k1 --set " + set, "", ""},
 		{"for good", "keys activate k1 --set " + set, "", "never goes back"},
 		{"one that there is not", "keys revoke k9 --set " + set, "", `no key "k9"`},
-		{"announced from elsewhere, private", "keys announce " + private + " --set " + set, "", "it is private"}} {
+		{"announced from elsewhere, private", "keys announce " + private + " --set " + set, "", "it is private"},
+	} {
 		out, err := command(t, strings.Fields(strings.ReplaceAll(s.words, "TOKEN", token))...)
 		if s.err != "" {
 			assert.ErrorContains(t, err, s.err, s.name)
--- a/cmd/elderwall-operator/duties.go
+++ b/cmd/elderwall-operator/duties.go
@@ -2,6 +2,10 @@
 
 import (
 	"context"
+	"elderwall/core/cluster/lease"
+	"elderwall/core/cluster/quota"
+	"elderwall/internal/cluster"
+	"elderwall/internal/snakejson"
 	"errors"
 	"fmt"
 	"maps"
@@ -14,11 +18,6 @@
 	"syscall"
 	"text/tabwriter"
 	"time"
-
-	"elderwall/core/cluster/quota"
-	"elderwall/core/cluster/lease"
-	"elderwall/internal/cluster"
-	"elderwall/internal/snakejson"
 )
 
 func (a asked) keys() (*cluster.Keys, error) {
--- a/cmd/elderwall-operator/emulate.go
+++ b/cmd/elderwall-operator/emulate.go
@@ -1,15 +1,14 @@
 package main
 
 import (
+	"elderwall/emulator"
+	"elderwall/internal/scenario"
 	"fmt"
 	"io"
 	"os"
 	"slices"
 	"text/tabwriter"
 	"time"
-
-	"elderwall/emulator"
-	"elderwall/internal/scenario"
 )
 
 // emulateCommand plays a scenario with no sockets.
--- a/cmd/elderwall-operator/fleet.go
+++ b/cmd/elderwall-operator/fleet.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"elderwall/core/cluster/membership"
+	"elderwall/internal/cluster"
 	"fmt"
 	"io"
 	"os"
@@ -10,9 +12,6 @@
 	"time"
 
 	"github.com/dustin/go-humanize"
-
-	"elderwall/core/cluster/membership"
-	"elderwall/internal/cluster"
 )
 
 // fleetCommand asks dispatchers that know each other.
--- a/cmd/elderwall-operator/fleetchannels.go
+++ b/cmd/elderwall-operator/fleetchannels.go
@@ -3,17 +3,16 @@
 import (
 	"bufio"
 	"context"
+	"elderwall/client"
+	"elderwall/core/cluster/channel"
+	"elderwall/internal/cluster"
+	"elderwall/internal/operator"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"os"
 	"os/signal"
 	"time"
-
-	"elderwall/client"
-	"elderwall/core/cluster/channel"
-	"elderwall/internal/cluster"
-	"elderwall/internal/operator"
 )
 
 // several are dispatchers, any of which will do.
--- a/cmd/elderwall-operator/fleetplay.go
+++ b/cmd/elderwall-operator/fleetplay.go
@@ -1,14 +1,13 @@
 package main
 
 import (
+	"elderwall/emulator"
+	"elderwall/internal/snakejson"
 	"fmt"
 	"os"
 	"slices"
 	"text/tabwriter"
 	"time"
-
-	"elderwall/emulator"
-	"elderwall/internal/snakejson"
 )
 
 // fleetPlayCommand plays members with no sockets.
--- a/cmd/elderwall-operator/keys.go
+++ b/cmd/elderwall-operator/keys.go
@@ -1,6 +1,8 @@
 package main
 
 import (
+	"elderwall/core/admission"
+	"elderwall/internal/token"
 	"errors"
 	"fmt"
 	"io"
@@ -10,9 +12,6 @@
 	"strings"
 	"text/tabwriter"
 	"time"
-
-	"elderwall/internal/token"
-	"elderwall/core/admission"
 )
 
 // keysCommand keeps a key set: every change writes the file anew, whole, and a dispatcher takes it on SIGHUP.
--- a/cmd/elderwall-operator/load.go
+++ b/cmd/elderwall-operator/load.go
@@ -2,14 +2,13 @@
 
 import (
 	"bufio"
+	"elderwall/internal/load"
+	"elderwall/internal/standin"
 	"errors"
 	"fmt"
 	"os"
 	"runtime"
 	"time"
-
-	"elderwall/internal/load"
-	"elderwall/internal/standin"
 )
 
 // loadCommand runs an experiment.
@@ -52,8 +51,10 @@
 
 // Run prints the address of the change log, then what it was asked for each line that it reads, until there are none.
 func (f *farmCommand) Run() error {
-	farm, err := standin.StartFarm(standin.FarmOptions{Caches: f.Caches, Parents: f.Parents, Bytes: f.Bytes, Holds: f.Holds,
-		Fill: f.Fill, Serve: f.Serve})
+	farm, err := standin.StartFarm(standin.FarmOptions{
+		Caches: f.Caches, Parents: f.Parents, Bytes: f.Bytes, Holds: f.Holds,
+		Fill: f.Fill, Serve: f.Serve,
+	})
 	if err != nil {
 		return err
 	}
--- a/cmd/elderwall-operator/main.go
+++ b/cmd/elderwall-operator/main.go
@@ -3,14 +3,13 @@
 package main
 
 import (
+	"elderwall/internal/extensions"
+	"elderwall/internal/service"
 	"errors"
 	"fmt"
 	"os"
 
 	"github.com/alecthomas/kong"
-
-	"elderwall/internal/extensions"
-	"elderwall/internal/service"
 )
 
 // commands is the command line; without a word it serves.
--- a/cmd/elderwall-operator/memoryplay.go
+++ b/cmd/elderwall-operator/memoryplay.go
@@ -1,6 +1,10 @@
 package main
 
 import (
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/replication"
+	"elderwall/emulator"
+	"elderwall/internal/chart"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -10,11 +14,6 @@
 	"text/tabwriter"
 
 	"github.com/fxamacker/cbor/v2"
-
-	"elderwall/emulator"
-	"elderwall/core/cluster/channel"
-	"elderwall/core/cluster/replication"
-	"elderwall/internal/chart"
 )
 
 // memoryPlayCommand plays what dispatchers remember together, with no sockets.
@@ -40,8 +39,10 @@
 func (c *memoryPlayCommand) Run() error {
 	all := map[string]any{}
 	for _, what := range c.What {
-		play, ok := map[string]func() (any, error){"writes": c.writes, "heal": c.heal, "catchup": c.catchup, "record": c.record, "copies": c.copies,
-			"variants": c.variants, "channels": c.channels}[what]
+		play, ok := map[string]func() (any, error){
+			"writes": c.writes, "heal": c.heal, "catchup": c.catchup, "record": c.record, "copies": c.copies,
+			"variants": c.variants, "channels": c.channels,
+		}[what]
 		if !ok {
 			return fmt.Errorf("nothing is called %q", what)
 		}
@@ -162,8 +163,10 @@
 		Kind string
 		*emulator.MemoryResult
 	}
-	troubles := map[string]emulator.MemberTrouble{"half cut off": {Kind: emulator.Cut}, "a tenth ends, disks kept": {Kind: emulator.Die}, "a tenth ends, disks emptied": {Kind: emulator.Emptied},
-		"a tenth ends, older disks": {Kind: emulator.Older}}
+	troubles := map[string]emulator.MemberTrouble{
+		"half cut off": {Kind: emulator.Cut}, "a tenth ends, disks kept": {Kind: emulator.Die}, "a tenth ends, disks emptied": {Kind: emulator.Emptied},
+		"a tenth ends, older disks": {Kind: emulator.Older},
+	}
 	kinds := c.Troubles
 	for _, k := range kinds {
 		if _, ok := troubles[k]; !ok {
@@ -249,8 +252,10 @@
 			before := heap()
 			saved := &replication.Saved{Era: 1, Vector: replication.Vector{{Writer: "n0", Era: 1, Number: uint64(n)}}}
 			for i := range n {
-				saved.Records = append(saved.Records, replication.Carried{Record: replication.Record{Kind: 1, Key: fmt.Sprintf("k%07d", i), Value: make([]byte, size),
-					Dot: replication.Dot{Writer: "n0", Era: 1, Number: uint64(i + 1)}}})
+				saved.Records = append(saved.Records, replication.Carried{Record: replication.Record{
+					Kind: 1, Key: fmt.Sprintf("k%07d", i), Value: make([]byte, size),
+					Dot: replication.Dot{Writer: "n0", Era: 1, Number: uint64(i + 1)},
+				}})
 			}
 			m, err := replication.New(replication.Settings{Name: "n1", Kinds: []replication.Kind{{ID: 1, Name: "played", Records: 2 * n, Bytes: 1 << 30, Longest: 1000, Law: func(a, b []byte) int { return 0 }}}},
 				saved, 0)
@@ -280,8 +285,10 @@
 	for _, n := range c.Members {
 		for _, k := range slices.Compact([]int{3, n}) {
 			for _, reads := range []float64{10, 1000} {
-				s := emulator.CopiesScenario{Seed: c.Seed, Members: n, Copies: k, Records: c.Records, Bytes: 130, Question: 60, Writes: c.Writes, Reads: reads, Delay: 0.002, Patience: 0.1,
-					Samples: 20_000 / max(1, k/30)}
+				s := emulator.CopiesScenario{
+					Seed: c.Seed, Members: n, Copies: k, Records: c.Records, Bytes: 130, Question: 60, Writes: c.Writes, Reads: reads, Delay: 0.002, Patience: 0.1,
+					Samples: 20_000 / max(1, k/30),
+				}
 				p := played{Members: n, Copies: k, Reads: reads}
 				var err error
 				for _, x := range []struct {
--- a/cmd/elderwall-operator/pages_test.go
+++ b/cmd/elderwall-operator/pages_test.go
@@ -1,6 +1,11 @@
 package main
 
 import (
+	"elderwall/internal/load"
+	"elderwall/internal/operator"
+	"elderwall/internal/scenario"
+	"elderwall/internal/service"
+	"elderwall/internal/standin/need"
 	"encoding/json"
 	"fmt"
 	"os"
@@ -13,12 +18,6 @@
 	"github.com/alecthomas/kong"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/load"
-	"elderwall/internal/operator"
-	"elderwall/internal/scenario"
-	"elderwall/internal/service"
-	"elderwall/internal/standin/need"
 )
 
 var (
@@ -281,7 +280,8 @@
 		"see `none.md`": "none.md is not there", "[a](none.md)": "none.md is not there", "by `--kye`": "no command has a flag --kye", "`fleet membre`": "unexpected argument membre",
 		"| key under `fleet` |\n| --- |\n| `pees` | a |": "fleet.pees: unknown key",
 		"| key of a scenario |\n| --- |\n| `sead` | a |": "sead: unknown key",
-		"| key under `fleet.memory` |\n| --- |":          "it does not tell of fleet.memory.folder"} {
+		"| key under `fleet.memory` |\n| --- |":          "it does not tell of fleet.memory.folder",
+	} {
 		c.faults = nil
 		c.page("f", text)
 		assert.Contains(t, strings.Join(c.faults, "\n"), want, text)
--- a/cmd/elderwall-operator/token.go
+++ b/cmd/elderwall-operator/token.go
@@ -1,17 +1,15 @@
 package main
 
 import (
+	"crypto/rand"
+	"elderwall/core/admission"
+	"elderwall/internal/token"
 	"encoding/hex"
 	"fmt"
 	"io"
 	"os"
 	"strings"
 	"time"
-
-	"crypto/rand"
-
-	"elderwall/internal/token"
-	"elderwall/core/admission"
 )
 
 const idBytes = 12 // of a token's id; two alike in 2^48 tokens
@@ -52,9 +50,11 @@
 		s.ID = hex.EncodeToString(b[:])
 	}
 	now := time.Now()
-	text, err := keys[0].Sign(admission.Claims{Issuer: s.Issuer, Subject: s.Subject, ID: s.ID, Tenant: s.Tenant,
+	text, err := keys[0].Sign(admission.Claims{
+		Issuer: s.Issuer, Subject: s.Subject, ID: s.ID, Tenant: s.Tenant,
 		Audience: s.Audience, IssuedAt: float64(now.Unix()), NotBefore: float64(now.Add(s.In).Unix()),
-		Expiry: float64(now.Add(s.In + s.For).Unix())})
+		Expiry: float64(now.Add(s.In + s.For).Unix()),
+	})
 	if err != nil {
 		return err
 	}
--- a/cmd/elderwall/deploy_test.go
+++ b/cmd/elderwall/deploy_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"debug/elf"
+	"elderwall/internal/standin/need"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -12,8 +13,6 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/standin/need"
 )
 
 // The line run must stay in the one process that it starts, linked dynamically against the C library: with an operator's
--- a/cmd/elderwall/main.go
+++ b/cmd/elderwall/main.go
@@ -4,14 +4,13 @@
 package main
 
 import (
+	"elderwall/internal/service"
 	"errors"
 	"fmt"
 	"io/fs"
 	"os"
 	"path/filepath"
 	"syscall"
-
-	"elderwall/internal/service"
 )
 
 func main() {
--- a/core/admission/callers_test.go
+++ b/core/admission/callers_test.go
@@ -1,6 +1,7 @@
 package admission
 
 import (
+	"elderwall/internal/standin/need"
 	"fmt"
 	"maps"
 	"math"
@@ -12,8 +13,6 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
-
-	"elderwall/internal/standin/need"
 )
 
 const noon = 1764590400.0 // Unix s
@@ -92,7 +91,8 @@
 		{"signed before its key retired", key(func(k *Key) { k.State, k.RetiredAt = Retiring, noon-5 }), nil, 0, Passed},
 		{"signed 31 s after its key retired", key(func(k *Key) { k.State, k.RetiredAt = Retiring, noon-41 }), nil, 0, BadToken},
 		{"signed nowhen, by a key that retired", key(func(k *Key) { k.State, k.RetiredAt = Retiring, noon }), func(c *Claims) { c.IssuedAt = 0 }, 0, BadToken},
-		{"a revoked key", key(func(k *Key) { k.State = Revoked }), nil, 0, BadToken}} {
+		{"a revoked key", key(func(k *Key) { k.State = Revoked }), nil, 0, BadToken},
+	} {
 		m := module(t, tt.s)
 		_, r := verify(m, noon+tt.wall, claims(tt.c))
 		assert.Equal(t, tt.want, r, tt.name)
@@ -119,7 +119,8 @@
 		"its key is gone":       func(s *Settings) { s.Keys[0].ID = "k2" },
 		"its id":                func(s *Settings) { s.Revoked.Tokens = []string{"j1"} },
 		"its subject":           func(s *Settings) { s.Revoked.Subjects = []string{"till-4"} },
-		"another key of its id": func(s *Settings) { s.Keys[0].Print = "p2" }} {
+		"another key of its id": func(s *Settings) { s.Keys[0].Print = "p2" },
+	} {
 		m, conn := module(t), &Conn{Remote: here}
 		_, r := m.Verified(noon, conn, sum(1), "k1", "p1", claims())
 		require.Equal(t, Passed, r)
@@ -135,8 +136,10 @@
 }
 
 func TestCertificates(t *testing.T) {
-	cert := Certificate{Serial: Serial{"i", "7f"}, Names: []string{"uri:spiffe://x/till/4", "cn:till"}, From: noon - 100,
-		Until: noon + 100, Authorities: []string{"root"}}
+	cert := Certificate{
+		Serial: Serial{"i", "7f"}, Names: []string{"uri:spiffe://x/till/4", "cn:till"}, From: noon - 100,
+		Until: noon + 100, Authorities: []string{"root"},
+	}
 	for _, tt := range []struct {
 		name   string
 		change func(*Settings)
@@ -153,7 +156,8 @@
 		{"revoked", func(s *Settings) { s.Revoked.Certificates = []Serial{{"i", "7f"}} }, 0, "", BadCertificate},
 		{"another of its issuer revoked", func(s *Settings) { s.Revoked.Certificates = []Serial{{"i", "80"}} }, 0, "a", Passed},
 		{"its authority not trusted", func(s *Settings) { s.Authorities = []string{"other"} }, 0, "", BadCertificate},
-		{"its name revoked", func(s *Settings) { s.Revoked.Subjects = []string{"uri:spiffe://x/till/4"} }, 0, "", Nobody}} {
+		{"its name revoked", func(s *Settings) { s.Revoked.Subjects = []string{"uri:spiffe://x/till/4"} }, 0, "", Nobody},
+	} {
 		named := func(s *Settings) {
 			s.Names, s.Authorities = []Name{{"cn:till", "b"}, {"uri:spiffe://x/till/4", "a"}}, []string{"root"}
 		}
@@ -226,7 +230,8 @@
 		"a role that there is not":  func(s *Settings) { s.Tenants[0].Roles = []string{"none"} },
 		"a name of no tenant":       func(s *Settings) { s.Names = []Name{{"cn:x", "none"}} },
 		"nobody's tenant there not": func(s *Settings) { s.Anonymous = "none" },
-		"a table of no size":        func(s *Settings) { s.Limits.Verdicts = 0 }} {
+		"a table of no size":        func(s *Settings) { s.Limits.Verdicts = 0 },
+	} {
 		m := module(t)
 		assert.Error(t, m.Reload(0, noon, settings(change)), name)
 		_, r := verify(m, noon, claims())
@@ -263,7 +268,8 @@
 				n += passed(func() Refusal { _, r := ask(m, 0, "a", fmt.Sprint(i)); return r }, 5)
 			}
 			return n
-		}, 30}} {
+		}, 30},
+	} {
 		m := module(t, tt.share)
 		assert.Equal(t, tt.want, tt.asks(m), tt.name)
 		assert.Equal(t, 50, passed(func() Refusal { _, r := ask(m, 0, "b", "x"); return r }, 50), "%s: the other tenant", tt.name)
@@ -356,7 +362,8 @@
 		{"the same, with three times the weight", 3, 375, 5000, 0.98, 0.05},
 		{"both ask for more than there is", 1, 3000, 9000, 0.15, 0.05}, // half of 1000, less what the level swings
 		{"one alone has it all", 1, 0, 5000, 0, 0.05},
-		{"nobody floods", 1, 300, 500, 1, 1}} {
+		{"nobody floods", 1, 300, 500, 1, 1},
+	} {
 		m := module(t, func(s *Settings) { s.Tenants[0].Share.Weight = tt.weightOfA })
 		served, asked := crowd(m, 1000, 20, map[string]float64{"a": tt.a, "b": tt.b}, nil)
 		if tt.a > 0 {
@@ -493,7 +500,8 @@
 						t.Fatalf("key %s %+v, issued %v s ago: %v", id, told[id], wall-iat, r)
 					}
 				}
-			}})
+			},
+		})
 	})
 }
 
@@ -537,8 +545,10 @@
 func TestSharesAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Custom(func(t *rapid.T) Share {
-			return Share{Rate: rapid.SampledFrom([]float64{0, 0.5, 20}).Draw(t, "rate"), Burst: float64(rapid.IntRange(1, 9).Draw(t, "burst")),
-				Most: rapid.IntRange(0, 5).Draw(t, "most"), Weight: rapid.SampledFrom([]float64{0, 1, 7}).Draw(t, "weight")}
+			return Share{
+				Rate: rapid.SampledFrom([]float64{0, 0.5, 20}).Draw(t, "rate"), Burst: float64(rapid.IntRange(1, 9).Draw(t, "burst")),
+				Most: rapid.IntRange(0, 5).Draw(t, "most"), Weight: rapid.SampledFrom([]float64{0, 1, 7}).Draw(t, "weight"),
+			}
 		})
 		s := settings(func(s *Settings) {
 			s.Limits.Callers = rapid.IntRange(1, 3).Draw(t, "callers")
@@ -577,7 +587,8 @@
 					require.False(t, r > 0 && charged[told.Name] > told.Share.Burst+r*now+1e-6, "tenant %s: charged %v in %v s", told.Name, charged[told.Name], now)
 				}
 				require.False(t, m.callers.order.Len() != len(m.callers.by) || len(m.callers.by) > s.Limits.Callers || m.fair.most < leastLevel || math.IsNaN(m.fair.most), "%d callers of %d, level %v", len(m.callers.by), s.Limits.Callers, m.fair.most)
-			}})
+			},
+		})
 	})
 }
 
@@ -611,7 +622,8 @@
 		{"outside it", []Rule{inside(all)}, GET{}, "11.9.9.9", false},
 		{"a network, and any", []Rule{inside(all), all}, GET{}, "11.9.9.9", true},
 		{"any, and a network", []Rule{all, inside(all)}, GET{}, "11.9.9.9", true},
-		{"a network denied of all", []Rule{all, inside(none)}, GET{}, "10.9.9.9", false}} {
+		{"a network denied of all", []Rule{all, inside(none)}, GET{}, "10.9.9.9", false},
+	} {
 		assert.Equal(t, tt.want, newRights(tt.rules).allow(tt.get, netip.MustParseAddr(tt.from)), tt.name)
 	}
 }
@@ -646,14 +658,18 @@
 			return uint64(rapid.IntRange(0, 3).Draw(t, "first"))<<60 | uint64(rapid.IntRange(0, 3).Draw(t, "second"))<<56 |
 				uint64(rapid.IntRange(0, 2).Draw(t, "last"))
 		})
-		network := rapid.SampledFrom([]netip.Prefix{netip.MustParsePrefix("10.0.0.0/8"), netip.MustParsePrefix("10.1.0.0/16"),
-			netip.MustParsePrefix("fd00::/8")})
+		network := rapid.SampledFrom([]netip.Prefix{
+			netip.MustParsePrefix("10.0.0.0/8"), netip.MustParsePrefix("10.1.0.0/16"),
+			netip.MustParsePrefix("fd00::/8"),
+		})
 		rule := rapid.Custom(func(t *rapid.T) Rule {
-			return Rule{Deny: rapid.Bool().Draw(t, "deny"), Services: rapid.SliceOfN(rapid.IntRange(0, 2), 0, 2).Draw(t, "services"),
+			return Rule{
+				Deny: rapid.Bool().Draw(t, "deny"), Services: rapid.SliceOfN(rapid.IntRange(0, 2), 0, 2).Draw(t, "services"),
 				Groups: rapid.SliceOfN(rapid.IntRange(63, 65), 0, 2).Draw(t, "groups"), Networks: rapid.SliceOfN(network, 0, 2).Draw(t, "networks"),
 				Objects: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Prefix {
 					return Prefix{object.Draw(t, "bits"), 16}.cut(rapid.SampledFrom([]int{0, 1, 2, 15, 16}).Draw(t, "digits"))
-				}), 0, 3).Draw(t, "objects")}
+				}), 0, 3).Draw(t, "objects"),
+			}
 		})
 		rules := rapid.SliceOfN(rule, 0, 12).Draw(t, "rules")
 		g := GET{rapid.IntRange(0, 2).Draw(t, "service"), object.Draw(t, "object"), rapid.IntRange(63, 65).Draw(t, "group")}
--- a/core/cluster/channel/channels_test.go
+++ b/core/cluster/channel/channels_test.go
@@ -1,17 +1,15 @@
 package channel
 
 import (
+	"elderwall/core/cluster/replication"
+	"elderwall/internal/standin/need"
 	"errors"
 	"fmt"
 	"strings"
 	"testing"
 
-	"elderwall/core/cluster/replication"
-
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/standin/need"
 )
 
 func TestDeclarationsThatCannotBeKept(t *testing.T) {
@@ -57,7 +55,8 @@
 		noReuse bool
 		refused bool
 	}{
-		{"total, by a way in", Total, true, true}, {"total, of an older log", Total, false, false}, {"another order, by a way in", BySender, true, false}} {
+		{"total, by a way in", Total, true, true}, {"total, of an older log", Total, false, false}, {"another order, by a way in", BySender, true, false},
+	} {
 		t.Run(tt.name, func(t *testing.T) {
 			l := NewLedger()
 			declare := func(generation uint64, end bool) error {
--- a/core/cluster/channel/codec.go
+++ b/core/cluster/channel/codec.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"elderwall/core/cluster/replication"
 	"encoding/base64"
 	"encoding/binary"
 	"errors"
@@ -9,8 +10,6 @@
 	"maps"
 	"slices"
 
-	"elderwall/core/cluster/replication"
-
 	"github.com/cespare/xxhash/v2"
 )
 
--- a/core/cluster/channel/contract_test.go
+++ b/core/cluster/channel/contract_test.go
@@ -1,13 +1,12 @@
 package channel
 
 import (
+	"elderwall/internal/contract"
 	"encoding/binary"
 	"errors"
 	"fmt"
 	"math/rand/v2"
 	"testing"
-
-	"elderwall/internal/contract"
 )
 
 // The laws are orders over what may be written and over what may not, and rubbish is refused.
@@ -82,8 +81,10 @@
 	for _, note := range m.Take(p.w.clock(at), p.ids[at], 1000) {
 		switch {
 		case note.Word == Shown:
-			shown = append(shown, contract.Note{Key: note.Entry.Key, Writer: note.Entry.Writer, Number: note.Entry.Number, After: note.Entry.After,
-				Late: note.Late})
+			shown = append(shown, contract.Note{
+				Key: note.Entry.Key, Writer: note.Entry.Writer, Number: note.Entry.Number, After: note.Entry.After,
+				Late: note.Late,
+			})
 		case note.Word != Shown && note.Word != Turned:
 			told = true
 		}
--- a/core/cluster/channel/gone.go
+++ b/core/cluster/channel/gone.go
@@ -1,10 +1,9 @@
 package channel
 
 import (
+	"elderwall/core/cluster/replication"
 	"maps"
 	"slices"
-
-	"elderwall/core/cluster/replication"
 )
 
 // Forgotten takes in who was let go, as agreed: of all after what was asked for. It comes with the declarations, so that no reader is let in before it.
--- a/core/cluster/channel/joint_test.go
+++ b/core/cluster/channel/joint_test.go
@@ -2,12 +2,11 @@
 
 import (
 	"cmp"
+	"elderwall/core/cluster/replication"
 	"fmt"
 	"slices"
 	"testing"
 
-	"elderwall/core/cluster/replication"
-
 	"github.com/fxamacker/cbor/v2"
 	"github.com/stretchr/testify/require"
 )
@@ -132,8 +131,10 @@
 
 // The two machines together: replica carries, its order is law, its disk stays or is lost, and each order holds; what was let go is gone everywhere.
 func TestOverReplica(t *testing.T) {
-	for _, d := range []Declaration{declared(ByKey, false), declared(Causal, false), declared(Total, false), few(declared(BySender, false)), few(declared(Causal, false)),
-		fickle(few(declared(BySender, false))), ended(declared(ByKey, false))} {
+	for _, d := range []Declaration{
+		declared(ByKey, false), declared(Causal, false), declared(Total, false), few(declared(BySender, false)), few(declared(Causal, false)),
+		fickle(few(declared(BySender, false))), ended(declared(ByKey, false)),
+	} {
 		t.Run(fmt.Sprint(d.Order, " kept ", d.Entries), func(t *testing.T) {
 			t.Parallel()
 			shown := 0
--- a/core/cluster/channel/machine.go
+++ b/core/cluster/channel/machine.go
@@ -2,14 +2,13 @@
 
 import (
 	"cmp"
+	"elderwall/core/cluster/replication"
 	"errors"
 	"fmt"
 	"maps"
 	"math"
 	"math/rand/v2"
 	"slices"
-
-	"elderwall/core/cluster/replication"
 )
 
 // Errors of a write and of opening. None leaves anything behind.
@@ -196,8 +195,10 @@
 
 // New makes the machine of a dispatcher.
 func New(name string, seed uint64) *Machine {
-	return &Machine{name: name, rng: rand.New(rand.NewPCG(seed, 47)), channels: map[string]*channel{}, readers: map[uint64]*reader{}, next: 1,
-		waits: map[uint64]wait{}, trims: true, room: opensBurst}
+	return &Machine{
+		name: name, rng: rand.New(rand.NewPCG(seed, 47)), channels: map[string]*channel{}, readers: map[uint64]*reader{}, next: 1,
+		waits: map[uint64]wait{}, trims: true, room: opensBurst,
+	}
 }
 
 // Spoilt is how many records made no sense.
@@ -222,9 +223,11 @@
 func (m *Machine) channel(name string) *channel {
 	c := m.channels[name]
 	if c == nil && len(m.channels) < 2*MostChannels {
-		c = &channel{first: 1, vec: map[string]uint64{}, clock: map[string]uint64{}, base: map[string]uint64{}, floor: map[string]uint64{}, held: map[string]map[uint64]held{},
+		c = &channel{
+			first: 1, vec: map[string]uint64{}, clock: map[string]uint64{}, base: map[string]uint64{}, floor: map[string]uint64{}, held: map[string]map[uint64]held{},
 			newest: map[string]*Entry{}, taken: map[string]uint64{}, flight: map[string][]*flight{}, loose: map[string]float64{}, marks: map[string]bool{},
-			spread: map[uint64]bool{}, dead: map[string]uint64{}, gone: map[string]Gone{}, idle: map[string]float64{}}
+			spread: map[uint64]bool{}, dead: map[string]uint64{}, gone: map[string]Gone{}, idle: map[string]float64{},
+		}
 		m.channels[name] = c
 	}
 	return c
--- a/core/cluster/channel/world_test.go
+++ b/core/cluster/channel/world_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"cmp"
+	"elderwall/core/cluster/replication"
 	"fmt"
 	"maps"
 	"math"
@@ -12,8 +13,6 @@
 	"strconv"
 	"testing"
 
-	"elderwall/core/cluster/replication"
-
 	"github.com/stretchr/testify/require"
 )
 
@@ -682,11 +681,13 @@
 }
 
 func TestOrdersHold(t *testing.T) {
-	for _, d := range []Declaration{declared(Latest, true), declared(ByKey, false), declared(BySender, true), declared(BySender, false), declared(Causal, true),
+	for _, d := range []Declaration{
+		declared(Latest, true), declared(ByKey, false), declared(BySender, true), declared(BySender, false), declared(Causal, true),
 		declared(Causal, false), declared(Total, false), declared(Total, true),
 		hasty(BySender), hasty(Causal), few(declared(BySender, true)), few(declared(Causal, false)), few(declared(Total, false)), few(declared(Total, true)),
 		fickle(few(declared(BySender, false))), fickle(few(declared(ByKey, true))), ended(declared(ByKey, false)), ended(declared(Causal, false)), ended(declared(Total, false)),
-		ended(fickle(few(declared(BySender, false))))} {
+		ended(fickle(few(declared(BySender, false)))),
+	} {
 		t.Run(fmt.Sprint(d.Order, " told ", d.Told, " kept ", d.Entries, " wait ", d.Wait), func(t *testing.T) {
 			t.Parallel()
 			shown := 0
@@ -703,10 +704,12 @@
 }
 
 func TestFaultsAreFound(t *testing.T) {
-	for fault, d := range map[string]Declaration{"stale epoch": declared(Total, false), "shown before commit": declared(Total, false),
+	for fault, d := range map[string]Declaration{
+		"stale epoch": declared(Total, false), "shown before commit": declared(Total, false),
 		"token without epoch": declared(Total, false), "gap untold": hasty(Causal), "number forgotten": declared(Total, false), "after ignored": declared(Causal, false),
 		"always sure": declared(Causal, false), "name without a trace": fickle(few(declared(BySender, false))),
-		"the old comes back": ended(declared(BySender, false))} {
+		"the old comes back": ended(declared(BySender, false)),
+	} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(60) {
--- a/core/cluster/channel/writers.go
+++ b/core/cluster/channel/writers.go
@@ -1,11 +1,10 @@
 package channel
 
 import (
+	"elderwall/core/cluster/replication"
 	"fmt"
 	"maps"
 	"slices"
-
-	"elderwall/core/cluster/replication"
 )
 
 // highest is the highest number of a writer that is here or on its way here, with none missing.
--- a/core/cluster/lease/duties_test.go
+++ b/core/cluster/lease/duties_test.go
@@ -33,21 +33,47 @@
 		"nobody stands":           {nil, "", 0},
 		"the only one":            {[]Command{{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1}}, "a", 1},
 		"the first, who keeps it": {[]Command{{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1}, {Act: Stand, Duties: []string{"d0"}, Name: "b", Boot: 1, Priority: 9}}, "a", 1},
-		"by priority": {[]Command{{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1}, {Act: Stand, Duties: []string{"d0"}, Name: "b", Boot: 1},
-			{Act: Stand, Duties: []string{"d0"}, Name: "c", Boot: 1, Priority: 1}, {Act: GiveBack, Duty: "d0", Token: 1}}, "c", 2},
-		"by the zone wished for": {[]Command{{Act: Declare, Duty: "d0", Length: 3, Zone: "east"}, {Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1},
-			{Act: Stand, Duties: []string{"d0"}, Name: "b", Boot: 1, Zone: "west"}, {Act: Stand, Duties: []string{"d0"}, Name: "c", Boot: 1, Zone: "east"},
-			{Act: GiveBack, Duty: "d0", Token: 1}}, "c", 2},
-		"who is named": {[]Command{{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1}, {Act: Stand, Duties: []string{"d0"}, Name: "b", Boot: 1},
-			{Act: Stand, Duties: []string{"d0"}, Name: "c", Boot: 1, Priority: 1}, {Act: HandOver, Duty: "d0", Token: 1, Name: "b"}, {Act: GiveBack, Duty: "d0", Token: 1}}, "b", 2},
-		"another than who let it run out": {[]Command{{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1, Priority: 9}, {Act: Stand, Duties: []string{"d0"}, Name: "b", Boot: 1},
-			{Act: Expire, Duty: "d0", Token: 1}}, "b", 2},
+		"by priority": {[]Command{
+			{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1},
+			{Act: Stand, Duties: []string{"d0"}, Name: "b", Boot: 1},
+			{Act: Stand, Duties: []string{"d0"}, Name: "c", Boot: 1, Priority: 1},
+			{Act: GiveBack, Duty: "d0", Token: 1},
+		}, "c", 2},
+		"by the zone wished for": {[]Command{
+			{Act: Declare, Duty: "d0", Length: 3, Zone: "east"},
+			{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1},
+			{Act: Stand, Duties: []string{"d0"}, Name: "b", Boot: 1, Zone: "west"},
+			{Act: Stand, Duties: []string{"d0"}, Name: "c", Boot: 1, Zone: "east"},
+			{Act: GiveBack, Duty: "d0", Token: 1},
+		}, "c", 2},
+		"who is named": {[]Command{
+			{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1},
+			{Act: Stand, Duties: []string{"d0"}, Name: "b", Boot: 1},
+			{Act: Stand, Duties: []string{"d0"}, Name: "c", Boot: 1, Priority: 1},
+			{Act: HandOver, Duty: "d0", Token: 1, Name: "b"},
+			{Act: GiveBack, Duty: "d0", Token: 1},
+		}, "b", 2},
+		"another than who let it run out": {[]Command{
+			{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1, Priority: 9},
+			{Act: Stand, Duties: []string{"d0"}, Name: "b", Boot: 1},
+			{Act: Expire, Duty: "d0", Token: 1},
+		}, "b", 2},
 		"who let it run out, where there is no other": {[]Command{{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1}, {Act: Expire, Duty: "d0", Token: 1}}, "a", 2},
-		"no one by an old token": {[]Command{{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1}, {Act: GiveBack, Duty: "d0", Token: 1}, {Act: Stand, Duties: []string{"d0"}, Name: "b", Boot: 1},
-			{Act: Expire, Duty: "d0", Token: 1}, {Act: GiveBack, Duty: "d0", Token: 1}}, "b", 2},
-		"not one that is gone": {[]Command{{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1}, {Act: Stand, Duties: []string{"d0"}, Name: "b", Boot: 1},
-			{Act: Gone, Name: "b", Boot: 1}, {Act: GiveBack, Duty: "d0", Token: 1}}, "", 0},
-		"after a recovery, far above": {[]Command{{Act: Skip}, {Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1}}, "a", Jump + 1}} {
+		"no one by an old token": {[]Command{
+			{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1},
+			{Act: GiveBack, Duty: "d0", Token: 1},
+			{Act: Stand, Duties: []string{"d0"}, Name: "b", Boot: 1},
+			{Act: Expire, Duty: "d0", Token: 1},
+			{Act: GiveBack, Duty: "d0", Token: 1},
+		}, "b", 2},
+		"not one that is gone": {[]Command{
+			{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1},
+			{Act: Stand, Duties: []string{"d0"}, Name: "b", Boot: 1},
+			{Act: Gone, Name: "b", Boot: 1},
+			{Act: GiveBack, Duty: "d0", Token: 1},
+		}, "", 0},
+		"after a recovery, far above": {[]Command{{Act: Skip}, {Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1}}, "a", Jump + 1},
+	} {
 		t.Run(name, func(t *testing.T) {
 			s := with(1)
 			for _, c := range tt.commands {
@@ -104,9 +130,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s, seen, last := NewState(), map[uint64]string{}, uint64(0)
 		for range rapid.IntRange(1, 120).Draw(t, "commands") {
-			c := Command{Act: Act(rapid.IntRange(0, 12).Draw(t, "act")), Duty: rapid.SampledFrom([]string{"a", "b", "c", ""}).Draw(t, "duty"),
+			c := Command{
+				Act: Act(rapid.IntRange(0, 12).Draw(t, "act")), Duty: rapid.SampledFrom([]string{"a", "b", "c", ""}).Draw(t, "duty"),
 				Name: rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "name"), Boot: rapid.Uint64Range(1, 3).Draw(t, "boot"),
-				Length: rapid.SampledFrom([]float64{0, 1, 3}).Draw(t, "length"), Token: rapid.Uint64Range(0, last+1).Draw(t, "token")}
+				Length: rapid.SampledFrom([]float64{0, 1, 3}).Draw(t, "length"), Token: rapid.Uint64Range(0, last+1).Draw(t, "token"),
+			}
 			c.Duties = []string{c.Duty, "b"}
 			s.Apply(c)
 			if rapid.IntRange(0, 9).Draw(t, "restored") == 0 {
@@ -181,7 +209,8 @@
 		"one is away":                      {[]uint64{1, 2, 3}, nil, willing(1, 2), false, Change{}},
 		"one came with another disk":       {[]uint64{1, 2, 3, 4, 5}, nil, willing(1, 2, 3, 4, 15), false, Change{AddLearner, 15, "n5"}},
 		"and votes: the lost disk goes":    {[]uint64{1, 2, 3, 4, 5, 15}, nil, willing(1, 2, 3, 4, 15), false, Change{Remove, 5, "n5"}},
-		"a learner came with another disk": {[]uint64{1, 2}, []uint64{3}, willing(1, 2, 13), false, Change{Remove, 3, "n3"}}} {
+		"a learner came with another disk": {[]uint64{1, 2}, []uint64{3}, willing(1, 2, 13), false, Change{Remove, 3, "n3"}},
+	} {
 		t.Run(name, func(t *testing.T) {
 			s := NewState()
 			for id := range 6 {
--- a/core/cluster/lease/holder.go
+++ b/core/cluster/lease/holder.go
@@ -165,8 +165,10 @@
 	if len(h.asked) > mostAsked {
 		h.asked = h.asked[1:]
 	}
-	return Turn{ID: h.id, Name: h.name, Boot: h.boot, Zone: h.zone, Priority: h.priority, Stands: slices.Clone(h.wants), Lengths: slices.Clone(h.lengths),
-		Backs: slices.Clone(h.backs)}, true, fresh
+	return Turn{
+		ID: h.id, Name: h.name, Boot: h.boot, Zone: h.zone, Priority: h.priority, Stands: slices.Clone(h.wants), Lengths: slices.Clone(h.lengths),
+		Backs: slices.Clone(h.backs),
+	}, true, fresh
 }
 
 // Refused takes word that whoever was asked does not lead: the one that does is asked soon. Guards against leases lost as whoever stands asks
--- a/core/cluster/membership/gossip.go
+++ b/core/cluster/membership/gossip.go
@@ -285,8 +285,10 @@
 		r.Counted = p.counted
 		all = append(all, r)
 	}
-	m.put(Envelope{To: to, Stream: true, Message: Message{Kind: Table, Seq: seq, News: all, Wants: wants, Fleet: m.reference.fleet,
-		Reference: m.reference.generation, Of: uint32(m.view.Of)}})
+	m.put(Envelope{To: to, Stream: true, Message: Message{
+		Kind: Table, Seq: seq, News: all, Wants: wants, Fleet: m.reference.fleet,
+		Reference: m.reference.generation, Of: uint32(m.view.Of),
+	}})
 }
 
 // takeTable takes all that another knows.
--- a/core/cluster/membership/members.go
+++ b/core/cluster/membership/members.go
@@ -270,8 +270,10 @@
 // New makes a member that knows its settings alone.
 func New(s Settings, now float64) *Machine {
 	s.Interval = cmp.Or(s.Interval, DefaultInterval)
-	m := &Machine{s: s, now: now, ticked: now, heard: now, chance: rand.New(rand.NewPCG(s.Seed, s.Boot)), byName: map[string]*peer{},
-		ins: -1, counted: true, dirty: true, expired: now, reference: reference{fleet: s.Boot}}
+	m := &Machine{
+		s: s, now: now, ticked: now, heard: now, chance: rand.New(rand.NewPCG(s.Seed, s.Boot)), byName: map[string]*peer{},
+		ins: -1, counted: true, dirty: true, expired: now, reference: reference{fleet: s.Boot},
+	}
 	m.self = Member{Name: s.Name, Address: s.Address, Zone: s.Zone, Boot: s.Boot, Wire: s.Wire, Generation: s.Generation, Incarnation: epoch}
 	m.tables, m.acks = bucket{tablesAtOne, now}, bucket{acksAtOne, now}
 	m.due.probe, m.due.sync = now+m.jitter(1), now+m.jitter(syncEach)
--- a/core/cluster/membership/members_test.go
+++ b/core/cluster/membership/members_test.go
@@ -1,6 +1,8 @@
 package membership
 
 import (
+	"elderwall/internal/contract"
+	"elderwall/internal/standin/need"
 	"errors"
 	"fmt"
 	"math"
@@ -11,10 +13,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"elderwall/internal/contract"
 	"pgregory.net/rapid"
-
-	"elderwall/internal/standin/need"
 )
 
 const tickEach = 0.25 // intervals, which are seconds here
@@ -69,8 +68,10 @@
 		delete(w.last, o.name+" of "+other.name)
 	}
 	o.gone, o.left = false, false
-	o.Machine = New(Settings{Name: o.name, Address: o.address, Peers: []string{"127.0.0.1:0", "127.0.0.1:1"}, Interval: 1,
-		Boot: w.boots * 7919 % 1009, Seed: w.boots, Remembered: w.memory}, w.now)
+	o.Machine = New(Settings{
+		Name: o.name, Address: o.address, Peers: []string{"127.0.0.1:0", "127.0.0.1:1"}, Interval: 1,
+		Boot: w.boots * 7919 % 1009, Seed: w.boots, Remembered: w.memory,
+	}, w.now)
 }
 
 func (w *net) collect(i int) {
@@ -199,7 +200,8 @@
 				o.left = true
 			}
 		}},
-		{name: "2 leaves and is lost", stall: -1, loses: apart(2), begin: func(w *net) { w.all[2].Leave(w.now); w.all[2].left = true }}}
+		{name: "2 leaves and is lost", stall: -1, loses: apart(2), begin: func(w *net) { w.all[2].Leave(w.now); w.all[2].left = true }},
+	}
 }
 
 // Three members, every order of three troubles (ELDERWALL_DEPTH for more): once the network is whole no live member stays
@@ -311,7 +313,8 @@
 			for i := range m.News {
 				m.News[i].Incarnation = min(m.News[i].Incarnation, epoch)
 			}
-		}} {
+		},
+	} {
 		t.Run(name, func(t *testing.T) {
 			found := 0
 			for _, p := range all {
@@ -336,7 +339,8 @@
 			return Member{Name: "a", Incarnation: c.Uint64N(3), Boot: c.Uint64N(3), State: State(c.IntN(int(Left) + 1))}
 		},
 		Same:    func(a, b Member) bool { return a == b },
-		Compare: func(a, b Member) int { return map[bool]int{true: 1}[a.beats(&b)] - map[bool]int{true: 1}[b.beats(&a)] }}.Hold(t)
+		Compare: func(a, b Member) int { return map[bool]int{true: 1}[a.beats(&b)] - map[bool]int{true: 1}[b.beats(&a)] },
+	}.Hold(t)
 }
 
 // docs/members.md has the table of what is done in each view; it says what the program does.
@@ -357,8 +361,10 @@
 	m := New(Settings{Name: "a", Address: "127.0.0.1:1", Boot: 1}, 0)
 	for i := range 3 * Most {
 		m.Step(Message{Kind: Ping, Seq: uint32(i), From: Member{Name: fmt.Sprint("n", i), Address: "127.0.0.1:2", Boot: uint64(i + 2), Incarnation: epoch}}, 0.001*float64(i))
-		m.Step(Message{Kind: PingFor, Seq: uint32(i), From: Member{Name: "n1", Address: "127.0.0.1:2", Boot: 3, Incarnation: epoch},
-			Target: Member{Name: "n2", Address: "127.0.0.1:3"}}, 0.001*float64(i))
+		m.Step(Message{
+			Kind: PingFor, Seq: uint32(i), From: Member{Name: "n1", Address: "127.0.0.1:2", Boot: 3, Incarnation: epoch},
+			Target: Member{Name: "n2", Address: "127.0.0.1:3"},
+		}, 0.001*float64(i))
 	}
 	assert.LessOrEqual(t, len(m.list), Most)
 	assert.LessOrEqual(t, len(m.news), mostNews)
--- a/core/cluster/membership/view.go
+++ b/core/cluster/membership/view.go
@@ -55,8 +55,10 @@
 )
 
 // Acts names them, as docs/members.md does.
-var Acts = [...]string{"GETs are answered by own knowledge", "peers' word narrows what is done", "peers' word widens a limit or makes a host usable",
-	"others are held to have failed", "newcomers count", "those long gone are let go of", "what needs a majority goes on"}
+var Acts = [...]string{
+	"GETs are answered by own knowledge", "peers' word narrows what is done", "peers' word widens a limit or makes a host usable",
+	"others are held to have failed", "newcomers count", "those long gone are let go of", "what needs a majority goes on",
+}
 
 // Allowed tells what may be done in a view; doubt is that the fault is likelier here.
 func Allowed(a Act, l Level, doubt bool) bool {
--- a/core/cluster/purgefloor/floors.go
+++ b/core/cluster/purgefloor/floors.go
@@ -7,12 +7,11 @@
 
 import (
 	"cmp"
+	"elderwall/core/cluster/replication"
 	"encoding/binary"
 	"errors"
 	"strconv"
 	"strings"
-
-	"elderwall/core/cluster/replication"
 )
 
 // Figures.
--- a/core/cluster/purgefloor/floors_test.go
+++ b/core/cluster/purgefloor/floors_test.go
@@ -1,14 +1,13 @@
 package purgefloor
 
 import (
+	"elderwall/internal/contract"
 	"math/rand/v2"
 	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/contract"
 )
 
 func TestFloors(t *testing.T) {
--- a/core/cluster/quota/budgets_test.go
+++ b/core/cluster/quota/budgets_test.go
@@ -49,7 +49,8 @@
 	"another":       func(w *world) { w.another(false) },
 	"another, late": func(w *world) { w.another(true) },
 	"restart 0":     func(w *world) { w.restart(0) },
-	"use":           func(w *world) { w.use() }}
+	"use":           func(w *world) { w.use() },
+}
 
 func newWorld(kind Kind, mutant string) *world {
 	w := &world{kind: kind, whole: 4, log: NewLedger(), mutant: mutant, clocks: []float64{1 + Drift*0.9, 1 - Drift*0.9}, boots: []uint64{0, 0}, holders: make([]*Holder, 2)}
@@ -328,7 +329,8 @@
 		{"ends at once", UnderWay, nil},
 		{"a new divider counts nothing anew", UnderWay, nil},
 		{"an amount outlasts its lease", Amount, append(slices.Repeat([]string{"a lease"}, 10),
-			slices.Repeat([]string{"ask 1", "hear", "step", "step", "answer", "use"}, 6)...)}} {
+			slices.Repeat([]string{"ask 1", "hear", "step", "step", "answer", "use"}, 6)...)},
+	} {
 		if tt.so != nil {
 			require.NoError(t, newWorld(tt.kind, "").play(tt.so))
 			assert.Error(t, newWorld(tt.kind, tt.mutant).play(tt.so), tt.mutant)
@@ -362,7 +364,8 @@
 		"forgotten":               {Command{Token: 6, Seq: 1, Forget: []uint32{1}}, true, 4},
 		"a smaller whole":         {Command{Token: 5, Seq: 3, Generation: 2, Declare: []Budget{{Name: "b", Kind: UnderWay, Whole: 3}}}, true, 10},
 		"an older generation":     {Command{Token: 5, Seq: 3, Generation: 1, Declare: []Budget{{Name: "b", Kind: UnderWay, Whole: 3}}}, true, 10},
-		"bad settings":            {Command{Token: 5, Seq: 3, Generation: 2, Declare: []Budget{{Name: "", Kind: UnderWay}}}, false, 10}} {
+		"bad settings":            {Command{Token: 5, Seq: 3, Generation: 2, Declare: []Budget{{Name: "", Kind: UnderWay}}}, false, 10},
+	} {
 		t.Run(name, func(t *testing.T) {
 			l := begin()
 			assert.Equal(t, tt.ok, l.Apply(&tt.c))
@@ -385,7 +388,8 @@
 		{10, []float64{20, 20}, []float64{3, 1}, []float64{7.5, 2.5}},
 		{10, []float64{1, 2}, nil, []float64{1, 2}},
 		{0, []float64{1, 2}, nil, []float64{0, 0}},
-		{10, nil, nil, []float64{}}} {
+		{10, nil, nil, []float64{}},
+	} {
 		assert.InDeltaSlice(t, tt.got, fill(tt.whole, tt.wants, tt.weights), 1e-9)
 	}
 }
--- a/core/cluster/quota/divider.go
+++ b/core/cluster/quota/divider.go
@@ -63,8 +63,10 @@
 // NewDivider goes by a ledger, which has to be as of after the token's grant, and counts all anew from now. The tail is how long
 // what is under way may take to end, in seconds.
 func NewDivider(l *Ledger, token uint64, now, tail float64, generation uint64, settings []Budget) *Divider {
-	d := &Divider{ledger: l, token: token, since: now, tail: min(tail, mostTail), seen: map[uint32]*seen{}, fresh: map[process]Question{},
-		waits: map[uint32]Question{}, turned: map[string]float64{}, dead: map[process]bool{}}
+	d := &Divider{
+		ledger: l, token: token, since: now, tail: min(tail, mostTail), seen: map[uint32]*seen{}, fresh: map[process]Question{},
+		waits: map[uint32]Question{}, turned: map[string]float64{}, dead: map[process]bool{},
+	}
 	d.Settings(generation, settings)
 	return d
 }
--- a/core/cluster/replication/cost_test.go
+++ b/core/cluster/replication/cost_test.go
@@ -1,6 +1,7 @@
 package replication
 
 import (
+	"elderwall/internal/standin/need"
 	"fmt"
 	"math/rand/v2"
 	"os"
@@ -8,8 +9,6 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/standin/need"
 )
 
 // With every member a writer, bytes a member and interval are flat in their number: with nothing written, and with the same writes of the fleet;
--- a/core/cluster/replication/fall_test.go
+++ b/core/cluster/replication/fall_test.go
@@ -1,13 +1,12 @@
 package replication
 
 import (
+	"elderwall/internal/standin/need"
 	"fmt"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/standin/need"
 )
 
 // What was deleted does not come back by a catch-up whose answer was under way while the deletion came: x holds a high tombstone that s has forgotten,
@@ -83,8 +82,10 @@
 			if walk { // a deletion by w is hidden under it
 				m.begin("s", false)
 				m.pull.asked = &Pull{Vector: true, Keys: []uint64{m.hashOf(kindText, "k")}}
-				require.NoError(t, m.Step("s", &Message{Give: &Give{ID: m.pull.id, Vector: Vector{{"w", 1, 1, false}, {"y", 1, 1, false}, {"z", 1, 1, false}},
-					Keys: m.pull.asked.Keys, Records: []Carried{high}}}, 1))
+				require.NoError(t, m.Step("s", &Message{Give: &Give{
+					ID: m.pull.id, Vector: Vector{{"w", 1, 1, false}, {"y", 1, 1, false}, {"z", 1, 1, false}},
+					Keys: m.pull.asked.Keys, Records: []Carried{high},
+				}}, 1))
 			} else {
 				by("w", high)
 			}
--- a/core/cluster/replication/machine.go
+++ b/core/cluster/replication/machine.go
@@ -180,9 +180,11 @@
 	if s.Name == "" || len(s.Name) > mostName {
 		return nil, fmt.Errorf("replica: a name of 1 to %d bytes is needed", mostName)
 	}
-	m := &Machine{s: s, now: now, ticked: now, heardAt: now, chance: rand.New(rand.NewPCG(s.Seed, 0x7265706c)), vec: newVector(),
+	m := &Machine{
+		s: s, now: now, ticked: now, heardAt: now, chance: rand.New(rand.NewPCG(s.Seed, 0x7265706c)), vec: newVector(),
 		names: map[string]string{}, byName: map[string]Member{}, aims: map[uint64]uint64{}, logs: map[trackKey]*track{},
-		acks: map[string]map[uint64]bool{}, stopped: map[trackKey]float64{}, told: map[string]told{}, fell: map[string][]Dot{}, era: 1, eraDirty: true, due: now, filled: now, walkAt: now - 1e9}
+		acks: map[string]map[uint64]bool{}, stopped: map[trackKey]float64{}, told: map[string]told{}, fell: map[string][]Dot{}, era: 1, eraDirty: true, due: now, filled: now, walkAt: now - 1e9,
+	}
 	m.bucket, m.serves, m.served, m.life = s.Rate, s.Rate, now, m.chance.Uint64()|1
 	for _, k := range s.Kinds {
 		if k.ID == 0 || m.kinds[k.ID] != nil || k.Records <= 0 || k.Bytes <= 0 || k.Longest <= 0 || k.Longest > MostLongest {
@@ -445,8 +447,10 @@
 
 // Status gives figures.
 func (m *Machine) Status() Status {
-	s := Status{CatchingUp: m.catching(), Writes: m.writes(), Era: m.era, Writers: len(m.vec.of), Behind: m.behind, Pending: len(m.pending), Log: len(m.fifo),
-		Pulled: m.stat.pulled, Pulls: m.stat.pulls, Wholes: m.stat.wholes, Walks: m.stat.walks, Bad: m.stat.bad}
+	s := Status{
+		CatchingUp: m.catching(), Writes: m.writes(), Era: m.era, Writers: len(m.vec.of), Behind: m.behind, Pending: len(m.pending), Log: len(m.fifo),
+		Pulled: m.stat.pulled, Pulls: m.stat.pulls, Wholes: m.stat.wholes, Walks: m.stat.walks, Bad: m.stat.bad,
+	}
 	for _, w := range m.vec.of {
 		s.Entries += len(w.marks)
 	}
--- a/core/cluster/replication/order_test.go
+++ b/core/cluster/replication/order_test.go
@@ -1,10 +1,9 @@
 package replication
 
 import (
+	"elderwall/internal/contract"
 	"math/rand/v2"
 	"testing"
-
-	"elderwall/internal/contract"
 )
 
 // Whatever a Law leaves open, of two records of a key one stands, the same everywhere.
@@ -15,8 +14,10 @@
 		contract.Kind[Record]{
 			Name: k.Name,
 			Draw: func(c *rand.Rand) Record {
-				return Record{Value: []byte([]string{"", "a", "b", "12345678", "12345678a"}[c.IntN(5)]), Dead: c.IntN(4) == 0,
-					Dot: Dot{[]string{"n0", "n1"}[c.IntN(2)], c.Uint64N(2), c.Uint64N(2)}}
+				return Record{
+					Value: []byte([]string{"", "a", "b", "12345678", "12345678a"}[c.IntN(5)]), Dead: c.IntN(4) == 0,
+					Dot: Dot{[]string{"n0", "n1"}[c.IntN(2)], c.Uint64N(2), c.Uint64N(2)},
+				}
 			},
 			Compare: func(a, b Record) int { return m.order(s, &a, &b) },
 			Same: func(a, b Record) bool {
--- a/core/cluster/replication/pull.go
+++ b/core/cluster/replication/pull.go
@@ -61,8 +61,10 @@
 	}
 	whole = whole || records == 0
 	m.away = false
-	p := &pull{id: m.chance.Uint64(), from: m.near(from, whole), whole: whole, lacks: map[uint8]bool{}, odd: map[Dot]Carried{},
-		mine: m.vec.clone(), beats: m.beats}
+	p := &pull{
+		id: m.chance.Uint64(), from: m.near(from, whole), whole: whole, lacks: map[uint8]bool{}, odd: map[Dot]Carried{},
+		mine: m.vec.clone(), beats: m.beats,
+	}
 	for _, id := range m.ids {
 		if !slices.Contains(m.told[p.from].strange, id) {
 			p.kinds = append(p.kinds, id)
--- a/core/cluster/replication/replica_test.go
+++ b/core/cluster/replication/replica_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"elderwall/internal/standin/need"
 	"fmt"
 	"os"
 	"slices"
@@ -12,8 +13,6 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/standin/need"
 )
 
 func schedules(least int) uint64 {
@@ -332,9 +331,17 @@
 	}
 	assert.Error(t, m.Step("stranger", &Message{}, 0))
 	entry := Vector{{Writer: "y", Era: 1, Number: 1}}
-	for _, msg := range []Message{{Ask: &Ask{Vector: Vector{{}}}}, {Ask: &Ask{Vector: entry, Shown: []byte{bucketOf("y") + 1}}}, {Ask: &Ask{Vector: entry}}, {Ask: &Ask{Shown: []byte{2, 2}}},
-		{Ask: &Ask{Digest: make([]byte, buckets-1)}}, {Ask: &Ask{Digest: make([]byte, buckets), Shown: []byte{1}}},
-		{Pull: &Pull{Sums: []Range{{200, 1}}}}, {Give: &Give{Lists: []List{{Keys: []uint64{1}}}}}, {Give: &Give{Sums: []Sums{{}}}}} {
+	for _, msg := range []Message{
+		{Ask: &Ask{Vector: Vector{{}}}},
+		{Ask: &Ask{Vector: entry, Shown: []byte{bucketOf("y") + 1}}},
+		{Ask: &Ask{Vector: entry}},
+		{Ask: &Ask{Shown: []byte{2, 2}}},
+		{Ask: &Ask{Digest: make([]byte, buckets-1)}},
+		{Ask: &Ask{Digest: make([]byte, buckets), Shown: []byte{1}}},
+		{Pull: &Pull{Sums: []Range{{200, 1}}}},
+		{Give: &Give{Lists: []List{{Keys: []uint64{1}}}}},
+		{Give: &Give{Sums: []Sums{{}}}},
+	} {
 		assert.Error(t, m.Step("y", &msg, 0))
 	}
 	require.NoError(t, m.Step("y", &Message{Deltas: []Delta{*good()}}, 0))
--- a/core/cluster/replication/world_test.go
+++ b/core/cluster/replication/world_test.go
@@ -22,8 +22,10 @@
 
 func kinds() []Kind {
 	law := func(a, b []byte) int { return strings.Compare(string(a[:min(8, len(a))]), string(b[:min(8, len(b))])) }
-	return []Kind{{ID: kindMax, Name: "max", Records: 200_000, Bytes: 1 << 26, Longest: 1000, Sync: true, Law: law},
-		{ID: kindText, Name: "text", Records: 200_000, Bytes: 1 << 26, Longest: 1000}}
+	return []Kind{
+		{ID: kindMax, Name: "max", Records: 200_000, Bytes: 1 << 26, Longest: 1000, Sync: true, Law: law},
+		{ID: kindText, Name: "text", Records: 200_000, Bytes: 1 << 26, Longest: 1000},
+	}
 }
 
 type disk struct {
@@ -127,8 +129,10 @@
 }
 
 func newWorld(t require.TestingT, n int, seed uint64) *world {
-	w := &world{t: t, chance: rand.New(rand.NewPCG(seed, 7)), by: map[string]*node{}, bytes: map[string]int{}, cutOff: map[string]int{},
-		writes: map[Dot]*written{}, of: map[Name][]*written{}, delay: 0.05, horizon: 1000}
+	w := &world{
+		t: t, chance: rand.New(rand.NewPCG(seed, 7)), by: map[string]*node{}, bytes: map[string]int{}, cutOff: map[string]int{},
+		writes: map[Dot]*written{}, of: map[Name][]*written{}, delay: 0.05, horizon: 1000,
+	}
 	for i := range n {
 		x := &node{name: fmt.Sprintf("n%03d", i), zone: string(rune('a' + i%3)), disk: newDisk()}
 		w.nodes = append(w.nodes, x)
--- a/core/cluster/variant/checker_test.go
+++ b/core/cluster/variant/checker_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"container/heap"
+	"elderwall/core/cluster/variant"
 	"fmt"
 	"math"
 	"math/rand/v2"
@@ -15,8 +16,6 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/core/cluster/variant"
 )
 
 // A stand-in origin that knows what each class of each object was, ever; hosts that keep copies by key and drop them some time after a purge;
@@ -72,7 +71,7 @@
 	known   [dispatchers][objects]uint64         // newest purge that a dispatcher knows
 	heard   [dispatchers][shards][objects]uint64 // that a shard knows: no older copy will do for it
 	order   [dispatchers]uint64                  // of events
-	givers  [2]*variant.Giver                   // of beats: dispatchers may hold different ones for it, and each may end and come anew
+	givers  [2]*variant.Giver                    // of beats: dispatchers may hold different ones for it, and each may end and come anew
 	lives   uint64
 	newest  [dispatchers][shards]uint64
 	line    [dispatchers][shards][]uint64
@@ -391,13 +390,17 @@
 	{"what is asked by its own class alone is looked at", "module.go", " && m.sure(v, by, t) && by.proof == a.Proof", " && by != nil"},
 	{"a contrary answer is passed over", "evidence.go", "if d.n > 0 && d.proof != a.Proof {", "if false {"},
 	{"a late answer counts for the new generation", "evidence.go", "if !m.heard(&a, i) {", "if a.Generation.Purge = m.Told(a.Object); false {"},
-	{"facts of before a purge count", "evidence.go", "!exact || f.Generation.Purge < of.purge {\n\t\t\tcontinue\n\t\t}\n\t\ti := m.place(m",
-		"!exact || of.order == math.MaxUint64 {\n\t\t\tcontinue\n\t\t}\n\t\tf.Generation.Purge = max(f.Generation.Purge, m.Told(f.Object))\n\t\ti := m.place(m"},
+	{
+		"facts of before a purge count", "evidence.go", "!exact || f.Generation.Purge < of.purge {\n\t\t\tcontinue\n\t\t}\n\t\ti := m.place(m",
+		"!exact || of.order == math.MaxUint64 {\n\t\t\tcontinue\n\t\t}\n\t\tf.Generation.Purge = max(f.Generation.Purge, m.Told(f.Object))\n\t\ti := m.place(m",
+	},
 	{"a witness counts twice", "evidence.go", "if by.host == host {", "if false {"},
 	{"what took a forgotten object's place has its evidence", "evidence.go", "m.of(i)[j] = class{stands: -1, last: -1, from: -1}", "_ = j"},
 	{"a forgotten object's purges are forgotten", "module.go", "		f, of = m.slot(owner), nil\n", "		if m.find(Object{Service: service, Object: object}) < 0 {\n\t\t\treturn\n\t\t}\n\t\tf, of = m.slot(owner), nil\n"},
-	{"answers are labelled by what facts told", "evidence.go", "i = m.place(i, a.Object,",
-		"if j := m.find(a.Object); j >= 0 {\n\t\ta.Generation.Purge = max(a.Generation.Purge, m.entries[j].generation.Purge)\n\t}\n\ti = m.place(i, a.Object,"},
+	{
+		"answers are labelled by what facts told", "evidence.go", "i = m.place(i, a.Object,",
+		"if j := m.find(a.Object); j >= 0 {\n\t\ta.Generation.Purge = max(a.Generation.Purge, m.entries[j].generation.Purge)\n\t}\n\ti = m.place(i, a.Object,",
+	},
 	{"what a shard had not heard of counts", "module.go", "return f.order <= a.Known && f.purge", "return f.purge"},
 	{"who shares a floor tells facts", "module.go", "(x.purge < f.purge || f.purge == 0 || x.owner == own || x.owner == g) && (y.purge < f.purge || f.purge == 0 || y.owner == g || y.owner == own)", "own != 1 || g != 1"},
 	{"evidence never lapses", "evidence.go", "if timed(v, e.generation) {\n\t\t\tfor w", "if false {\n\t\t\tfor w"},
@@ -461,7 +464,8 @@
 			var m [2]*variant.Module
 			for d := range m {
 				m[d], _ = variant.New(variant.Settings{Objects: 4, Self: strconv.Itoa(d), Services: []variant.Service{{
-					Classes: []string{"a", "b"}, Proof: variant.ByTag, Witnesses: 1, Repeats: true, Fresh: math.Inf(1)}}})
+					Classes: []string{"a", "b"}, Proof: variant.ByTag, Witnesses: 1, Repeats: true, Fresh: math.Inf(1),
+				}}})
 			}
 			o := variant.Object{Object: 5}
 			content, version, purge := [2]uint64{1, 1}, uint64(1), uint64(0)
@@ -523,7 +527,8 @@
 		rng := rand.New(rand.NewPCG(seed, 2))
 		contrary := rng.Float64() // uniform: what the rule of succession supposes
 		m, err := variant.New(variant.Settings{Objects: 1 << 12, Seed: seed, Self: "x", Services: []variant.Service{{
-			Classes: []string{"a", "b"}, Proof: variant.ByTag, Witnesses: 1, Repeats: true, Presume: &variant.Presumed{Objects: 5, Checks: 0.05}}}})
+			Classes: []string{"a", "b"}, Proof: variant.ByTag, Witnesses: 1, Repeats: true, Presume: &variant.Presumed{Objects: 5, Checks: 0.05},
+		}}})
 		require.NoError(t, err)
 		for n := range uint64(400) {
 			o := variant.Object{Object: n + 1}
--- a/core/cluster/variant/facts.go
+++ b/core/cluster/variant/facts.go
@@ -3,14 +3,13 @@
 import (
 	"bytes"
 	"cmp"
+	"elderwall/core/cluster/replication"
 	"encoding/binary"
 	"errors"
 	"fmt"
 	"math"
 	"strconv"
 	"strings"
-
-	"elderwall/core/cluster/replication"
 )
 
 var errFact = errors.New("not a fact: spoilt, or of another version")
--- a/core/cluster/variant/module_test.go
+++ b/core/cluster/variant/module_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"elderwall/internal/contract"
 	"fmt"
 	"math"
 	"math/rand/v2"
@@ -10,13 +11,13 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/contract"
 )
 
 func settings(witnesses int, fresh float64, p *Presumed) Settings {
-	return Settings{Services: []Service{{Classes: []string{"tv", "phone", "car"}, Proof: ByTag, Witnesses: witnesses, Repeats: true, Presume: p, Fresh: fresh},
-		{}}, Objects: 64, Seed: 1, Self: "one"}
+	return Settings{Services: []Service{
+		{Classes: []string{"tv", "phone", "car"}, Proof: ByTag, Witnesses: witnesses, Repeats: true, Presume: p, Fresh: fresh},
+		{},
+	}, Objects: 64, Seed: 1, Self: "one"}
 }
 
 func module(t testing.TB, s Settings) *Module {
@@ -277,8 +278,10 @@
 			if rng.IntN(16) == 0 {
 				return [][]byte{nil, {1}, []byte("spoilt")}[rng.IntN(3)]
 			}
-			f := Fact{Object: Object{Object: 7, Part: 2, Group: 3}, Class: rng.IntN(2), Witness: fmt.Sprintf("d/%x", rng.IntN(2)), Proof: 1 + rng.Uint64N(2),
-				Generation: Generation{rng.Uint64N(2), rng.Uint64N(2)}, Split: rng.IntN(2) == 0, Splits: rng.Uint32N(2), Stands: uint8(rng.IntN(3))}
+			f := Fact{
+				Object: Object{Object: 7, Part: 2, Group: 3}, Class: rng.IntN(2), Witness: fmt.Sprintf("d/%x", rng.IntN(2)), Proof: 1 + rng.Uint64N(2),
+				Generation: Generation{rng.Uint64N(2), rng.Uint64N(2)}, Split: rng.IntN(2) == 0, Splits: rng.Uint32N(2), Stands: uint8(rng.IntN(3)),
+			}
 			g, err := DecodeFact(EncodeFact(&f))
 			require.NoError(t, err)
 			require.Equal(t, f, g)
@@ -290,8 +293,11 @@
 	rank := func(g Generation, split bool, splits uint32, stands uint8) []byte {
 		return EncodeFact(&Fact{Witness: "d/1", Proof: 1, Generation: g, Split: split, Splits: splits, Stands: stands})
 	}
-	order := [][]byte{{9}, rank(Generation{1, 1}, true, 9, 1), rank(Generation{2, 1}, false, 9, 0), rank(Generation{2, 1}, false, 9, 2), rank(Generation{2, 1}, false, 9, 1),
-		rank(Generation{2, 1}, true, 1, 0), rank(Generation{2, 1}, true, 2, 0)}
+	order := [][]byte{
+		{9},
+		rank(Generation{1, 1}, true, 9, 1), rank(Generation{2, 1}, false, 9, 0), rank(Generation{2, 1}, false, 9, 2), rank(Generation{2, 1}, false, 9, 1),
+		rank(Generation{2, 1}, true, 1, 0), rank(Generation{2, 1}, true, 2, 0),
+	}
 	for n := range len(order) - 1 {
 		assert.Negative(t, FactLaw(order[n], order[n+1]), n)
 	}
--- a/core/coalescing/joint.go
+++ b/core/coalescing/joint.go
@@ -8,9 +8,8 @@
 package coalescing
 
 import (
-	"math"
-
 	"elderwall/core/timerwheel"
+	"math"
 )
 
 const (
--- a/core/endpoints/dials.go
+++ b/core/endpoints/dials.go
@@ -3,9 +3,8 @@
 package endpoints
 
 import (
-	"math"
-
 	"elderwall/core/routing/rendezvous"
+	"math"
 )
 
 const (
--- a/core/proxycall/calls.go
+++ b/core/proxycall/calls.go
@@ -10,10 +10,9 @@
 package proxycall
 
 import (
+	"elderwall/core/timerwheel"
 	"math"
 	"math/rand/v2"
-
-	"elderwall/core/timerwheel"
 )
 
 // ID is what a proxy is given for a GET, and brings for a further forward of it.
--- a/core/proxycall/calls_test.go
+++ b/core/proxycall/calls_test.go
@@ -28,7 +28,8 @@
 		"a copy from before a purge":      {Reply{Status: 200, Age: 5}, 2, false, TooOld, Held},
 		"a copy from after a purge":       {Reply{Status: 200, Age: 1}, 2, false, Returned, Over},
 		"a copy that may be from before":  {Reply{Status: 200, Age: -1}, 2, false, TooOld, Held},
-		"an error of whatever age it was": {Reply{Status: 500, Age: 9}, 2, false, HostError, Held}} {
+		"an error of whatever age it was": {Reply{Status: 500, Age: 9}, 2, false, HostError, Held},
+	} {
 		table := New(Settings{}, [32]byte{7})
 		c := named(table)
 		assert.Equal(t, tt.want, table.Replied(1.1, c, tt.reply, tt.oldest, tt.heldOnly), name)
--- a/core/routing/cold_test.go
+++ b/core/routing/cold_test.go
@@ -103,9 +103,11 @@
 }
 
 func playCold(day coldDay, seed uint64) *coldRun {
-	c := &coldRun{coldDay: day, random: rand.New(rand.NewPCG(seed, 1)), seed: seed, due: map[int][]coldEvent{}, sends: map[uint32][]float64{},
+	c := &coldRun{
+		coldDay: day, random: rand.New(rand.NewPCG(seed, 1)), seed: seed, due: map[int][]coldEvent{}, sends: map[uint32][]float64{},
 		processes: make([]*Dispatcher, day.processes), wires: make([]*recorder, day.processes), lives: make([]int, day.processes),
-		numbers: make([]map[uint32]int, day.processes), since: make([]map[uint32]float64, day.processes)}
+		numbers: make([]map[uint32]int, day.processes), since: make([]map[uint32]float64, day.processes),
+	}
 	for i := range coldHosts {
 		c.hosts = append(c.hosts, entry(uint32(100+i), 0, Ready))
 	}
@@ -311,7 +313,8 @@
 		{name: "parents", parents: 2, told: true, load: burst},
 		{name: "parents, weights not told", parents: 2, load: burst},
 		{name: "nothing heard before", cold: coldHosts, unheard: true},
-		{name: "a quiet stretch, then all others drain under a burst", cold: 1, told: true, load: burstTwice, leaves: 6}} {
+		{name: "a quiet stretch, then all others drain under a burst", cold: 1, told: true, load: burstTwice, leaves: 6},
+	} {
 		for _, day.processes = range []int{3, 30, 300} {
 			t.Run(fmt.Sprint(day.name, ", ", day.processes), func(t *testing.T) {
 				day.atFirst = 30
@@ -332,7 +335,8 @@
 		{name: "restarts", cold: 1, told: true, load: burst, restarts: true},
 		{name: "told of twice as many", cold: 1, told: true, load: burst, misled: 2},
 		{name: "told of half as many, weights not told", cold: 1, load: burst, misled: 0.5},
-		{name: "a quiet stretch, and all others drain", cold: 1, told: true, load: burstTwice, leaves: 6}}
+		{name: "a quiet stretch, and all others drain", cold: 1, told: true, load: burstTwice, leaves: 6},
+	}
 	for _, day := range days {
 		for _, day.processes = range []int{1, 2, 3, 30, 300, 900} {
 			for _, day.atFirst = range []float64{1, 5, 30, 200, 1000} {
--- a/core/routing/congestion/paces_test.go
+++ b/core/routing/congestion/paces_test.go
@@ -1,13 +1,12 @@
 package congestion_test
 
 import (
+	"elderwall/core/routing/congestion"
 	"math"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"pgregory.net/rapid"
-
-	"elderwall/core/routing/congestion"
 )
 
 // used is what a dispatcher knows after hits of many sizes at the usual pace of 0.2 s a KB.
@@ -91,7 +90,8 @@
 			host, source := &hosts[rapid.IntRange(0, 2).Draw(t, "host")], &hosts[rapid.IntRange(0, 2).Draw(t, "source")]
 			[]func(){
 				func() { p.Hit(now, host, kb, took) }, func() { p.Fill(now, host, source, kb, took) },
-				func() { p.Unfinished(now, host, source, kb, took) }, func() { p.Refused(now, source) }}[rapid.IntRange(0, 3).Draw(t, "kind")]()
+				func() { p.Unfinished(now, host, source, kb, took) }, func() { p.Refused(now, source) },
+			}[rapid.IntRange(0, 3).Draw(t, "kind")]()
 			slow, in, share, excess := p.Slow(now, host), p.In(now), p.Share(now), p.Excess(now)
 			if !(slow >= 1 && slow <= 33 && in >= 1 && in <= 33 && share > 0 && share <= 1 && excess >= 0 && excess < 1) ||
 				math.IsInf(p.Expected(kb), 0) {
--- a/core/routing/control.go
+++ b/core/routing/control.go
@@ -83,8 +83,10 @@
 func (d *Dispatcher) list(e HostEntry) {
 	h := d.hosts[e.ID]
 	if h == nil {
-		h = &host{HostEntry: HostEntry{ID: e.ID, OnlineSince: math.Inf(-1)}, heard: d.now,
-			under: allowance{name: HostLimit, host: e.ID, most: math.Inf(1)}}
+		h = &host{
+			HostEntry: HostEntry{ID: e.ID, OnlineSince: math.Inf(-1)}, heard: d.now,
+			under: allowance{name: HostLimit, host: e.ID, most: math.Inf(1)},
+		}
 		d.hosts[e.ID], d.fresh = h, append(d.fresh, h)
 	}
 	if h.Phase = e.Phase; e.Phase == Gone {
@@ -239,9 +241,11 @@
 	h.out++
 	h.credit -= f.work
 	d.due.Put(&f.limit, d.now+d.overdue(g), event{(*Dispatcher).late, g, f})
-	d.wire.Forward(Forward{GET: g.ID, Host: h.ID, Source: s.ID, MaxAge: d.maxAge(g), Join: d.Joins,
+	d.wire.Forward(Forward{
+		GET: g.ID, Host: h.ID, Source: s.ID, MaxAge: d.maxAge(g), Join: d.Joins,
 		Rank: map[bool]int{false: 1, true: 2}[g.item.again], Renew: g.ds.FreshFor > 0, HeldOnly: f.heldOnly,
-		Before: before})
+		Before: before,
+	})
 	return kept
 }
 
--- a/core/routing/control_test.go
+++ b/core/routing/control_test.go
@@ -25,6 +25,7 @@
 func (r *recorder) Cancel(get uint32, forward int) {
 	r.cancelled = append(r.cancelled, fmt.Sprint(get, "/", forward))
 }
+
 func (r *recorder) Shed(get uint32, comeBack float64) {
 	r.shed, r.comeBack = append(r.shed, get), comeBack
 }
@@ -35,10 +36,14 @@
 func (r *recorder) last() Forward            { return r.forwards[len(r.forwards)-1] }
 
 func settings() Settings {
-	return Settings{Dispatchers: 2, Seats: []int{1}, ParentKind: 1, OriginKind: 2, Detail: Full,
-		Services: []DeliveryService{{Objective: 0.5, Stretch: 1, ViewerTimeout: 5, Revenue: 1,
-			Effect: Idempotent, Scope: AllHosts, RepeatWindow: 2}}, MaxForwards: 6, MayCancel: true, SecondCopies: true, OldCopies: 6,
-		ColdFrom: 0.2, RampTime: 10, TipMultiple: 2, Fall: 1, ParentColdFrom: 0.1, ParentRamp: 20, ParentTip: 2}
+	return Settings{
+		Dispatchers: 2, Seats: []int{1}, ParentKind: 1, OriginKind: 2, Detail: Full,
+		Services: []DeliveryService{{
+			Objective: 0.5, Stretch: 1, ViewerTimeout: 5, Revenue: 1,
+			Effect: Idempotent, Scope: AllHosts, RepeatWindow: 2,
+		}}, MaxForwards: 6, MayCancel: true, SecondCopies: true, OldCopies: 6,
+		ColdFrom: 0.2, RampTime: 10, TipMultiple: 2, Fall: 1, ParentColdFrom: 0.1, ParentRamp: 20, ParentTip: 2,
+	}
 }
 
 func entry(id uint32, kind int, phase Phase) HostEntry {
@@ -53,8 +58,10 @@
 	}
 	r := &recorder{}
 	d := New(s, 0, r)
-	d.Hosts(0, Cached, []HostEntry{entry(cacheA, 0, Ready), entry(cacheB, 0, Ready), entry(cacheC, 0, Ready),
-		entry(parentA, 1, Ready), entry(parentB, 1, Ready), entry(origin, 2, Ready)})
+	d.Hosts(0, Cached, []HostEntry{
+		entry(cacheA, 0, Ready), entry(cacheB, 0, Ready), entry(cacheC, 0, Ready),
+		entry(parentA, 1, Ready), entry(parentB, 1, Ready), entry(origin, 2, Ready),
+	})
 	return d, r
 }
 
@@ -122,7 +129,8 @@
 		{"tokened past its window is errored in a zone", Tokened, SameZone, Dropped, 2.5, "error"},
 		{"tokened stays in its zone", Tokened, SameZone, Dropped, 0.1, "forward"},
 		{"tokened alone in its cell is errored", Tokened, SameCell, Dropped, 0.1, "error"},
-		{"tokened that was not taken is free of its cell", Tokened, SameCell, Unreached, 0.1, "forward"}} {
+		{"tokened that was not taken is free of its cell", Tokened, SameCell, Unreached, 0.1, "forward"},
+	} {
 		t.Run(tt.name, func(t *testing.T) {
 			d, r := fleet(func(s *Settings) { s.Services[0].Effect, s.Services[0].Scope = tt.effect, tt.scope })
 			ask(d, 1, 7, "a")
@@ -146,7 +154,8 @@
 		shed, errored int
 	}{
 		{"idempotent is shed at its viewer timeout", Idempotent, 1, 0},
-		{"non-idempotent still out is errored at it", NonIdempotent, 0, 1}} {
+		{"non-idempotent still out is errored at it", NonIdempotent, 0, 1},
+	} {
 		t.Run(tt.name, func(t *testing.T) {
 			d, r := fleet(func(s *Settings) { s.Services[0].Effect = tt.effect })
 			ask(d, 1, 7, "a")
@@ -198,11 +207,18 @@
 	}{
 		{"draining cache", Changes, []HostEntry{entry(cacheA, 0, Draining)}, []uint32{cacheA}},
 		{"parent that is gone", Changes, []HostEntry{entry(parentA, 1, Gone)}, []uint32{parentA}},
-		{"draining parents leave the origin", Changes, []HostEntry{entry(parentA, 1, Draining), entry(parentB, 1, Draining)},
-			[]uint32{parentA, parentB}},
-		{"absent from a complete list", Complete, []HostEntry{entry(cacheB, 0, Ready), entry(parentB, 1, Ready)},
-			[]uint32{cacheA, cacheC, parentA, origin}},
-		{"a failed call changes nothing", FailedCall, nil, nil}} {
+		{
+			"draining parents leave the origin", Changes,
+			[]HostEntry{entry(parentA, 1, Draining), entry(parentB, 1, Draining)},
+			[]uint32{parentA, parentB},
+		},
+		{
+			"absent from a complete list", Complete,
+			[]HostEntry{entry(cacheB, 0, Ready), entry(parentB, 1, Ready)},
+			[]uint32{cacheA, cacheC, parentA, origin},
+		},
+		{"a failed call changes nothing", FailedCall, nil, nil},
+	} {
 		t.Run(tt.name, func(t *testing.T) {
 			d, r := fleet(nil)
 			d.Hosts(1, tt.form, tt.entries)
@@ -240,7 +256,8 @@
 		{"cold cache of unknown weight, many dispatchers", 0, cacheA, false, 20, 40, 40, 140},
 		{"cold parent", 1, parentA, true, 20, 1, 5, 20},
 		{"cold parent, many dispatchers", 1, parentA, true, 20, 40, 5, 20},
-		{"cache that is warm by now", 0, cacheA, true, 5, 1, 30, 200}} {
+		{"cache that is warm by now", 0, cacheA, true, 5, 1, 30, 200},
+	} {
 		t.Run(tt.name, func(t *testing.T) {
 			sent := 0
 			for index := range tt.alike {
@@ -278,7 +295,8 @@
 		{"of its group", "", 4, 3, 1.5},
 		{"of another object", "b", 4, 3, 0},
 		{"of another group", "", 5, 3, 0},
-		{"long ago: no old copy is left", "a", 0, 9, 0}} {
+		{"long ago: no old copy is left", "a", 0, 9, 0},
+	} {
 		t.Run(tt.name, func(t *testing.T) {
 			d, r := fleet(nil)
 			d.Purged(2, tt.object, tt.group, 0.5)
@@ -316,7 +334,8 @@
 		{"a fifth of the bytes: one cache of three", 2, 0, 1},
 		{"half of them: two", 5, 0, 2},
 		{"nine tenths: three", 9, 0, 3},
-		{"and one again once the window has passed", 9, 12, 1}} {
+		{"and one again once the window has passed", 9, 12, 1},
+	} {
 		t.Run(tt.name, func(t *testing.T) {
 			d, _ := fleet(nil)
 			for i := range uint32(100) {
@@ -431,7 +450,8 @@
 		}, parentA},
 		{"a parent that answers nothing, while hits and the other's fills come back", func(i uint32, f Forward) (Outcome, Note) {
 			return map[bool]Outcome{true: noAnswer}[i%4 > 0 && f.Source == parentA], map[bool]Note{true: Hit, false: Filled}[i%4 == 0]
-		}, parentA}} {
+		}, parentA},
+	} {
 		t.Run(tt.name, func(t *testing.T) {
 			d, r := fleet(nil)
 			play(d, r, 1, 6, 0.05, 0, tt.fail)
@@ -468,7 +488,8 @@
 				assert.Equal(t, host, r.last().Host, "the GET goes there once more")
 			}
 			answer(d, now, id, len(d.gets[id].forwards)-1, Returned, Hit)
-		}}} {
+		}},
+	} {
 		t.Run(tt.name, func(t *testing.T) {
 			d, r := fleet(nil)
 			most := d.fills.most
@@ -546,7 +567,8 @@
 		{"fills in time keep their limit open", 0.1, Returned, Filled, false},
 		{"late fills close it", 2, Returned, Filled, true},
 		{"refused fills close it", 0.1, NotTaken, NoFillPlace, true},
-		{"late hits do not, but close that on all caches", 2, Returned, Hit, false}} {
+		{"late hits do not, but close that on all caches", 2, Returned, Hit, false},
+	} {
 		t.Run(tt.name, func(t *testing.T) {
 			d, r := fleet(nil)
 			for now := 0.0; now < 24; now += 3 {
@@ -586,7 +608,8 @@
 		{"own cache within the objective", true, 0.4, 0, false},
 		{"own cache over it, others hardly less", true, 2, 1.5, false},
 		{"own cache over it, others at a fraction", true, 2, 0.5, true},
-		{"own cache crowded by others alone", false, 3, 0.1, true}} {
+		{"own cache crowded by others alone", false, 3, 0.1, true},
+	} {
 		t.Run(tt.name, func(t *testing.T) {
 			d, r := fleet(func(s *Settings) { s.WeightsTold, s.FlowKB = tt.told, 100 })
 			ask(d, 1, 7, "a")
--- a/core/routing/fills.go
+++ b/core/routing/fills.go
@@ -2,9 +2,8 @@
 
 import (
 	"cmp"
-	"slices"
-
 	"elderwall/core/routing/congestion"
+	"slices"
 )
 
 // fill names the source of a miss: the object's parent, the next one, or the origin. While fills are at their
--- a/core/routing/fleet_test.go
+++ b/core/routing/fleet_test.go
@@ -1,13 +1,12 @@
 package routing
 
 import (
+	"elderwall/core/routing/grouphealth"
 	"fmt"
 	"slices"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
-
-	"elderwall/core/routing/grouphealth"
 )
 
 // end is how a forward ends at a moment.
--- a/core/routing/grouphealth/beliefs_test.go
+++ b/core/routing/grouphealth/beliefs_test.go
@@ -1,6 +1,7 @@
 package grouphealth
 
 import (
+	"elderwall/internal/standin/need"
 	"fmt"
 	"math"
 	"testing"
@@ -8,8 +9,6 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
-
-	"elderwall/internal/standin/need"
 )
 
 // racks is so many hosts in each of some racks.
--- a/core/routing/limits.go
+++ b/core/routing/limits.go
@@ -1,9 +1,8 @@
 package routing
 
 import (
-	"math"
-
 	"elderwall/core/routing/congestion"
+	"math"
 )
 
 // room tells whether more may go; where nothing is under way something always may, or nothing is learned.
--- a/core/routing/paces_test.go
+++ b/core/routing/paces_test.go
@@ -88,7 +88,8 @@
 		of   func(f Forward) uint32
 	}{
 		"a cache":  {true, func(f Forward) uint32 { return f.Host }},
-		"a parent": {false, func(f Forward) uint32 { return f.Source }}} {
+		"a parent": {false, func(f Forward) uint32 { return f.Source }},
+	} {
 		t.Run(name, func(t *testing.T) {
 			c := newCrowd()
 			busy := tt.of(c.get("object", tt.hits))
@@ -110,7 +111,8 @@
 func TestRefusalsAndErrorsTellOfNothingElse(t *testing.T) {
 	for name, end := range map[string]func(f Forward, a *Answer){
 		"refused": func(_ Forward, a *Answer) { a.Outcome, a.Note, a.SizeKB = NotTaken, SourceRefused, 0 },
-		"errors":  func(_ Forward, a *Answer) { a.Outcome, a.Note, a.SizeKB = HostError, Filled, 200 }} {
+		"errors":  func(_ Forward, a *Answer) { a.Outcome, a.Note, a.SizeKB = HostError, Filled, 200 },
+	} {
 		t.Run(name, func(t *testing.T) {
 			c := newCrowd()
 			most, kb := c.fills.most, c.services[0].kb.mean
@@ -153,7 +155,8 @@
 		"one source":        {func(f Forward) bool { return f.Source == parentA }, 10, true},
 		"whatever it is":    {func(f Forward) bool { return f.Source != f.Host }, math.MaxInt, false},
 		"one cache":         {func(f Forward) bool { return f.Host == cacheA }, math.MaxInt, false},
-		"now and then only": {func(f Forward) bool { return f.Source == parentA && f.GET%8 == 0 }, math.MaxInt, false}} {
+		"now and then only": {func(f Forward) bool { return f.Source == parentA && f.GET%8 == 0 }, math.MaxInt, false},
+	} {
 		d, r := fleet(func(s *Settings) { s.Detail = Silent })
 		n := 0
 		play(d, r, 1, 5, 0.02, 1, func(_ uint32, f Forward) (Outcome, Note) {
@@ -197,7 +200,8 @@
 			if f.Source != f.Host {
 				a.Elapsed *= 8
 			}
-		}}} {
+		}},
+	} {
 		t.Run(name, func(t *testing.T) {
 			d, r := fleet(func(s *Settings) { s.Detail, s.Services[0].Stretch = Silent, 2 })
 			c := &crowd{Dispatcher: d, r: r}
--- a/core/routing/rendezvous/order_test.go
+++ b/core/routing/rendezvous/order_test.go
@@ -1,6 +1,7 @@
 package rendezvous
 
 import (
+	"elderwall/internal/standin/need"
 	"fmt"
 	"math/rand/v2"
 	"slices"
@@ -10,8 +11,6 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
-
-	"elderwall/internal/standin/need"
 )
 
 // count is 0 to n-1.
@@ -179,7 +178,8 @@
 			"known":       func(i int) { walk(&x, hashOf(i&4095), &firsts[i&4095], 1) },
 			"new":         func(i int) { var f *First; walk(&x, hashOf(i), &f, 1) },
 			"100 of them": func(i int) { walk(&x, hashOf(i&31), &firsts[i&4095], 100) },
-			"sort":        func(i int) { plain(ids, hashOf(i)) }} {
+			"sort":        func(i int) { plain(ids, hashOf(i)) },
+		} {
 			need.Bench(b, fmt.Sprintf("%d/%s", n, name), do)
 		}
 	}
--- a/core/routing/size_test.go
+++ b/core/routing/size_test.go
@@ -40,8 +40,10 @@
 // playSizes gives the share of the GETs of each kind that is answered, under a load that is a multiple of what the hosts bear.
 func playSizes(processes int, load float64, note Note, hurry bool, seed uint64) (shares [3]float64, all float64) {
 	const hosts, places, from, to = 6, 4, 10, 40
-	c := &sizeRun{random: rand.New(rand.NewPCG(seed, 2)), first: math.MaxUint32, note: note, hurry: hurry, numbers: map[uint32]int{}, kind: map[uint32]int{}, free: map[uint32][]float64{},
-		out: map[string]bool{}, due: map[int][]Answer{}}
+	c := &sizeRun{
+		random: rand.New(rand.NewPCG(seed, 2)), first: math.MaxUint32, note: note, hurry: hurry, numbers: map[uint32]int{}, kind: map[uint32]int{}, free: map[uint32][]float64{},
+		out: map[string]bool{}, due: map[int][]Answer{},
+	}
 	var entries []HostEntry
 	for i := range hosts {
 		entries = append(entries, entry(uint32(100+i), 0, Ready))
--- a/core/routing/sketch/popular_test.go
+++ b/core/routing/sketch/popular_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"container/list"
+	"elderwall/core/routing/rendezvous"
+	"elderwall/internal/standin/need"
 	"fmt"
 	"math/rand/v2"
 	"slices"
@@ -10,9 +12,6 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
-
-	"elderwall/core/routing/rendezvous"
-	"elderwall/internal/standin/need"
 )
 
 const turns, span = 5, 2.0
--- a/core/routing/state.go
+++ b/core/routing/state.go
@@ -3,19 +3,18 @@
 import (
 	"cmp"
 	"container/list"
+	"elderwall/core/routing/congestion"
+	"elderwall/core/routing/grouphealth"
+	"elderwall/core/routing/rendezvous"
+	"elderwall/core/routing/retrybudget"
+	"elderwall/core/routing/sketch"
+	"elderwall/core/timerwheel"
 	"encoding/binary"
 	"fmt"
 	"hash/fnv"
 	"maps"
 	"math"
 	"slices"
-
-	"elderwall/core/routing/grouphealth"
-	"elderwall/core/routing/rendezvous"
-	"elderwall/core/routing/congestion"
-	"elderwall/core/routing/sketch"
-	"elderwall/core/routing/retrybudget"
-	"elderwall/core/timerwheel"
 )
 
 // sketchSize is the bytes of counts of objects that the table has let go: some 65,000 by turn, which a tenth of
@@ -65,7 +64,7 @@
 type table struct {
 	byName map[itemKey]*item
 	byUse  *list.List
-	rests  float64         // s; without a GET for so long an item rests
+	rests  float64        // s; without a GET for so long an item rests
 	rest   *sketch.Known  // the items that rest, with their sizes in KB
 	let    *sketch.Sketch // what it has let go; nil until it was full
 }
@@ -178,16 +177,16 @@
 	out, fills  int     // forwards out to it, and forwards out that name it as source
 	makespan    float64 // s; the design's estimate, as of updated
 	updated     float64
-	serving     learned         // s; what one GET adds to the makespan where no bandwidth is told
-	heard       float64         // when it last answered, or had nothing out
-	silent      int             // forwards found overdue since
-	fault       float64         // share of late outcomes that were faults
-	refuses     float64         // share of late fills from it that were turned away, where no note tells by whom
-	refusers    []*host         // some of those that did
-	refused     float64         // when the first of them did
-	gave        float64         // when a fill from it last came back
+	serving     learned             // s; what one GET adds to the makespan where no bandwidth is told
+	heard       float64             // when it last answered, or had nothing out
+	silent      int                 // forwards found overdue since
+	fault       float64             // share of late outcomes that were faults
+	refuses     float64             // share of late fills from it that were turned away, where no note tells by whom
+	refusers    []*host             // some of those that did
+	refused     float64             // when the first of them did
+	gave        float64             // when a fill from it last came back
 	belief      *grouphealth.Member // what its group tells of it; nil where hosts are few
-	left        bool            // left until a trial
+	left        bool                // left until a trial
 	leftAt      float64
 	listing     int // the last look over the list that had it as a cache
 	until, wait float64
@@ -282,12 +281,12 @@
 	host, source *host
 	at, work     float64
 	objective    float64
-	crowd        int              // forwards out at the host when this one went
+	crowd        int                     // forwards out at the host when this one went
 	limit        timerwheel.Timer[event] // when it is overdue
 	objectiveIn  timerwheel.Timer[event] // when it is late
-	judges       []*allowance     // that its lateness counts against
-	underOf      [5]*allowance    // the room of under
-	fillOf       [2]*allowance    // and of fill
+	judges       []*allowance            // that its lateness counts against
+	underOf      [5]*allowance           // the room of under
+	fillOf       [2]*allowance           // and of fill
 	answer       Answer
 	back         bool         // answered
 	moot         bool         // given up on
@@ -362,11 +361,13 @@
 
 // New makes a dispatcher that knows its settings alone.
 func New(s Settings, now float64, w Wire) *Dispatcher {
-	d := &Dispatcher{Settings: s, wire: w, now: now, gets: map[uint32]*get{}, hosts: map[uint32]*host{},
+	d := &Dispatcher{
+		Settings: s, wire: w, now: now, gets: map[uint32]*get{}, hosts: map[uint32]*host{},
 		items: newTable(s.Services), purges: map[string]float64{},
 		fills:   allowance{name: FillLimit, most: math.Inf(1)},
 		origins: allowance{name: OriginLimit, most: math.Inf(1)},
-		all:     allowance{name: AllLimit, most: math.Inf(1), bears: oneCrowded}}
+		all:     allowance{name: AllLimit, most: math.Inf(1), bears: oneCrowded},
+	}
 	d.retries = retrybudget.New(s.Retries, now)
 	for _, ds := range s.Services {
 		d.services = append(d.services, &service{DeliveryService: ds})
--- a/core/settings/settings.go
+++ b/core/settings/settings.go
@@ -3,10 +3,9 @@
 package settings
 
 import (
+	"elderwall/core/routing"
 	"encoding/json"
 	"fmt"
-
-	"elderwall/core/routing"
 )
 
 // Settings is what the object tells: what the module goes by, and what sockets need besides. Times are in seconds.
@@ -56,7 +55,8 @@
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	x := o.Extra
-	s := Settings{Zones: o.Zones, Kinds: o.MachineTypes,
+	s := Settings{
+		Zones: o.Zones, Kinds: o.MachineTypes,
 		ConnectTimeout: seconds(o.Limits.ConnectTimeout), IdleClose: seconds(o.Limits.IdleClose),
 		MaxStreams: o.Limits.MaxStreams, MostHeld: o.Limits.MostHeld,
 	}
--- a/core/sharding/shards.go
+++ b/core/sharding/shards.go
@@ -14,10 +14,9 @@
 
 import (
 	"cmp"
+	"elderwall/core/routing/rendezvous"
 	"math"
 	"slices"
-
-	"elderwall/core/routing/rendezvous"
 )
 
 const (
--- a/core/sharding/shards_test.go
+++ b/core/sharding/shards_test.go
@@ -1,6 +1,10 @@
 package sharding
 
 import (
+	"elderwall/core/routing"
+	"elderwall/core/routing/rendezvous"
+	"elderwall/core/timerwheel"
+	"elderwall/internal/standin/need"
 	"fmt"
 	"math"
 	"math/rand/v2"
@@ -10,11 +14,6 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
-
-	"elderwall/core/routing"
-	"elderwall/core/routing/rendezvous"
-	"elderwall/core/timerwheel"
-	"elderwall/internal/standin/need"
 )
 
 // traffic is GETs a second by key.
@@ -248,9 +247,11 @@
 	answerAhead = 0.05
 )
 
-var rules = routing.Settings{ParentKind: 1, OriginKind: 2, MayCancel: true, MaxForwards: 6, OldCopies: 3, WeightsTold: true, Joins: true,
+var rules = routing.Settings{
+	ParentKind: 1, OriginKind: 2, MayCancel: true, MaxForwards: 6, OldCopies: 3, WeightsTold: true, Joins: true,
 	ColdFrom: 0.2, RampTime: 9, TipMultiple: 2, Fall: 1, ParentColdFrom: 0.2, ParentRamp: 9, ParentTip: 2, Seats: []int{1}, Dispatchers: 1,
-	FlowKB: 100, Services: []routing.DeliveryService{{Objective: 0.5, ViewerTimeout: 1, Revenue: 1, Effect: routing.Idempotent}}}
+	FlowKB: 100, Services: []routing.DeliveryService{{Objective: 0.5, ViewerTimeout: 1, Revenue: 1, Effect: routing.Idempotent}},
+}
 
 // world is a process of shards on a clock of its own; whatever breaks a rule is a fault.
 type world struct {
--- a/core/timerwheel/due_test.go
+++ b/core/timerwheel/due_test.go
@@ -1,6 +1,7 @@
 package timerwheel
 
 import (
+	"elderwall/internal/standin/need"
 	"fmt"
 	"math"
 	"math/rand/v2"
@@ -10,8 +11,6 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
-
-	"elderwall/internal/standin/need"
 )
 
 func TestWheel(t *testing.T) {
@@ -25,7 +24,8 @@
 		{"in order of time", []float64{3, 1, 2}, nil, 5, []int{1, 2, 0}},
 		{"in order of adding at one time", []float64{1, 1, 1}, nil, 1, []int{0, 1, 2}},
 		{"only what is due", []float64{3, 1, 2}, nil, 2, []int{1, 2}},
-		{"without what was removed, also twice", []float64{3, 1, 2}, []int{1, 1}, 5, []int{2, 0}}} {
+		{"without what was removed, also twice", []float64{3, 1, 2}, []int{1, 1}, 5, []int{2, 0}},
+	} {
 		var q Wheel[int]
 		var entries []*Timer[int]
 		for i, at := range tt.at {
--- a/emulator/budgets.go
+++ b/emulator/budgets.go
@@ -2,13 +2,12 @@
 
 import (
 	"cmp"
+	"elderwall/core/cluster/quota"
+	"elderwall/core/timerwheel"
 	"fmt"
 	"math"
 	"math/rand/v2"
 	"slices"
-
-	"elderwall/core/cluster/quota"
-	"elderwall/core/timerwheel"
 )
 
 // Ways in which a whole may be divided, side by side.
@@ -68,8 +67,10 @@
 
 // BudgetDefault is a calm fleet.
 func BudgetDefault() BudgetScenario {
-	return BudgetScenario{Seed: 1, Way: Divided, Kind: quota.UnderWay, Dispatchers: 300, Zones: 3, Whole: 3000, Demand: 1.5, Skew: 1, Takes: 0.5, Delay: 0.01,
-		Span: 120, Warm: 30, Tail: 5}
+	return BudgetScenario{
+		Seed: 1, Way: Divided, Kind: quota.UnderWay, Dispatchers: 300, Zones: 3, Whole: 3000, Demand: 1.5, Skew: 1, Takes: 0.5, Delay: 0.01,
+		Span: 120, Warm: 30, Tail: 5,
+	}
 }
 
 // BudgetResult is what came of it. All of it is simulated.
@@ -147,8 +148,10 @@
 	if s.Dispatchers < 1 || s.Dispatchers > quota.MostHolders || s.Span <= 0 || s.Kind == quota.Amount {
 		return nil, fmt.Errorf("budgets: %d dispatchers over %g s of kind %d", s.Dispatchers, s.Span, s.Kind)
 	}
-	w := &budgetWorld{BudgetScenario: s, chance: rand.New(rand.NewPCG(s.Seed, 41)), ledger: quota.NewLedger(), result: &BudgetResult{Follow: -1}, whole: s.Whole,
-		before: s.Whole, generation: 1}
+	w := &budgetWorld{
+		BudgetScenario: s, chance: rand.New(rand.NewPCG(s.Seed, 41)), ledger: quota.NewLedger(), result: &BudgetResult{Follow: -1}, whole: s.Whole,
+		before: s.Whole, generation: 1,
+	}
 	sum := 0.0
 	for i := range s.Dispatchers {
 		d := &budgetDispatcher{part: math.Exp(s.Skew * w.chance.NormFloat64()), clock: 1 + quota.Drift*(2*w.chance.Float64()-1)*0.9}
--- a/emulator/channels.go
+++ b/emulator/channels.go
@@ -1,14 +1,13 @@
 package emulator
 
 import (
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/replication"
+	"elderwall/core/timerwheel"
 	"fmt"
 	"maps"
 	"math/rand/v2"
 	"slices"
-
-	"elderwall/core/cluster/channel"
-	"elderwall/core/cluster/replication"
-	"elderwall/core/timerwheel"
 )
 
 // ChannelsScenario is a fleet of channels' machines, each over a replica's, with writers and readers that come back. Times are in seconds.
@@ -38,8 +37,10 @@
 
 // ChannelsDefault is a calm fleet.
 func ChannelsDefault() ChannelsScenario {
-	return ChannelsScenario{Seed: 1, Order: channel.BySender, Members: 30, Zones: 3, Readers: 100, Writers: 10, Rate: 20, Delay: 0.002, Sync: 0.005, Knows: 5, Notice: 0.5,
-		Patience: 1, Lease: 3, Wait: 5, Warm: 5, Span: 30, Settle: 40}
+	return ChannelsScenario{
+		Seed: 1, Order: channel.BySender, Members: 30, Zones: 3, Readers: 100, Writers: 10, Rate: 20, Delay: 0.002, Sync: 0.005, Knows: 5, Notice: 0.5,
+		Patience: 1, Lease: 3, Wait: 5, Warm: 5, Span: 30, Settle: 40,
+	}
 }
 
 // ChannelsResult is what came of it. Times are in seconds, from when a writer had an entry to write until a reader was shown it.
@@ -130,17 +131,23 @@
 	if s.Members < 1 || s.Zones < 1 || s.Readers < 1 || s.Writers < 1 || s.Rate <= 0 || s.Span <= 0 {
 		return nil, fmt.Errorf("channels: %d members, %d readers, %d writers: out of range", s.Members, s.Readers, s.Writers)
 	}
-	w := &channelsWorld{ChannelsScenario: s, chance: rand.New(rand.NewPCG(s.Seed, 50)), byName: map[string]*channelMember{}, writers: map[string]*channelWriter{},
+	w := &channelsWorld{
+		ChannelsScenario: s, chance: rand.New(rand.NewPCG(s.Seed, 50)), byName: map[string]*channelMember{}, writers: map[string]*channelWriter{},
 		ledger: channel.NewLedger(), wrote: map[string]float64{}, after: map[string]map[string]uint64{}, acked: map[string]bool{}, places: map[[2]uint64]string{},
-		out: &ChannelsResult{Refusals: map[string]int{}, Course: make([][]float64, int(s.Warm+s.Span)+1)}}
-	d := channel.Declaration{Name: channelName, Generation: 1, Order: s.Order, Entries: 50_000, Bytes: 32 << 20, Seconds: 3600, Wait: s.Wait, Slow: true,
-		Told: s.Order == channel.Latest}
+		out: &ChannelsResult{Refusals: map[string]int{}, Course: make([][]float64, int(s.Warm+s.Span)+1)},
+	}
+	d := channel.Declaration{
+		Name: channelName, Generation: 1, Order: s.Order, Entries: 50_000, Bytes: 32 << 20, Seconds: 3600, Wait: s.Wait, Slow: true,
+		Told: s.Order == channel.Latest,
+	}
 	if err := w.ledger.Apply(&channel.Command{Declare: &d}); err != nil {
 		return nil, fmt.Errorf("channels: %w", err)
 	}
 	for i := range s.Members {
-		m := &channelMember{index: i, name: fmt.Sprintf("n%04d", i), zone: fmt.Sprint("z", i%s.Zones),
-			disk: &memoryDisk{vector: map[[2]any]replication.Entry{}, records: map[replication.Name]replication.Carried{}}}
+		m := &channelMember{
+			index: i, name: fmt.Sprintf("n%04d", i), zone: fmt.Sprint("z", i%s.Zones),
+			disk: &memoryDisk{vector: map[[2]any]replication.Entry{}, records: map[replication.Name]replication.Carried{}},
+		}
 		w.all, w.byName[m.name] = append(w.all, m), m
 	}
 	for _, m := range w.all {
--- a/emulator/channels_test.go
+++ b/emulator/channels_test.go
@@ -1,12 +1,11 @@
 package emulator
 
 import (
+	"elderwall/core/cluster/channel"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/core/cluster/channel"
 )
 
 // Readers that move through kills and cuts are shown what is declared, and all of it.
@@ -47,8 +46,10 @@
 		"two in one place":      {channel.Total, []channel.Entry{{Writer: "a", Number: 1, Place: 7}}},
 		"older one of the same": {channel.Latest, []channel.Entry{{Writer: "a", Number: 1, Key: "k", Clock: 5}, {Writer: "b", Number: 1, Key: "k", Clock: 4}}},
 	} {
-		w := &channelsWorld{ChannelsScenario: ChannelsScenario{Order: tt.order, Warm: 1}, out: &ChannelsResult{}, wrote: map[string]float64{"a/1": 0, "a/2": 0, "a/3": 0, "b/1": 0},
-			after: map[string]map[string]uint64{"b/1": {"a": 1}}, places: map[[2]uint64]string{{7}: "b/1"}}
+		w := &channelsWorld{
+			ChannelsScenario: ChannelsScenario{Order: tt.order, Warm: 1}, out: &ChannelsResult{}, wrote: map[string]float64{"a/1": 0, "a/2": 0, "a/3": 0, "b/1": 0},
+			after: map[string]map[string]uint64{"b/1": {"a": 1}}, places: map[[2]uint64]string{{7}: "b/1"},
+		}
 		r := &channelReader{}
 		r.anew()
 		for i := range tt.shown {
--- a/emulator/copies.go
+++ b/emulator/copies.go
@@ -1,11 +1,10 @@
 package emulator
 
 import (
+	"elderwall/core/routing/rendezvous"
 	"fmt"
 	"math/rand/v2"
 	"slices"
-
-	"elderwall/core/routing/rendezvous"
 )
 
 // CopiesScenario is the other way to keep a fleet's memory: each record at the first k dispatchers of its order, read by a question from
--- a/emulator/dispatcher.go
+++ b/emulator/dispatcher.go
@@ -1,11 +1,10 @@
 package emulator
 
 import (
-	"maps"
-	"slices"
-
 	"elderwall/core/routing"
 	"elderwall/core/timerwheel"
+	"maps"
+	"slices"
 )
 
 // dispatcher is one module, or one of several that a dispatcher has, with what an adapter keeps for it.
@@ -118,11 +117,13 @@
 	for i := range w.Dispatchers {
 		seats[w.zone(i*w.Shards)]++
 	}
-	d.module = routing.New(routing.Settings{Index: d.index, Dispatchers: w.Dispatchers, Seed: w.Seed, Zone: w.zone(d.index), Seats: seats,
+	d.module = routing.New(routing.Settings{
+		Index: d.index, Dispatchers: w.Dispatchers, Seed: w.Seed, Zone: w.zone(d.index), Seats: seats,
 		Services:   []routing.DeliveryService{{Objective: w.Objective, ViewerTimeout: w.ViewerTimeout, Revenue: 1, Effect: routing.Idempotent}},
 		ParentKind: 1, OriginKind: 2, Straight: true, Joins: true, Detail: routing.Full, MaxForwards: w.MaxForwards, MayCancel: true,
 		SecondCopies: true, MaxRetryAfter: 1, ColdFrom: coldFrom, RampTime: ramp, TipMultiple: tip, Fall: fall,
-		ParentColdFrom: coldFrom, ParentRamp: ramp, ParentTip: tip, OldCopies: oldCopies, Retries: w.Retries, Shards: w.Shards, Peers: common}, w.now, d)
+		ParentColdFrom: coldFrom, ParentRamp: ramp, ParentTip: tip, OldCopies: oldCopies, Retries: w.Retries, Shards: w.Shards, Peers: common,
+	}, w.now, d)
 	var entries []routing.HostEntry
 	for _, h := range w.hosts {
 		entries = append(entries, h.entry())
@@ -203,8 +204,10 @@
 	}
 	f.back = true
 	f.get.out--
-	a := routing.Answer{GET: f.get.id, Forward: f.number, Outcome: outcome, Note: note, Elapsed: d.now - f.at,
-		Last: f.get.answers > 0 || outcome == routing.Returned}
+	a := routing.Answer{
+		GET: f.get.id, Forward: f.number, Outcome: outcome, Note: note, Elapsed: d.now - f.at,
+		Last: f.get.answers > 0 || outcome == routing.Returned,
+	}
 	if outcome == routing.Returned && d.Tells {
 		a.SizeKB, a.Waited = f.get.object.kb, f.waited
 	}
--- a/emulator/emulate_test.go
+++ b/emulator/emulate_test.go
@@ -1,14 +1,13 @@
 package emulator
 
 import (
+	"elderwall/core/cluster/quota"
+	"elderwall/core/routing/retrybudget"
 	"math/rand/v2"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/core/routing/retrybudget"
-	"elderwall/core/cluster/quota"
 )
 
 func run(t *testing.T, change func(*Scenario)) *Result {
@@ -50,34 +49,51 @@
 		share  float64
 		seen   func(r *Result) bool
 	}{
-		{"silent for good", func(s *Scenario) { many(s); s.Troubles = []Trouble{{Kind: Vanish, At: 1, Cells: 3}} }, 0.96,
-			func(r *Result) bool { return r.Total.Lost > 50 && r.Total.Lost < 700 }},
+		{
+			"silent for good", func(s *Scenario) { many(s); s.Troubles = []Trouble{{Kind: Vanish, At: 1, Cells: 3}} }, 0.96,
+			func(r *Result) bool { return r.Total.Lost > 50 && r.Total.Lost < 700 },
+		},
 		{"silent, and back cold", func(s *Scenario) {
 			many(s)
 			s.Troubles = []Trouble{{Kind: Vanish, At: 1, For: 2, Cells: 3, Cold: true}}
 		}, 0.96, func(r *Result) bool { return r.ColdMost > 0 }},
-		{"a fifth by chance", func(s *Scenario) { many(s); s.Troubles = []Trouble{{Kind: Vanish, At: 1, Share: 0.2}} }, 0.94,
-			func(r *Result) bool { return r.Total.Lost > 30 }},
-		{"all but a few replaced", func(s *Scenario) { many(s); s.Troubles = []Trouble{{Kind: Replace, At: 0, For: 5, Share: 0.97}} }, 0.85,
-			func(r *Result) bool { return r.Total.Fills > 1000 }},
-		{"all at once cold", func(s *Scenario) { s.Troubles = []Trouble{{Kind: Restart, At: 1, Share: 1}} }, 0.5,
-			func(r *Result) bool { return r.ColdMost > 0.001 }},
-		{"slow ones", func(s *Scenario) { s.Troubles = []Trouble{{Kind: Slow, At: 1, For: 3, Share: 0.2, Factor: 20}} }, 0.8,
-			func(r *Result) bool { return r.Total.P99 > 100 }},
+		{
+			"a fifth by chance", func(s *Scenario) { many(s); s.Troubles = []Trouble{{Kind: Vanish, At: 1, Share: 0.2}} }, 0.94,
+			func(r *Result) bool { return r.Total.Lost > 30 },
+		},
+		{
+			"all but a few replaced", func(s *Scenario) { many(s); s.Troubles = []Trouble{{Kind: Replace, At: 0, For: 5, Share: 0.97}} }, 0.85,
+			func(r *Result) bool { return r.Total.Fills > 1000 },
+		},
+		{
+			"all at once cold", func(s *Scenario) { s.Troubles = []Trouble{{Kind: Restart, At: 1, Share: 1}} }, 0.5,
+			func(r *Result) bool { return r.ColdMost > 0.001 },
+		},
+		{
+			"slow ones", func(s *Scenario) { s.Troubles = []Trouble{{Kind: Slow, At: 1, For: 3, Share: 0.2, Factor: 20}} }, 0.8,
+			func(r *Result) bool { return r.Total.P99 > 100 },
+		},
 		{"an object that is cold, then most of all, then cold", func(s *Scenario) {
 			s.Rate, s.Troubles = 1000, []Trouble{{Kind: Hot, At: 1, For: 3, Share: 0.6}}
 		}, 0.98, func(r *Result) bool { return r.Total.Hits > 4000 }},
-		{"a scan", func(s *Scenario) { s.Troubles = []Trouble{{Kind: Scan, At: 0, Rate: 300}} }, 0.9,
-			func(r *Result) bool { return r.Total.Fills > 1500 && r.Copies[0].Mean >= 1 }},
-		{"a burst", func(s *Scenario) { s.Troubles = []Trouble{{Kind: Burst, At: 1, For: 3, Factor: 2}} }, 0.98,
-			func(r *Result) bool { return r.Total.GETs > 4000 }},
+		{
+			"a scan", func(s *Scenario) { s.Troubles = []Trouble{{Kind: Scan, At: 0, Rate: 300}} }, 0.9,
+			func(r *Result) bool { return r.Total.Fills > 1500 && r.Copies[0].Mean >= 1 },
+		},
+		{
+			"a burst", func(s *Scenario) { s.Troubles = []Trouble{{Kind: Burst, At: 1, For: 3, Factor: 2}} }, 0.98,
+			func(r *Result) bool { return r.Total.GETs > 4000 },
+		},
 		{"dispatchers killed", func(s *Scenario) {
 			s.Dispatchers, s.Troubles = 20, []Trouble{{Kind: Purge, At: 0, Rate: 20}, {Kind: Kill, At: 2, For: 1, Share: 0.7}}
 		}, 0.9, func(r *Result) bool {
 			return r.Total.Died > 3 && r.Total.Again >= r.Total.Died && r.Total.Connects > 300
 		}},
-		{"purges", func(s *Scenario) { s.Troubles = []Trouble{{Kind: Purge, At: 0, Rate: 20}} }, 0.97,
-			func(r *Result) bool { return r.Total.Fills > 100 }}}
+		{
+			"purges", func(s *Scenario) { s.Troubles = []Trouble{{Kind: Purge, At: 0, Rate: 20}} }, 0.97,
+			func(r *Result) bool { return r.Total.Fills > 100 },
+		},
+	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			r := run(t, tt.change)
@@ -111,8 +127,10 @@
 	}
 	d.returned(f, 0, 4.4)
 	d.expire(&get{d: d})
-	assert.Equal(t, map[string]int{"new work went to a draining host after the grace": 1, "a cold cache was pushed over": 2,
-		"an older copy was returned after the purge grace": 1, "a GET had no answer in time": 1}, w.out.Broken)
+	assert.Equal(t, map[string]int{
+		"new work went to a draining host after the grace": 1, "a cold cache was pushed over": 2,
+		"an older copy was returned after the purge grace": 1, "a GET had no answer in time": 1,
+	}, w.out.Broken)
 }
 
 func TestScenariosThatCannotBe(t *testing.T) {
@@ -124,7 +142,8 @@
 		"no exponent":         func(s *Scenario) { s.Zipf = 0.5 },
 		"a share above one":   func(s *Scenario) { s.Troubles = []Trouble{{Kind: Hot, Share: 2}} },
 		"slow by no factor":   func(s *Scenario) { s.Troubles = []Trouble{{Kind: Slow}} },
-		"a scan with no rate": func(s *Scenario) { s.Troubles = []Trouble{{Kind: Scan}} }} {
+		"a scan with no rate": func(s *Scenario) { s.Troubles = []Trouble{{Kind: Scan}} },
+	} {
 		s := Default()
 		change(&s)
 		_, err := Run(s)
@@ -164,7 +183,8 @@
 		{"wide", 0, []float64{8, 4}, -1, []float64{2, 1}},
 		{"narrow", 4, []float64{4, 4}, -1, []float64{2, 2}},
 		{"a short one first", 4, []float64{2, 6}, -1, []float64{1, 2}},
-		{"one is halted", 4, []float64{6, 6}, 0, []float64{0, 2}}}
+		{"one is halted", 4, []float64{6, 6}, 0, []float64{0, 2}},
+	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			w := &world{Scenario: Default()}
@@ -231,7 +251,8 @@
 		"restarted while cut":           {members: 9, troubles: []MemberTrouble{{Kind: Cut, At: 5, For: 60, Number: 4}, {Kind: Die, At: 20, For: 5, Number: 2}}, levels: map[string]int{"whole": 9}, heals: 60},
 		"all die and come back":         {members: 9, troubles: []MemberTrouble{{Kind: Die, At: 5, For: 5, Share: 1}}, levels: map[string]int{"whole": 9}, heals: 30},
 		"most die and come back, lossy": {members: 30, loss: 0.2, troubles: []MemberTrouble{{Kind: Die, At: 5, For: 10, Share: 0.7}}, wrong: true},
-		"a third of datagrams lost":     {members: 9, loss: 0.3, wrong: true}}
+		"a third of datagrams lost":     {members: 9, loss: 0.3, wrong: true},
+	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/emulator/flows.go
+++ b/emulator/flows.go
@@ -1,9 +1,8 @@
 package emulator
 
 import (
-	"math"
-
 	"elderwall/core/timerwheel"
+	"math"
 )
 
 // pipe is a link that its transfers share evenly, as far as each has use for its part.
--- a/emulator/host.go
+++ b/emulator/host.go
@@ -1,9 +1,9 @@
 package emulator
 
 import (
-	"github.com/hashicorp/golang-lru/v2/simplelru"
-
 	"elderwall/core/routing"
+
+	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
 // host is a cache, a parent or the origin: so many transfers at a time, a line of those that wait, and what it holds.
--- a/emulator/links_test.go
+++ b/emulator/links_test.go
@@ -2,20 +2,21 @@
 
 import (
 	"context"
+	"elderwall/core/cluster/membership"
+	"elderwall/internal/contract"
 	"errors"
 	"math/rand/v2"
 	"sync"
 	"testing"
 	"time"
-
-	"elderwall/core/cluster/membership"
-	"elderwall/internal/contract"
 )
 
 // The emulator's links carry what the real ones do: whole, each once, and never holding up who sends.
 func TestLinks(t *testing.T) {
-	contract.Transports{Name: "emulator's", Longest: 1 << 16, Over: 1, Pair: linked, Unordered: "each message is late by chance, as a datagram",
-		Bare: "messages are values: there is nothing to spoil, and nothing repeats them"}.Hold(t)
+	contract.Transports{
+		Name: "emulator's", Longest: 1 << 16, Over: 1, Pair: linked, Unordered: "each message is late by chance, as a datagram",
+		Bare: "messages are values: there is nothing to spoil, and nothing repeats them",
+	}.Hold(t)
 }
 
 // link is an end of an emulated member; both share a world, whose time passes while one waits.
--- a/emulator/members.go
+++ b/emulator/members.go
@@ -2,13 +2,12 @@
 
 import (
 	"cmp"
+	"elderwall/core/cluster/membership"
+	"elderwall/core/timerwheel"
 	"fmt"
 	"math"
 	"math/rand/v2"
 	"slices"
-
-	"elderwall/core/cluster/membership"
-	"elderwall/core/timerwheel"
 )
 
 // Protocols by which an emulated fleet may know itself.
@@ -57,8 +56,10 @@
 
 // MembersDefault is a calm fleet.
 func MembersDefault() MembersScenario {
-	return MembersScenario{Seed: 1, Protocol: OwnDoubt, Members: 30, Zones: 3, Peers: 3, Span: 120, Warm: 30, Delay: 0.002,
-		StallFor: 8, TickEach: 0.2, WatchEach: 0.5}
+	return MembersScenario{
+		Seed: 1, Protocol: OwnDoubt, Members: 30, Zones: 3, Peers: 3, Span: 120, Warm: 30, Delay: 0.002,
+		StallFor: 8, TickEach: 0.2, WatchEach: 0.5,
+	}
 }
 
 // MembersResult is what came of it. All of it is simulated; times are in intervals.
@@ -131,11 +132,15 @@
 	if s.Members < 1 || s.Members > membership.Most || s.Zones < 1 || s.TickEach <= 0 || s.Loss < 0 || s.Loss >= 1 {
 		return nil, fmt.Errorf("members: %d of them in %d zones, loss %g: out of range", s.Members, s.Zones, s.Loss)
 	}
-	w := &fleetWorld{MembersScenario: s, chance: rand.New(rand.NewPCG(s.Seed, 2)), byAddr: map[string]*emulated{},
-		out: &MembersResult{Members: s.Members, Heal: -1, Levels: map[string]int{}}, deaths: map[string]*death{}}
+	w := &fleetWorld{
+		MembersScenario: s, chance: rand.New(rand.NewPCG(s.Seed, 2)), byAddr: map[string]*emulated{},
+		out: &MembersResult{Members: s.Members, Heal: -1, Levels: map[string]int{}}, deaths: map[string]*death{},
+	}
 	for i := range s.Members {
-		e := &emulated{index: i, name: fmt.Sprintf("n%04d", i), address: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250),
-			zone: fmt.Sprint("z", i%s.Zones), wrong: map[string]bool{}}
+		e := &emulated{
+			index: i, name: fmt.Sprintf("n%04d", i), address: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250),
+			zone: fmt.Sprint("z", i%s.Zones), wrong: map[string]bool{},
+		}
 		w.all = append(w.all, e)
 		w.byAddr[e.address] = e
 		w.start(e)
@@ -170,8 +175,10 @@
 		for i := range w.Peers {
 			peers = append(peers, w.all[min(i*len(w.all)/max(1, w.Peers), len(w.all)-1)].address)
 		}
-		e.machine = membership.New(membership.Settings{Name: e.name, Address: e.address, Zone: e.zone, Peers: peers, Interval: 1,
-			Boot: e.boots<<16 + uint64(w.chance.IntN(1<<15))<<20 + uint64(e.index), Seed: w.Seed, Plain: w.Protocol == PlainSWIM}, w.now)
+		e.machine = membership.New(membership.Settings{
+			Name: e.name, Address: e.address, Zone: e.zone, Peers: peers, Interval: 1,
+			Boot: e.boots<<16 + uint64(w.chance.IntN(1<<15))<<20 + uint64(e.index), Seed: w.Seed, Plain: w.Protocol == PlainSWIM,
+		}, w.now)
 	}
 	if !e.ticking {
 		e.ticking = true
--- a/emulator/memory.go
+++ b/emulator/memory.go
@@ -2,6 +2,9 @@
 
 import (
 	"bytes"
+	"elderwall/core/cluster/replication"
+	"elderwall/core/routing/rendezvous"
+	"elderwall/core/timerwheel"
 	"encoding/binary"
 	"fmt"
 	"maps"
@@ -11,10 +14,6 @@
 	"strconv"
 
 	"github.com/cespare/xxhash/v2"
-
-	"elderwall/core/routing/rendezvous"
-	"elderwall/core/cluster/replication"
-	"elderwall/core/timerwheel"
 )
 
 // More kinds of trouble, of a fleet's memory: what a member that ended finds on its disk.
@@ -50,8 +49,10 @@
 
 // MemoryDefault is a calm fleet.
 func MemoryDefault() MemoryScenario {
-	return MemoryScenario{Seed: 1, Members: 30, Zones: 3, Records: 1000, Value: 100, Writes: 10, Fresh: 0.1, Sure: replication.Sure{Level: replication.Copies, Copies: 2, Within: 5},
-		Delay: 0.002, Knows: 5, Warm: 10, Span: 60, Settle: 120, TickEach: 0.1, Checks: true}
+	return MemoryScenario{
+		Seed: 1, Members: 30, Zones: 3, Records: 1000, Value: 100, Writes: 10, Fresh: 0.1, Sure: replication.Sure{Level: replication.Copies, Copies: 2, Within: 5},
+		Delay: 0.002, Knows: 5, Warm: 10, Span: 60, Settle: 120, TickEach: 0.1, Checks: true,
+	}
 }
 
 // MemoryResult is what came of it; all of it is simulated.
@@ -184,9 +185,11 @@
 	if s.Members < 1 || s.Zones < 1 || s.Records < 1 || s.Value < 8 || s.TickEach <= 0 || s.Size == nil || s.Loss < 0 || s.Loss >= 1 {
 		return nil, fmt.Errorf("memory: %d members, %d records of %d bytes, loss %g: out of range", s.Members, s.Records, s.Value, s.Loss)
 	}
-	w := &memoryWorld{MemoryScenario: s, chance: rand.New(rand.NewPCG(s.Seed, 49)), byName: map[string]*memoryMember{}, dots: map[replication.Dot]*written{},
+	w := &memoryWorld{
+		MemoryScenario: s, chance: rand.New(rand.NewPCG(s.Seed, 49)), byName: map[string]*memoryMember{}, dots: map[replication.Dot]*written{},
 		best: map[int]replication.Record{}, acked: map[replication.Dot]replication.Record{}, order: map[replication.Dot]int{}, deleted: map[int]replication.Record{}, tally: map[uint64]int{}, keys: s.Records,
-		out: &MemoryResult{Members: s.Members, Agree: -1, Refused: map[string]int{}, Events: map[string]int{}}}
+		out: &MemoryResult{Members: s.Members, Agree: -1, Refused: map[string]int{}, Events: map[string]int{}},
+	}
 	w.kind = replication.Kind{ID: memoryKind, Name: "played", Records: 4*s.Records + 100_000, Bytes: 1 << 30, Longest: s.Value + 100, Sync: true, Law: memoryLaw}
 	w.begin()
 	hits := make([][]int, len(s.Troubles))
--- a/emulator/memory_test.go
+++ b/emulator/memory_test.go
@@ -1,6 +1,7 @@
 package emulator
 
 import (
+	"elderwall/core/cluster/replication"
 	"os"
 	"strconv"
 	"testing"
@@ -8,8 +9,6 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/core/cluster/replication"
 )
 
 // schedules is how many are played: few in CI, thousands once.
--- a/emulator/scenario.go
+++ b/emulator/scenario.go
@@ -4,10 +4,9 @@
 package emulator
 
 import (
+	"elderwall/core/routing/retrybudget"
 	"errors"
 	"fmt"
-
-	"elderwall/core/routing/retrybudget"
 )
 
 // Kinds of trouble that a scenario can have.
@@ -82,10 +81,12 @@
 
 // Default is a small calm fleet.
 func Default() Scenario {
-	return Scenario{Seed: 1, Seconds: 20, Warm: 5, Dispatchers: 2, Caches: 20, Cells: 4, Parents: 2, Slots: 8, Serve: 0.02,
+	return Scenario{
+		Seed: 1, Seconds: 20, Warm: 5, Dispatchers: 2, Caches: 20, Cells: 4, Parents: 2, Slots: 8, Serve: 0.02,
 		Queue: 64, Holds: 5000, ParentSlots: 200, ParentHolds: 200_000, OriginSlots: 400, OriginServe: 0.05, Link: 0.002,
 		Connect: 0.3, IdleClose: 15, News: 0.2, Rate: 500, Objects: 10_000, Zipf: 1.1, Objective: 0.3, ViewerTimeout: 2,
-		Again: 1, MaxForwards: 6, Shards: 1, Zones: 1, Pace: 1000, Tells: true}
+		Again: 1, MaxForwards: 6, Shards: 1, Zones: 1, Pace: 1000, Tells: true,
+	}
 }
 
 // What a scenario may be at most, so that a run ends and has room.
--- a/emulator/variants.go
+++ b/emulator/variants.go
@@ -1,16 +1,15 @@
 package emulator
 
 import (
+	"elderwall/core/cluster/variant"
+	"elderwall/core/routing/rendezvous"
+	"elderwall/core/timerwheel"
 	"fmt"
 	"math"
 	"math/rand/v2"
 	"slices"
 
 	"github.com/hashicorp/golang-lru/v2/simplelru"
-
-	"elderwall/core/routing/rendezvous"
-	"elderwall/core/cluster/variant"
-	"elderwall/core/timerwheel"
 )
 
 // Ways by which GETs of device classes may be looked for, side by side.
@@ -58,8 +57,10 @@
 
 // VariantsDefault is 300 dispatchers and 100 hosts.
 func VariantsDefault() VariantsScenario {
-	return VariantsScenario{Seed: 1, Way: Fleet, Dispatchers: 300, Hosts: 100, Holds: 100, Objects: 4000, Skew: 0.9, Same: []int{0, 0, 0, 1, 1}, Odd: 0.05, Rate: 10_000, Lasts: 60, Lapses: 60,
-		Changes: 1, One: 0.5, Silent: 0, PurgeDelay: 0.1, FactDelay: 0.5, OriginRate: 700, Witnesses: 1, Checks: 0.01, Warm: 200, Span: 200, TablesHold: 8000}
+	return VariantsScenario{
+		Seed: 1, Way: Fleet, Dispatchers: 300, Hosts: 100, Holds: 100, Objects: 4000, Skew: 0.9, Same: []int{0, 0, 0, 1, 1}, Odd: 0.05, Rate: 10_000, Lasts: 60, Lapses: 60,
+		Changes: 1, One: 0.5, Silent: 0, PurgeDelay: 0.1, FactDelay: 0.5, OriginRate: 700, Witnesses: 1, Checks: 0.01, Warm: 200, Span: 200, TablesHold: 8000,
+	}
 }
 
 // The delivery services of a scenario, object by object: of ten objects six, three and one.
--- a/emulator/world.go
+++ b/emulator/world.go
@@ -1,13 +1,12 @@
 package emulator
 
 import (
-	"fmt"
-	"math"
-	"math/rand/v2"
-
 	"elderwall/core/routing"
 	"elderwall/core/routing/rendezvous"
 	"elderwall/core/timerwheel"
+	"fmt"
+	"math"
+	"math/rand/v2"
 )
 
 const (
@@ -94,8 +93,10 @@
 		w.waysIn = append(w.waysIn, &pipe{kb: w.WayInKB})
 	}
 	for i := range w.Caches {
-		w.add(&host{kind: 0, zone: i * w.Zones / w.Caches, cell: i * w.Cells / w.Caches, slots: w.Slots, serve: w.Serve,
-			holds: w.Holds, out: &pipe{kb: w.CacheKB}})
+		w.add(&host{
+			kind: 0, zone: i * w.Zones / w.Caches, cell: i * w.Cells / w.Caches, slots: w.Slots, serve: w.Serve,
+			holds: w.Holds, out: &pipe{kb: w.CacheKB},
+		})
 	}
 	for range w.Parents {
 		w.add(&host{kind: 1, slots: w.ParentSlots, serve: w.Serve, holds: w.ParentHolds, out: &pipe{kb: w.ParentKB}})
--- a/examples/fetch/main.go
+++ b/examples/fetch/main.go
@@ -5,6 +5,7 @@
 import (
 	"crypto/tls"
 	"crypto/x509"
+	"elderwall/internal/standin"
 	"errors"
 	"flag"
 	"fmt"
@@ -12,8 +13,6 @@
 	"math/rand/v2"
 	"os"
 	"strings"
-
-	"elderwall/internal/standin"
 )
 
 func main() {
--- a/examples/fetch/main_test.go
+++ b/examples/fetch/main_test.go
@@ -1,6 +1,8 @@
 package main
 
 import (
+	"elderwall/internal/standin/need"
+	"elderwall/internal/thrift"
 	"encoding/binary"
 	"io"
 	"net"
@@ -9,9 +11,6 @@
 	"testing"
 
 	"github.com/stretchr/testify/assert"
-
-	"elderwall/internal/standin/need"
-	"elderwall/internal/thrift"
 )
 
 func TestMain(m *testing.M) {
@@ -30,7 +29,8 @@
 		{"returned", thrift.Served(2, []byte("bytes"), false), 0},
 		{"shed", thrift.Refused(2, 100), 1},
 		{"shed with no time told", thrift.Refused(2, 0), 1},
-		{"errored", thrift.Failed(2, "denied"), 1}} {
+		{"errored", thrift.Failed(2, "denied"), 1},
+	} {
 		l := need.Of(net.Listen("tcp", "127.0.0.1:0"))(t)
 		go func() {
 			c, err := l.Accept()
--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -3,6 +3,7 @@
 package main
 
 import (
+	"elderwall/internal/standin"
 	"fmt"
 	"log"
 	"os"
@@ -10,8 +11,6 @@
 	"strings"
 	"sync"
 	"time"
-
-	"elderwall/internal/standin"
 )
 
 // store is what a cache or the parent holds.
@@ -80,8 +79,10 @@
 	parent := &store{held: map[string]string{}}
 	var entries []string
 	for _, h := range []struct{ name, address, zone, kind string }{
-		{"cache-1", "127.0.0.1:4201", "town", "cache"}, {"cache-2", "127.0.0.1:4202", "town", "cache"},
-		{"parent-1", "127.0.0.1:4211", "hub", "parent"}, {"origin-1", "127.0.0.1:4221", "hub", "origin"},
+		{"cache-1", "127.0.0.1:4201", "town", "cache"},
+		{"cache-2", "127.0.0.1:4202", "town", "cache"},
+		{"parent-1", "127.0.0.1:4211", "hub", "parent"},
+		{"origin-1", "127.0.0.1:4221", "hub", "origin"},
 	} {
 		if _, err := standin.Listen(h.address, cache(h.name, parent)); err != nil {
 			log.Fatal(err)
--- a/internal/authn/gate.go
+++ b/internal/authn/gate.go
@@ -5,6 +5,13 @@
 import (
 	"crypto/sha256"
 	"crypto/tls"
+	"elderwall/core/admission"
+	"elderwall/core/cluster/quota"
+	"elderwall/internal/call"
+	"elderwall/internal/certs"
+	"elderwall/internal/clock"
+	"elderwall/internal/counters"
+	"elderwall/internal/token"
 	"net"
 	"net/netip"
 	"strconv"
@@ -12,14 +19,6 @@
 	"time"
 
 	"github.com/rs/zerolog"
-
-	"elderwall/core/cluster/quota"
-	"elderwall/internal/call"
-	"elderwall/internal/certs"
-	"elderwall/internal/clock"
-	"elderwall/internal/counters"
-	"elderwall/internal/token"
-	"elderwall/core/admission"
 )
 
 // Fleet is what all dispatchers together let a tenant have.
--- a/internal/authn/gate_test.go
+++ b/internal/authn/gate_test.go
@@ -1,6 +1,12 @@
 package authn
 
 import (
+	"elderwall/core/admission"
+	"elderwall/internal/call"
+	"elderwall/internal/clock"
+	"elderwall/internal/counters"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/token"
 	"fmt"
 	"strings"
 	"testing"
@@ -9,13 +15,6 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/call"
-	"elderwall/internal/clock"
-	"elderwall/internal/counters"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/token"
-	"elderwall/core/admission"
 )
 
 const noon = 1764590400.0 // Unix s
@@ -69,7 +68,8 @@
 		{"new key ids", func(i int) string { return sign(t, key(t, fmt.Sprint("x", i), "EdDSA"), "till") }, 0},
 		{"long ones", func(int) string { return strings.Repeat("A.", 1<<19) }, 0},
 		{"bad signatures", func(int) string { return forged }, 11},
-		{"valid ones that all differ", func(i int) string { return sign(t, k, fmt.Sprint(i)) }, 11}} {
+		{"valid ones that all differ", func(i int) string { return sign(t, k, fmt.Sprint(i)) }, 11},
+	} {
 		g, flooding, other := newGate(t, &wall, k, rsa), &admission.Conn{}, &admission.Conn{}
 		require.Equal(t, admission.Passed, ask(g, other, good), tt.name)
 		before, began := g.Counts.SignatureChecks.Load(), time.Now()
--- a/internal/benchwire/decode.go
+++ b/internal/benchwire/decode.go
@@ -2,13 +2,12 @@
 package benchwire
 
 import (
+	"elderwall/core/routing"
+	"elderwall/core/settings"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"math"
-
-	"elderwall/core/routing"
-	"elderwall/core/settings"
 )
 
 // Clock turns the wire's instants into seconds from a base and back.
--- a/internal/benchwire/reply.go
+++ b/internal/benchwire/reply.go
@@ -1,10 +1,9 @@
 package benchwire
 
 import (
+	"elderwall/core/routing"
 	"encoding/json"
 	"strconv"
-
-	"elderwall/core/routing"
 )
 
 // Reply gathers the actions of one batch, as text.
--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -2,9 +2,8 @@
 package call
 
 import (
-	"time"
-
 	"elderwall/core/admission"
+	"time"
 )
 
 // Call is one open call of a client. One answer goes out for it; whatever comes after that is dropped.
@@ -38,6 +37,6 @@
 
 	IdempotencyKey string // by which hosts tell a repeat, "" for none
 
-	Token string        // that came with it and names its caller, "" for none
+	Token string          // that came with it and names its caller, "" for none
 	Conn  *admission.Conn // what is known of its connection; nil where nobody asks who is calling
 }
--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -7,6 +7,7 @@
 	"crypto/sha256"
 	"crypto/tls"
 	"crypto/x509"
+	"elderwall/core/admission"
 	"encoding/hex"
 	"encoding/pem"
 	"errors"
@@ -15,8 +16,6 @@
 	"net"
 	"sync/atomic"
 	"time"
-
-	"elderwall/core/admission"
 )
 
 const (
@@ -31,9 +30,9 @@
 	Required    bool           // a client without one is turned away
 	Only13      bool           // TLS 1.2 is refused
 
-	Prints  []string         // of the authorities
+	Prints  []string           // of the authorities
 	Revoked []admission.Serial // by their lists
-	Stale   []time.Time      // ends of lists; one that is past still counts, and is told of
+	Stale   []time.Time        // ends of lists; one that is past still counts, and is told of
 }
 
 // Read takes PEM files whole: a chain with its key, authorities, and their revocation lists.
@@ -157,8 +156,10 @@
 
 // Config is what a listener is made with. It has the keys of sessions, which changes of material must not end.
 func (l *Listener) Config() *tls.Config {
-	return &tls.Config{MinVersion: tls.VersionTLS12,
-		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) { return l.now.Load(), nil }}
+	return &tls.Config{
+		MinVersion:         tls.VersionTLS12,
+		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) { return l.now.Load(), nil },
+	}
 }
 
 // Over makes a listener one for TLS. It is still one of TCP, whose accepts can be stopped as a drain wants it.
@@ -181,8 +182,10 @@
 // config is the material for handshakes. A certificate that counts no more is no fault of a handshake: its
 // connection is refused by each GET, with an answer that says so, as one resumed from an earlier session is.
 func (m *Material) config() *tls.Config {
-	c := &tls.Config{MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{m.Certificate},
-		ClientCAs: m.Authorities}
+	c := &tls.Config{
+		MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{m.Certificate},
+		ClientCAs: m.Authorities,
+	}
 	if m.Only13 {
 		c.MinVersion = tls.VersionTLS13
 	}
@@ -202,8 +205,10 @@
 		return nil
 	}
 	c := s.PeerCertificates[0]
-	f := &admission.Certificate{Serial: serial(c.RawIssuer, c.SerialNumber), From: float64(c.NotBefore.Unix()),
-		Until: float64(c.NotAfter.Unix())}
+	f := &admission.Certificate{
+		Serial: serial(c.RawIssuer, c.SerialNumber), From: float64(c.NotBefore.Unix()),
+		Until: float64(c.NotAfter.Unix()),
+	}
 	for _, uri := range c.URIs {
 		f.Names = append(f.Names, "uri:"+uri.String())
 	}
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -1,13 +1,12 @@
 package certs
 
 import (
+	"elderwall/internal/standin"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/standin"
 )
 
 func TestFilesThatAreNotWholeAreRefused(t *testing.T) {
@@ -30,7 +29,8 @@
 		{"half a list", chain, key, roots, [][]byte{half(crl)}, "revocations 0"},
 		{"a list of none of the authorities", chain, key, other.PEM(), list, "signed by none"},
 		{"a key of another certificate", chain, func() []byte { _, k := a.Issue("x", "", time.Now().Add(time.Hour)); return k }(), roots, list, "certificate and key"},
-		{"an empty file", nil, key, roots, list, "certificate"}} {
+		{"an empty file", nil, key, roots, list, "certificate"},
+	} {
 		var m Material
 		err := m.Read(tt.chain, tt.key, tt.roots, tt.lists)
 		if tt.want == "" {
--- a/internal/changelog/changelog.go
+++ b/internal/changelog/changelog.go
@@ -3,6 +3,8 @@
 
 import (
 	"context"
+	"elderwall/internal/clock"
+	"elderwall/internal/sse"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -14,9 +16,6 @@
 	"time"
 
 	"github.com/rs/zerolog"
-
-	"elderwall/internal/clock"
-	"elderwall/internal/sse"
 )
 
 const (
--- a/internal/changelog/changelog_test.go
+++ b/internal/changelog/changelog_test.go
@@ -3,6 +3,9 @@
 import (
 	"bufio"
 	"context"
+	"elderwall/internal/changelog"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
 	"fmt"
 	"io"
 	"net/http"
@@ -12,10 +15,6 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
 	"go.uber.org/goleak"
-
-	"elderwall/internal/changelog"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -46,8 +45,10 @@
 	log.Push(purge(3)) // a repeat
 	log.Push(`{"seq":5,"invalidate":{"object":"7f3a9c21e0b4d655","time":1764576000123}}`)
 	log.Push(`{"seq":6,"unheardOf":[]}`)
-	assert.Equal(t, changelog.Event{Seq: 2, Fleet: &changelog.Fleet{Generation: 7, Reset: true, Hosts: []changelog.Host{{ID: "s-1",
-		Address: "10.1.0.9:4100", Zone: "east", Kind: "std", Cell: 2, State: "SERVING", Weight: 4, StartedAtMs: 5}}}}, <-got)
+	assert.Equal(t, changelog.Event{Seq: 2, Fleet: &changelog.Fleet{Generation: 7, Reset: true, Hosts: []changelog.Host{{
+		ID:      "s-1",
+		Address: "10.1.0.9:4100", Zone: "east", Kind: "std", Cell: 2, State: "SERVING", Weight: 4, StartedAtMs: 5,
+	}}}}, <-got)
 	assert.Equal(t, changelog.Event{Seq: 3}, <-got, "an event that can't be read keeps its place")
 	assert.Equal(t, changelog.Event{Seq: 5, Purge: &changelog.Purge{Object: "7f3a9c21e0b4d655", Time: 1764576000123}}, <-got)
 	assert.Equal(t, changelog.Event{Seq: 6}, <-got)
@@ -62,7 +63,8 @@
 		{"cut within an event", ok + "id: 2\ndata: " + purge(2) + "\n\nid: 3\ndata: {", "1"},
 		{"nonsense", "nonsense\r\n", "2"},
 		{"over", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "2"},
-		{"sound again", ok + ": here\n\nid: 3\ndata: " + purge(3) + "\n\n", "2"}}
+		{"sound again", ok + ": here\n\nid: 3\ndata: " + purge(3) + "\n\n", "2"},
+	}
 	got := follow(t, l.Addr().String())
 	for i, r := range replies {
 		c := need.Of(l.Accept())(t)
--- a/internal/changelog/watch_test.go
+++ b/internal/changelog/watch_test.go
@@ -3,6 +3,8 @@
 import (
 	"bufio"
 	"context"
+	"elderwall/internal/changelog"
+	"elderwall/internal/standin/need"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -17,9 +19,6 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/changelog"
-	"elderwall/internal/standin/need"
 )
 
 const (
--- a/internal/changelog/witness.go
+++ b/internal/changelog/witness.go
@@ -1,9 +1,8 @@
 package changelog
 
 import (
-	"math"
-
 	"elderwall/internal/clock"
+	"math"
 )
 
 // toldIn is by when a change counts as told: what comes on a stream that was up to date is no older than that.
--- a/internal/changelog/witness_test.go
+++ b/internal/changelog/witness_test.go
@@ -1,13 +1,12 @@
 package changelog_test
 
 import (
+	"elderwall/internal/changelog"
+	"elderwall/internal/clock"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
-
-	"elderwall/internal/changelog"
-	"elderwall/internal/clock"
 )
 
 // A host's start and a purge are put on the process's clock once, by what was seen of the stream; a wall clock that is stepped makes no host warmer, no
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -1,14 +1,13 @@
 package clock_test
 
 import (
+	"elderwall/internal/clock"
 	"fmt"
 	"math"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
-
-	"elderwall/internal/clock"
 )
 
 // steps is by how much a wall clock is stepped in these tests.
@@ -36,8 +35,13 @@
 			since     float64 // s before its arrival that it can have been written at the earliest
 			exactAtNo bool    // without a step the stamp itself is right
 		}{
-			{"as it arrives", false, 0.2, 7, true}, {"both clocks step", true, 0.2, 7, true}, {"some seconds old", false, 5, 7, true},
-			{"both clocks step, some seconds old", true, 5, 7, true}, {"older than can be", false, 100, 7, false}, {"of the start", false, 100, math.Inf(1), true}} {
+			{"as it arrives", false, 0.2, 7, true},
+			{"both clocks step", true, 0.2, 7, true},
+			{"some seconds old", false, 5, 7, true},
+			{"both clocks step, some seconds old", true, 5, 7, true},
+			{"older than can be", false, 100, 7, false},
+			{"of the start", false, 100, math.Inf(1), true},
+		} {
 			t.Run(fmt.Sprint(step, " ", tt.name), func(t *testing.T) {
 				var stepped time.Duration
 				c := clock.NewWithWall(func() time.Time { return time.Now().Add(stepped) })
--- a/internal/cluster/ask.go
+++ b/internal/cluster/ask.go
@@ -4,6 +4,13 @@
 	"bufio"
 	"context"
 	"crypto/rand"
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/lease"
+	"elderwall/core/cluster/membership"
+	"elderwall/core/cluster/quota"
+	"elderwall/core/cluster/replication"
+	"elderwall/internal/cluster/raftvoter"
+	"elderwall/internal/snakejson"
 	"errors"
 	"fmt"
 	"io"
@@ -12,14 +19,6 @@
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
-
-	"elderwall/core/cluster/quota"
-	"elderwall/core/cluster/channel"
-	"elderwall/core/cluster/lease"
-	"elderwall/core/cluster/membership"
-	"elderwall/core/cluster/replication"
-	"elderwall/internal/cluster/raftvoter"
-	"elderwall/internal/snakejson"
 )
 
 // What can be asked of a member over its fleet address.
@@ -61,17 +60,17 @@
 	What  string `cbor:"1,keyasint"`
 	After uint64 `cbor:"2,keyasint,omitempty"`
 
-	Number   uint64                `cbor:"3,keyasint,omitempty"`
-	Hops     uint8                 `cbor:"4,keyasint,omitempty"`
+	Number   uint64               `cbor:"3,keyasint,omitempty"`
+	Hops     uint8                `cbor:"4,keyasint,omitempty"`
 	Turn     *lease.Turn          `cbor:"5,keyasint,omitempty"`
 	Commands []lease.Command      `cbor:"6,keyasint,omitempty"`
 	Seat     lease.Change         `cbor:"7,keyasint,omitempty"`
-	Ledger   *quota.Command      `cbor:"8,keyasint,omitempty"`
-	Whole    bool                  `cbor:"9,keyasint,omitempty"` // the ledger is to be told after it
-	Duty     string                `cbor:"10,keyasint,omitempty"`
-	Records  []replication.Record      `cbor:"11,keyasint,omitempty"` // to be written; or whose keys are to be read
+	Ledger   *quota.Command       `cbor:"8,keyasint,omitempty"`
+	Whole    bool                 `cbor:"9,keyasint,omitempty"` // the ledger is to be told after it
+	Duty     string               `cbor:"10,keyasint,omitempty"`
+	Records  []replication.Record `cbor:"11,keyasint,omitempty"` // to be written; or whose keys are to be read
 	Channels *channel.Command     `cbor:"13,keyasint,omitempty"`
-	Sure     replication.Sure          `cbor:"12,keyasint,omitempty"`
+	Sure     replication.Sure     `cbor:"12,keyasint,omitempty"`
 	Follow   *channel.Ask         `cbor:"14,keyasint,omitempty"`
 	Entries  []channel.Entry      `cbor:"15,keyasint,omitempty"`
 	Declare  *channel.Declaration `cbor:"16,keyasint,omitempty"`
@@ -79,33 +78,33 @@
 
 // Told is what a member answers.
 type Told struct {
-	Error    string           `cbor:"1,keyasint,omitempty" json:",omitempty"`
-	Number   uint64           `cbor:"2,keyasint" json:"-"` // of the last change
-	Now      float64          `cbor:"3,keyasint"`          // s since its start
-	Self     membership.Member   `cbor:"4,keyasint"`
-	Standing string           `cbor:"5,keyasint"`
-	Level    string           `cbor:"6,keyasint"`
-	View     membership.View     `cbor:"7,keyasint"`
-	Members  []membership.Known  `cbor:"8,keyasint"`
-	Counts   map[string]int64 `cbor:"9,keyasint" snake:"names"`
+	Error    string             `cbor:"1,keyasint,omitempty" json:",omitempty"`
+	Number   uint64             `cbor:"2,keyasint" json:"-"` // of the last change
+	Now      float64            `cbor:"3,keyasint"`          // s since its start
+	Self     membership.Member  `cbor:"4,keyasint"`
+	Standing string             `cbor:"5,keyasint"`
+	Level    string             `cbor:"6,keyasint"`
+	View     membership.View    `cbor:"7,keyasint"`
+	Members  []membership.Known `cbor:"8,keyasint"`
+	Counts   map[string]int64   `cbor:"9,keyasint" snake:"names"`
 
-	Duties   []ToldDuty         `cbor:"10,keyasint,omitempty" json:",omitempty"`
-	Rest     map[string]float64 `cbor:"11,keyasint,omitempty" json:",omitempty"` // s of each lease, by the leader's clock
-	Council  *raftvoter.Status    `cbor:"12,keyasint,omitempty" json:",omitempty"`
-	Seats    []lease.Seat      `cbor:"13,keyasint,omitempty" json:",omitempty"`
-	Leases   []lease.Lease     `cbor:"14,keyasint,omitempty" json:",omitempty"`
-	Changed  bool               `cbor:"15,keyasint,omitempty" json:",omitempty"`
-	Ledger   *quota.Saved     `cbor:"17,keyasint,omitempty" json:",omitempty"`
-	Budgets  []ToldBudget       `cbor:"18,keyasint,omitempty" json:",omitempty"`
-	Memory   *ToldMemory        `cbor:"19,keyasint,omitempty" json:",omitempty"`
-	Records  []replication.Record   `cbor:"20,keyasint,omitempty" json:",omitempty"`
-	Ended    []replication.Outcome  `cbor:"21,keyasint,omitempty" json:",omitempty"` // of the writes, in their order
-	Channels *channel.Saved    `cbor:"22,keyasint,omitempty" json:",omitempty"`
-	Refused  string             `cbor:"23,keyasint,omitempty" json:",omitempty"` // why a command of channels did nothing
-	Leads    string             `cbor:"16,keyasint,omitempty" json:",omitempty"` // the address of who answered as the leader
-	Written  []Written          `cbor:"26,keyasint,omitempty" json:",omitempty"` // what became of the entries, in their order
-	Reason   string             `cbor:"24,keyasint,omitempty" json:"-"`          // of the error, as a word
-	Later    float64            `cbor:"25,keyasint,omitempty" json:"-"`          // s after which to ask again
+	Duties   []ToldDuty            `cbor:"10,keyasint,omitempty" json:",omitempty"`
+	Rest     map[string]float64    `cbor:"11,keyasint,omitempty" json:",omitempty"` // s of each lease, by the leader's clock
+	Council  *raftvoter.Status     `cbor:"12,keyasint,omitempty" json:",omitempty"`
+	Seats    []lease.Seat          `cbor:"13,keyasint,omitempty" json:",omitempty"`
+	Leases   []lease.Lease         `cbor:"14,keyasint,omitempty" json:",omitempty"`
+	Changed  bool                  `cbor:"15,keyasint,omitempty" json:",omitempty"`
+	Ledger   *quota.Saved          `cbor:"17,keyasint,omitempty" json:",omitempty"`
+	Budgets  []ToldBudget          `cbor:"18,keyasint,omitempty" json:",omitempty"`
+	Memory   *ToldMemory           `cbor:"19,keyasint,omitempty" json:",omitempty"`
+	Records  []replication.Record  `cbor:"20,keyasint,omitempty" json:",omitempty"`
+	Ended    []replication.Outcome `cbor:"21,keyasint,omitempty" json:",omitempty"` // of the writes, in their order
+	Channels *channel.Saved        `cbor:"22,keyasint,omitempty" json:",omitempty"`
+	Refused  string                `cbor:"23,keyasint,omitempty" json:",omitempty"` // why a command of channels did nothing
+	Leads    string                `cbor:"16,keyasint,omitempty" json:",omitempty"` // the address of who answered as the leader
+	Written  []Written             `cbor:"26,keyasint,omitempty" json:",omitempty"` // what became of the entries, in their order
+	Reason   string                `cbor:"24,keyasint,omitempty" json:"-"`          // of the error, as a word
+	Later    float64               `cbor:"25,keyasint,omitempty" json:"-"`          // s after which to ask again
 }
 
 // MarshalJSON writes it in the style of the command line, whoever prints it.
@@ -205,8 +204,10 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	t := Told{Memory: memory, Number: f.changes, Now: f.now(), Self: f.machine.Self(), Standing: f.machine.Standing().String(), View: f.machine.View(),
-		Members: f.machine.Members(), Counts: f.Counts.each()}
+	t := Told{
+		Memory: memory, Number: f.changes, Now: f.now(), Self: f.machine.Self(), Standing: f.machine.Standing().String(), View: f.machine.View(),
+		Members: f.machine.Members(), Counts: f.Counts.each(),
+	}
 	t.Level = t.View.Level.String()
 	if f.following != nil {
 		f.following.count(t.Counts)
--- a/internal/cluster/budgets_test.go
+++ b/internal/cluster/budgets_test.go
@@ -2,6 +2,10 @@
 
 import (
 	"context"
+	"elderwall/core/cluster/quota"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/processes"
 	"errors"
 	"fmt"
 	"math/rand/v2"
@@ -12,11 +16,6 @@
 	"time"
 
 	"github.com/stretchr/testify/assert"
-
-	"elderwall/core/cluster/quota"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/processes"
 )
 
 const (
@@ -255,7 +254,8 @@
 				bad = append(bad, processes.Fault{What: what, A: b.all(), B: b.all(), Amount: 0.4, For: 8})
 			}
 			b.Play(bad)
-		}} {
+		},
+	} {
 		trouble()
 		b.used(7)
 		b.within(name)
@@ -325,8 +325,10 @@
 
 // BenchmarkSpend is what a GET pays where budgets are on: one tenant's, and the bound at the origin around each act of the module.
 func BenchmarkSpend(b *testing.B) {
-	f := &Fleet{Settings: Settings{Name: "x", Budgets: &Budgets{All: []quota.Budget{{Name: "t", Kind: quota.UnderWay, Whole: 9}, {Name: "o", Kind: quota.UnderWay, Whole: 9}},
-		Uses: map[string][]string{"tenant:a": {"t"}, quota.UseOrigin: {"o"}}}}}
+	f := &Fleet{Settings: Settings{Name: "x", Budgets: &Budgets{
+		All:  []quota.Budget{{Name: "t", Kind: quota.UnderWay, Whole: 9}, {Name: "o", Kind: quota.UnderWay, Whole: 9}},
+		Uses: map[string][]string{"tenant:a": {"t"}, quota.UseOrigin: {"o"}},
+	}}}
 	f.beginSpending()
 	s := &f.spending
 	q, _ := s.holder.Tick(f.dutyNow())
--- a/internal/cluster/contract_test.go
+++ b/internal/cluster/contract_test.go
@@ -1,6 +1,8 @@
 package cluster
 
 import (
+	"elderwall/core/cluster/membership"
+	"elderwall/internal/contract"
 	"encoding/base64"
 	"maps"
 	"path/filepath"
@@ -11,9 +13,6 @@
 	"go.etcd.io/bbolt"
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
-
-	"elderwall/core/cluster/membership"
-	"elderwall/internal/contract"
 )
 
 // All that keeps something on a disk, behind the seam that the contract needs.
@@ -32,13 +31,16 @@
 		}
 		return &logStore{d}, uint64(d.kept.Era), nil
 	}},
-	{Name: "remembered fleet", File: inFolder("fleet.json"), Shared: "its file is replaced whole: who reads it sees one or the other", Any: "members bounds what it is handed",
+	{
+		Name: "remembered fleet", File: inFolder("fleet.json"), Shared: "its file is replaced whole: who reads it sees one or the other", Any: "members bounds what it is handed",
 		Open: func(folder string) (contract.Store, uint64, error) {
 			a, err := recall(filepath.Join(folder, "fleet.json"))
 			r := &rememberedStore{path: filepath.Join(folder, "fleet.json")}
 			r.generation.Store(a.Generation)
 			return r, a.Generation, err
-		}}}
+		},
+	},
+}
 
 func inFolder(file string) func(string) string {
 	return func(folder string) string { return filepath.Join(folder, file) }
--- a/internal/cluster/disk.go
+++ b/internal/cluster/disk.go
@@ -2,6 +2,7 @@
 
 import (
 	"crypto/rand"
+	"elderwall/internal/cluster/raftvoter"
 	"encoding/binary"
 	"errors"
 	"fmt"
@@ -11,8 +12,6 @@
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
-
-	"elderwall/internal/cluster/raftvoter"
 )
 
 const logFile = "log.db"
--- a/internal/cluster/divide.go
+++ b/internal/cluster/divide.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"elderwall/core/cluster/quota"
 	"errors"
 	"fmt"
 	"math"
@@ -10,8 +11,6 @@
 	"strings"
 	"sync"
 	"time"
-
-	"elderwall/core/cluster/quota"
 )
 
 const (
@@ -60,7 +59,7 @@
 
 // giveMessage is its answer.
 type giveMessage struct {
-	Boot   uint64         `cbor:"1,keyasint"`
+	Boot   uint64       `cbor:"1,keyasint"`
 	Answer quota.Answer `cbor:"2,keyasint"`
 }
 
--- a/internal/cluster/duties_test.go
+++ b/internal/cluster/duties_test.go
@@ -5,6 +5,10 @@
 	"bytes"
 	"cmp"
 	"context"
+	"elderwall/core/cluster/lease"
+	"elderwall/internal/chart"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/processes"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -26,11 +30,6 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/core/cluster/lease"
-	"elderwall/internal/chart"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/processes"
 )
 
 const (
@@ -255,11 +254,13 @@
 		m.Processes[i].Signal(s)
 	}
 }
+
 func (m *memberRig) kill(who ...int) {
 	for _, i := range who {
 		m.Processes[i].Kill()
 	}
 }
+
 func (m *memberRig) startAgain(who ...int) {
 	for _, i := range who {
 		m.Processes[i].Start()
@@ -415,7 +416,8 @@
 		{"what it sends is lost", processes.Fault{What: processes.CutOff, A: []int{5}, B: d.all(5)}, false},
 		{"what it is sent is lost", processes.Fault{What: processes.CutOff, A: d.all(5), B: []int{5}}, false},
 		{"from the leader alone", processes.Fault{What: processes.Cut, A: []int{l}, B: []int{5}}, true},
-		{"with the leader", processes.Fault{What: processes.Cut, A: []int{l, 5}}, false}} {
+		{"with the leader", processes.Fault{What: processes.Cut, A: []int{l, 5}}, false},
+	} {
 		for trial, kept := 0, false; !kept; trial++ {
 			require.Less(t, trial, 3, "%s: a machine that is busy may stand still for a lease, but not each time", tt.name)
 			one, first, two := d.hold(5), d.acts(last), d.hold(stands)
@@ -792,7 +794,8 @@
 			raw := need.Of(os.ReadFile(log))(t)
 			clear(raw[2*os.Getpagesize():]) // all but what tells where the rest stands
 			require.NoError(t, os.WriteFile(log, raw, 0o600))
-		}} {
+		},
+	} {
 		t.Run(name, func(t *testing.T) {
 			d := duty(t, 3, 3)
 			log, copied := filepath.Join(d.Processes[2].Dir, "duties", logFile), filepath.Join(d.Dir, "copy.db")
--- a/internal/cluster/facts.go
+++ b/internal/cluster/facts.go
@@ -1,12 +1,11 @@
 package cluster
 
 import (
+	"elderwall/core/cluster/replication"
+	"elderwall/core/cluster/variant"
 	"encoding/json"
 	"fmt"
 	"time"
-
-	"elderwall/core/cluster/replication"
-	"elderwall/core/cluster/variant"
 )
 
 const (
--- a/internal/cluster/faults.go
+++ b/internal/cluster/faults.go
@@ -4,12 +4,11 @@
 
 import (
 	"bytes"
+	"elderwall/core/cluster/replication"
 	"os"
 	"strconv"
 	"syscall"
 	"time"
-
-	"elderwall/core/cluster/replication"
 )
 
 // Faults that no signal and no relay brings about, in a program that is built with the tag "faults" for tests alone: a clock that runs fast or
--- a/internal/cluster/file_test.go
+++ b/internal/cluster/file_test.go
@@ -1,6 +1,7 @@
 package cluster
 
 import (
+	"elderwall/internal/standin/need"
 	"os"
 	"path/filepath"
 	"testing"
@@ -10,8 +11,6 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"golang.org/x/sys/unix"
 	"google.golang.org/protobuf/proto"
-
-	"elderwall/internal/standin/need"
 )
 
 // breakDisk has writes to an open file fail with ENOSPC, and its syncs with EINVAL, until it is mended.
--- a/internal/cluster/fleet.go
+++ b/internal/cluster/fleet.go
@@ -7,6 +7,9 @@
 	"cmp"
 	"context"
 	"crypto/rand"
+	"elderwall/core/cluster/lease"
+	"elderwall/core/cluster/membership"
+	"elderwall/core/cluster/quota"
 	"encoding/binary"
 	"encoding/json"
 	"errors"
@@ -27,10 +30,6 @@
 	"golang.org/x/sync/errgroup"
 	"golang.org/x/sync/semaphore"
 	"golang.org/x/time/rate"
-
-	"elderwall/core/cluster/quota"
-	"elderwall/core/cluster/lease"
-	"elderwall/core/cluster/membership"
 )
 
 const (
@@ -101,10 +100,12 @@
 }
 
 func (c *Counts) each() map[string]int64 {
-	return map[string]int64{"In": c.In.Load(), "Out": c.Out.Load(), "BytesIn": c.BytesIn.Load(), "BytesOut": c.BytesOut.Load(),
+	return map[string]int64{
+		"In": c.In.Load(), "Out": c.Out.Load(), "BytesIn": c.BytesIn.Load(), "BytesOut": c.BytesOut.Load(),
 		"StreamsIn": c.StreamsIn.Load(), "StreamsOut": c.StreamsOut.Load(), "StreamsHeld": c.StreamsHeld.Load(),
 		"Unsealed": c.Unsealed.Load(), "Replayed": c.Replayed.Load(), "Unusable": c.Unusable.Load(), "OverRate": c.OverRate.Load(),
-		"TooLong": c.TooLong.Load(), "Failed": c.Failed.Load(), "Asked": c.Asked.Load()}
+		"TooLong": c.TooLong.Load(), "Failed": c.Failed.Load(), "Asked": c.Asked.Load(),
+	}
 }
 
 // Fleet is one member at work.
@@ -158,8 +159,10 @@
 	if s.Keys == nil {
 		s.Keys = OpenKeys()
 	}
-	f := &Fleet{Settings: s, Log: log, start: time.Now(), limit: rate.NewLimiter(bytesOut, bytesBurst), out: semaphore.NewWeighted(streamsOut),
-		numbers: newNumbers(), reach: s.Reach, changed: make(chan struct{}), generation: generation}
+	f := &Fleet{
+		Settings: s, Log: log, start: time.Now(), limit: rate.NewLimiter(bytesOut, bytesBurst), out: semaphore.NewWeighted(streamsOut),
+		numbers: newNumbers(), reach: s.Reach, changed: make(chan struct{}), generation: generation,
+	}
 	var drawn [16]byte
 	_, _ = rand.Read(drawn[:])
 	f.boot = binary.BigEndian.Uint64(drawn[:8]) | 1
@@ -184,8 +187,10 @@
 		}
 	}
 	f.kept = remembered
-	f.machine = membership.New(membership.Settings{Name: s.Name, Address: f.Address, Zone: s.Zone, Peers: s.Peers, Boot: f.boot,
-		Seed: binary.BigEndian.Uint64(drawn[8:]), Wire: s.Wire, Generation: generation, Interval: s.Pace, Remembered: remembered}, 0)
+	f.machine = membership.New(membership.Settings{
+		Name: s.Name, Address: f.Address, Zone: s.Zone, Peers: s.Peers, Boot: f.boot,
+		Seed: binary.BigEndian.Uint64(drawn[8:]), Wire: s.Wire, Generation: generation, Interval: s.Pace, Remembered: remembered,
+	}, 0)
 	f.holding.holder = lease.NewHolder(s.Name, f.boot, s.Zone, 0)
 	if s.Budgets != nil {
 		f.beginSpending()
@@ -505,8 +510,10 @@
 // takers says who takes messages of each kind.
 func (f *Fleet) takers() map[byte]func(boot uint64, text []byte) {
 	by := func(take func([]byte)) func(uint64, []byte) { return func(_ uint64, text []byte) { take(text) } }
-	takes := map[byte]func(uint64, []byte){sealedMessage: f.takeMessage, sealedTurn: by(f.takeTurn), sealedAnswer: by(f.takeAnswer),
-		sealedSpend: by(f.takeQuestion), sealedGive: by(f.takeGive)}
+	takes := map[byte]func(uint64, []byte){
+		sealedMessage: f.takeMessage, sealedTurn: by(f.takeTurn), sealedAnswer: by(f.takeAnswer),
+		sealedSpend: by(f.takeQuestion), sealedGive: by(f.takeGive),
+	}
 	if f.voter != nil {
 		takes[sealedRaft] = by(f.voter.take)
 	}
--- a/internal/cluster/follow.go
+++ b/internal/cluster/follow.go
@@ -2,15 +2,14 @@
 
 import (
 	"context"
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/membership"
+	"elderwall/core/cluster/replication"
 	"errors"
 	mrand "math/rand/v2"
 	"slices"
 	"sync"
 	"time"
-
-	"elderwall/core/cluster/channel"
-	"elderwall/core/cluster/membership"
-	"elderwall/core/cluster/replication"
 )
 
 const (
@@ -81,10 +80,12 @@
 }
 
 func newFollowing(f *Fleet) *following {
-	w := &following{fleet: f, wake: make(chan struct{}, 1), stale: make(chan struct{}, 1), outs: make(chan replication.Outcome, mostOutcome),
+	w := &following{
+		fleet: f, wake: make(chan struct{}, 1), stale: make(chan struct{}, 1), outs: make(chan replication.Outcome, mostOutcome),
 		publish: make(chan struct{}, mostPublish), machine: channel.New(f.Name, f.boot), waits: map[writing][]chan channel.Ack{},
 		orders: map[string]channel.Declaration{}, holders: map[string]holderAt{}, puts: map[replication.Dot]uint64{}, held: map[string]uint64{}, marked: map[string]uint64{},
-		proposing: map[string]bool{}, ended: make(chan proposed, 2*mostProposing), mismatch: map[string]bool{}}
+		proposing: map[string]bool{}, ended: make(chan proposed, 2*mostProposing), mismatch: map[string]bool{},
+	}
 	for range pumps {
 		w.pumps = append(w.pumps, newPump(w))
 	}
--- a/internal/cluster/follow_figures_test.go
+++ b/internal/cluster/follow_figures_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"elderwall/core/cluster/channel"
+	"elderwall/internal/chart"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -14,9 +16,6 @@
 	"time"
 
 	"github.com/stretchr/testify/require"
-
-	"elderwall/core/cluster/channel"
-	"elderwall/internal/chart"
 )
 
 // TestChannelFigures measures messages a second and lateness by order and readers, through a kill; it prints a table and draws a chart.
--- a/internal/cluster/follow_test.go
+++ b/internal/cluster/follow_test.go
@@ -2,6 +2,11 @@
 
 import (
 	"context"
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/purgefloor"
+	"elderwall/core/cluster/replication"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/processes"
 	"errors"
 	"fmt"
 	"maps"
@@ -18,12 +23,6 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/core/cluster/channel"
-	"elderwall/core/cluster/purgefloor"
-	"elderwall/core/cluster/replication"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/processes"
 )
 
 // channelRig is dispatchers that keep channels; its readers and writers keep what they saw and sent, and share no code with what puts it in order.
--- a/internal/cluster/hold.go
+++ b/internal/cluster/hold.go
@@ -2,6 +2,9 @@
 
 import (
 	"context"
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/lease"
+	"elderwall/internal/cluster/raftvoter"
 	"errors"
 	"fmt"
 	mrand "math/rand/v2"
@@ -9,10 +12,6 @@
 	"time"
 
 	"golang.org/x/sys/unix"
-
-	"elderwall/core/cluster/channel"
-	"elderwall/core/cluster/lease"
-	"elderwall/internal/cluster/raftvoter"
 )
 
 const (
@@ -38,14 +37,14 @@
 // turnMessage is a dispatcher's question with where its answer goes.
 type turnMessage struct {
 	Turn lease.Turn `cbor:"1,keyasint"`
-	From string      `cbor:"2,keyasint"`
+	From string     `cbor:"2,keyasint"`
 }
 
 // answerMessage is its answer.
 type answerMessage struct {
-	ID     uint64         `cbor:"1,keyasint"`
-	OK     bool           `cbor:"2,keyasint"`
-	Leader string         `cbor:"3,keyasint"`
+	ID     uint64        `cbor:"1,keyasint"`
+	OK     bool          `cbor:"2,keyasint"`
+	Leader string        `cbor:"3,keyasint"`
 	Leases []lease.Lease `cbor:"4,keyasint"`
 }
 
--- a/internal/cluster/memory.go
+++ b/internal/cluster/memory.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"elderwall/core/cluster/replication"
 	"encoding/binary"
 	"errors"
 	"fmt"
@@ -9,8 +10,6 @@
 	"path/filepath"
 	"slices"
 	"time"
-
-	"elderwall/core/cluster/replication"
 )
 
 // store is the disk of the fleet's memory: what a replica machine wants saved, in records.
--- a/internal/cluster/memory_test.go
+++ b/internal/cluster/memory_test.go
@@ -1,6 +1,11 @@
 package cluster
 
 import (
+	"elderwall/core/cluster/membership"
+	"elderwall/core/cluster/purgefloor"
+	"elderwall/core/cluster/replication"
+	"elderwall/core/cluster/variant"
+	"elderwall/internal/standin/need"
 	"encoding/binary"
 	"fmt"
 	"os"
@@ -9,12 +14,6 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/core/cluster/purgefloor"
-	"elderwall/core/cluster/membership"
-	"elderwall/core/cluster/replication"
-	"elderwall/core/cluster/variant"
-	"elderwall/internal/standin/need"
 )
 
 // What a machine wants saved comes back as one upon the other; a spoilt file is put aside and told.
@@ -26,18 +25,24 @@
 	record := func(key, value string, number uint64) replication.Carried {
 		return replication.Carried{Record: replication.Record{Kind: 3, Key: key, Value: []byte(value), Dot: replication.Dot{Writer: "n0", Era: 1, Number: number}}}
 	}
-	require.NoError(t, s.save(&replication.Save{Era: 4, Sync: true, Records: []replication.Carried{record("a", "one", 1), record("\x80\xff", "none", 2), record("c", "", 3)},
-		Vector: []replication.Entry{{Writer: "n0", Era: 1, Number: 3}, {Writer: "n0", Era: 2, Number: 1}}}))
-	require.NoError(t, s.save(&replication.Save{Records: []replication.Carried{record("a", "two", 4)}, Drops: []replication.Name{{Kind: 3, Key: "c"}},
-		Vector: []replication.Entry{{Writer: "n0", Era: 2, Number: 2, Floor: true}}, Folded: []replication.Entry{{Writer: "n0", Era: 1}}}))
+	require.NoError(t, s.save(&replication.Save{
+		Era: 4, Sync: true, Records: []replication.Carried{record("a", "one", 1), record("\x80\xff", "none", 2), record("c", "", 3)},
+		Vector: []replication.Entry{{Writer: "n0", Era: 1, Number: 3}, {Writer: "n0", Era: 2, Number: 1}},
+	}))
+	require.NoError(t, s.save(&replication.Save{
+		Records: []replication.Carried{record("a", "two", 4)}, Drops: []replication.Name{{Kind: 3, Key: "c"}},
+		Vector: []replication.Entry{{Writer: "n0", Era: 2, Number: 2, Floor: true}}, Folded: []replication.Entry{{Writer: "n0", Era: 1}},
+	}))
 	_, _, err = openStore(folder)
 	assert.Error(t, err, "another has it")
 	require.NoError(t, s.close())
 	s, saved, err = openStore(folder)
 	require.NoError(t, err)
 	assert.Less(t, saved.Away, 60.0)
-	assert.Equal(t, &replication.Saved{Era: 4, Away: saved.Away, Vector: replication.Vector{{Writer: "n0", Era: 2, Number: 2, Floor: true}},
-		Records: []replication.Carried{record("a", "two", 4), record("\x80\xff", "none", 2)}}, saved)
+	assert.Equal(t, &replication.Saved{
+		Era: 4, Away: saved.Away, Vector: replication.Vector{{Writer: "n0", Era: 2, Number: 2, Floor: true}},
+		Records: []replication.Carried{record("a", "two", 4), record("\x80\xff", "none", 2)},
+	}, saved)
 	require.NoError(t, s.close())
 	path := filepath.Join(folder, recordsFile)
 	require.NoError(t, os.Truncate(path, 9000))
@@ -69,8 +74,10 @@
 		rising [][]byte
 	}{
 		"floors": {"the later purge, by the change log's own word", [][]byte{floor(1000), floor(1001), floor(70_000)}},
-		"variants": {"the higher generation; then contrary over agreeing; then more splits; then the class declared first",
-			[][]byte{fact(1, true, 9, 1), fact(2, false, 9, 2), fact(2, false, 9, 1), fact(2, true, 1, 0), fact(2, true, 2, 0)}},
+		"variants": {
+			"the higher generation; then contrary over agreeing; then more splits; then the class declared first",
+			[][]byte{fact(1, true, 9, 1), fact(2, false, 9, 2), fact(2, false, 9, 1), fact(2, true, 1, 0), fact(2, true, 2, 0)},
+		},
 		"entry":  {"let go over there; then the higher stamp", [][]byte{numbers(3, 1), numbers(300, 1), nil}},
 		"writer": {"the higher epoch; then the higher number", [][]byte{numbers(1, 9), numbers(2, 1), numbers(2, 300)}},
 		"test":   {"the higher bytes", [][]byte{[]byte("a"), []byte("b")}},
--- a/internal/cluster/processes_test.go
+++ b/internal/cluster/processes_test.go
@@ -4,6 +4,9 @@
 	"cmp"
 	"context"
 	"crypto/rand"
+	"elderwall/internal/contract"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/processes"
 	"encoding/json"
 	"errors"
 	"flag"
@@ -20,10 +23,6 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/contract"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/processes"
 )
 
 func TestMain(m *testing.M) {
@@ -278,7 +277,8 @@
 func TestOneHearsAndIsNotHeardOrTheOtherWay(t *testing.T) {
 	for name, f := range map[string]processes.Fault{
 		"it is not heard": {What: processes.CutOff, A: []int{4}},
-		"it hears nobody": {What: processes.CutOff, A: []int{0, 1, 2, 3}, B: []int{4}}} {
+		"it hears nobody": {What: processes.CutOff, A: []int{0, 1, 2, 3}, B: []int{4}},
+	} {
 		t.Run(name, func(t *testing.T) {
 			m := start(t, 5)
 			m.Begin(f)
@@ -301,7 +301,8 @@
 		"in two":              {7, [][]int{{0, 1, 2, 3}, {4, 5, 6}}, []string{"majority", "minority"}, 5},
 		"in halves":           {6, [][]int{{0, 1, 2}, {3, 4, 5}}, []string{"minority", "minority"}, -1},
 		"in three":            {7, [][]int{{0, 1, 2}, {3, 4}, {5, 6}}, []string{"minority", "minority", "minority"}, -1},
-		"one from all others": {5, [][]int{{0, 1, 2, 3}, {4}}, []string{"majority", "alone"}, -1}} {
+		"one from all others": {5, [][]int{{0, 1, 2, 3}, {4}}, []string{"majority", "alone"}, -1},
+	} {
 		t.Run(name, func(t *testing.T) {
 			m := start(t, tt.n)
 			for _, part := range tt.parts {
@@ -328,7 +329,8 @@
 	for name, faults := range map[string][]processes.Fault{
 		"three in ten are lost":          {{What: processes.Lose, Amount: 0.3}},
 		"doubled, late and out of order": {{What: processes.Double, Amount: 0.5}, {What: processes.Reorder, Amount: 0.05}},
-		"one bad link condemns nobody":   {{What: processes.Lose, A: []int{0}, B: []int{1}, Amount: 1}}} {
+		"one bad link condemns nobody":   {{What: processes.Lose, A: []int{0}, B: []int{1}, Amount: 1}},
+	} {
 		t.Run(name, func(t *testing.T) {
 			m := start(t, 5)
 			for _, f := range faults {
--- a/internal/cluster/promised_test.go
+++ b/internal/cluster/promised_test.go
@@ -2,6 +2,9 @@
 
 import (
 	"context"
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/replication"
+	"elderwall/internal/standin/processes"
 	"errors"
 	"fmt"
 	"strings"
@@ -10,10 +13,6 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/core/cluster/channel"
-	"elderwall/core/cluster/replication"
-	"elderwall/internal/standin/processes"
 )
 
 // What the table in docs/members.md promises a writer, heard by writers at real processes: in a majority, in a minority of two, and of one that is
--- a/internal/cluster/publish.go
+++ b/internal/cluster/publish.go
@@ -3,14 +3,13 @@
 import (
 	"bufio"
 	"context"
+	"elderwall/core/cluster/channel"
 	"errors"
 	"fmt"
 	"net"
 	"sync/atomic"
 	"syscall"
 	"time"
-
-	"elderwall/core/cluster/channel"
 )
 
 const mostWrites = 256 // entries of a question
@@ -21,8 +20,10 @@
 var ErrUnsure = errors.New("not known to be kept: send it again")
 
 // reasons are errors by the words that they have on the wire.
-var reasons = map[string]error{"channel": channel.ErrChannel, "skips": channel.ErrSkips, "after": channel.ErrAfter, "full": channel.ErrFull, "cut": channel.ErrCut,
-	"more": channel.ErrMore, "writers": channel.ErrWriters, "token": channel.ErrToken, "ended": channel.ErrEnded, "forgotten": channel.ErrForgotten, "entry": channel.ErrEntry, "unsure": ErrUnsure}
+var reasons = map[string]error{
+	"channel": channel.ErrChannel, "skips": channel.ErrSkips, "after": channel.ErrAfter, "full": channel.ErrFull, "cut": channel.ErrCut,
+	"more": channel.ErrMore, "writers": channel.ErrWriters, "token": channel.ErrToken, "ended": channel.ErrEnded, "forgotten": channel.ErrForgotten, "entry": channel.ErrEntry, "unsure": ErrUnsure,
+}
 
 func reasonOf(err error) string {
 	for word, is := range reasons {
--- a/internal/cluster/pump.go
+++ b/internal/cluster/pump.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"elderwall/core/cluster/channel"
 	"encoding/binary"
 	"net"
 	"slices"
@@ -10,8 +11,6 @@
 	"time"
 
 	"golang.org/x/sys/unix"
-
-	"elderwall/core/cluster/channel"
 )
 
 const (
@@ -168,13 +167,13 @@
 type wireNote struct {
 	Word       channel.Word   `cbor:"1,keyasint"`
 	Entry      *channel.Entry `cbor:"2,keyasint,omitempty"`
-	Position   string          `cbor:"3,keyasint,omitempty"`
-	From       uint64          `cbor:"4,keyasint,omitempty"`
-	To         uint64          `cbor:"5,keyasint,omitempty"`
-	Writer     string          `cbor:"6,keyasint,omitempty"`
-	Where      []string        `cbor:"7,keyasint,omitempty"`
-	Generation uint64          `cbor:"8,keyasint,omitempty"`
-	Late       bool            `cbor:"9,keyasint,omitempty"`
+	Position   string         `cbor:"3,keyasint,omitempty"`
+	From       uint64         `cbor:"4,keyasint,omitempty"`
+	To         uint64         `cbor:"5,keyasint,omitempty"`
+	Writer     string         `cbor:"6,keyasint,omitempty"`
+	Where      []string       `cbor:"7,keyasint,omitempty"`
+	Generation uint64         `cbor:"8,keyasint,omitempty"`
+	Late       bool           `cbor:"9,keyasint,omitempty"`
 }
 
 const mostWhere = 8 // dispatchers that a reader is told to go to
--- a/internal/cluster/purges.go
+++ b/internal/cluster/purges.go
@@ -1,14 +1,13 @@
 package cluster
 
 import (
+	"elderwall/core/cluster/purgefloor"
+	"elderwall/core/cluster/replication"
+	"elderwall/internal/clock"
 	"errors"
 	"time"
 
 	lru "github.com/hashicorp/golang-lru/v2/simplelru"
-
-	"elderwall/core/cluster/purgefloor"
-	"elderwall/core/cluster/replication"
-	"elderwall/internal/clock"
 )
 
 const (
@@ -22,7 +21,7 @@
 type purges struct {
 	memory *memory
 	take   func(purgefloor.Floor) // nil where nobody takes them
-	gone   float64            // s after which no copy is left that is older
+	gone   float64                // s after which no copy is left that is older
 
 	seen  *lru.LRU[string, sighting] // the tidier's own
 	heard *lru.LRU[string, int64]    // under the memory's lock, as are the next two
--- a/internal/cluster/raftvoter/council.go
+++ b/internal/cluster/raftvoter/council.go
@@ -4,6 +4,9 @@
 package raftvoter
 
 import (
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/lease"
+	"elderwall/core/cluster/quota"
 	"encoding/binary"
 	"errors"
 	"fmt"
@@ -14,10 +17,6 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"go.etcd.io/raft/v3/tracker"
 	"google.golang.org/protobuf/proto"
-
-	"elderwall/core/cluster/quota"
-	"elderwall/core/cluster/channel"
-	"elderwall/core/cluster/lease"
 )
 
 // Figures.
@@ -123,10 +122,10 @@
 
 // entry is what an entry of the log holds.
 type entry struct {
-	By       uint64            `cbor:"1,keyasint"`
-	Number   uint64            `cbor:"2,keyasint"`
+	By       uint64           `cbor:"1,keyasint"`
+	Number   uint64           `cbor:"2,keyasint"`
 	Commands []lease.Command  `cbor:"3,keyasint"`
-	Ledger   *quota.Command  `cbor:"4,keyasint,omitempty"`
+	Ledger   *quota.Command   `cbor:"4,keyasint,omitempty"`
 	Channels *channel.Command `cbor:"5,keyasint,omitempty"`
 }
 
@@ -162,8 +161,10 @@
 
 // New makes a voter of what its disk has. One whose disk has no log is none until the leader takes it in.
 func New(kept Kept, disk Disk, now float64, logger raft.Logger) (*Machine, error) {
-	m := &Machine{id: kept.ID, disk: disk, storage: raft.NewMemoryStorage(), state: lease.NewState(), ledger: quota.NewLedger(), channels: channel.NewLedger(), now: now, ticked: now,
-		number: uint64(kept.Era) << 32, reads: map[uint64]float64{}, conf: &pb.ConfState{}}
+	m := &Machine{
+		id: kept.ID, disk: disk, storage: raft.NewMemoryStorage(), state: lease.NewState(), ledger: quota.NewLedger(), channels: channel.NewLedger(), now: now, ticked: now,
+		number: uint64(kept.Era) << 32, reads: map[uint64]float64{}, conf: &pb.ConfState{},
+	}
 	if kept.Snapshot != nil && !raft.IsEmptySnap(kept.Snapshot) {
 		if err := m.storage.ApplySnapshot(kept.Snapshot); err != nil {
 			return nil, fmt.Errorf("snapshot: %w", err)
@@ -181,9 +182,11 @@
 		return nil, fmt.Errorf("log: %w", err)
 	}
 	m.granter = lease.NewGranter(m.state)
-	node, err := raft.NewRawNode(&raft.Config{ID: kept.ID, ElectionTick: election, HeartbeatTick: heartbeat, Storage: m.storage, Applied: m.applied,
+	node, err := raft.NewRawNode(&raft.Config{
+		ID: kept.ID, ElectionTick: election, HeartbeatTick: heartbeat, Storage: m.storage, Applied: m.applied,
 		MaxSizePerMsg: mostBytes, MaxInflightMsgs: mostInflight, MaxUncommittedEntriesSize: mostUnapplied, CheckQuorum: true, PreVote: true,
-		ReadOnlyOption: raft.ReadOnlySafe, Logger: logger, DisableProposalForwarding: true, StepDownOnRemoval: true})
+		ReadOnlyOption: raft.ReadOnlySafe, Logger: logger, DisableProposalForwarding: true, StepDownOnRemoval: true,
+	})
 	if err != nil {
 		return nil, fmt.Errorf("voter: %w", err)
 	}
@@ -242,8 +245,10 @@
 // Status tells how it stands.
 func (m *Machine) Status() Status {
 	basic := m.node.BasicStatus()
-	s := Status{ID: m.id, Leader: m.leader, Term: basic.GetTerm(), Commit: basic.GetCommit(), Applied: m.applied, Voters: m.conf.GetVoters(),
-		Learners: m.conf.GetLearners(), Match: map[uint64]uint64{}}
+	s := Status{
+		ID: m.id, Leader: m.leader, Term: basic.GetTerm(), Commit: basic.GetCommit(), Applied: m.applied, Voters: m.conf.GetVoters(),
+		Learners: m.conf.GetLearners(), Match: map[uint64]uint64{},
+	}
 	if m.broken != nil {
 		s.Broken = m.broken.Error()
 	}
@@ -627,8 +632,10 @@
 
 // change proposes one change of who votes.
 func (m *Machine) change(c lease.Change) {
-	kind, ok := map[lease.ChangeKind]pb.ConfChangeType{lease.AddLearner: pb.ConfChangeType_ConfChangeAddLearnerNode,
-		lease.Promote: pb.ConfChangeType_ConfChangeAddNode, lease.Remove: pb.ConfChangeType_ConfChangeRemoveNode}[c.Kind]
+	kind, ok := map[lease.ChangeKind]pb.ConfChangeType{
+		lease.AddLearner: pb.ConfChangeType_ConfChangeAddLearnerNode,
+		lease.Promote:    pb.ConfChangeType_ConfChangeAddNode, lease.Remove: pb.ConfChangeType_ConfChangeRemoveNode,
+	}[c.Kind]
 	if !ok {
 		return
 	}
--- a/internal/cluster/raftvoter/sim_test.go
+++ b/internal/cluster/raftvoter/sim_test.go
@@ -1,6 +1,10 @@
 package raftvoter
 
 import (
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/lease"
+	"elderwall/core/cluster/quota"
+	"elderwall/internal/standin/need"
 	"errors"
 	"fmt"
 	"io"
@@ -16,11 +20,6 @@
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
-
-	"elderwall/core/cluster/quota"
-	"elderwall/core/cluster/channel"
-	"elderwall/core/cluster/lease"
-	"elderwall/internal/standin/need"
 )
 
 // sim is a council, dispatchers that stand for duties, and what takes their acts, on one clock: a schedule of faults is drawn
@@ -95,9 +94,9 @@
 var quietLog = &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
 
 const (
-	voters  = 5
-	players = 6
-	step    = 0.01
+	voters    = 5
+	players   = 6
+	step      = 0.01
 	leaseTime = 1.0
 )
 
@@ -298,8 +297,10 @@
 		if _, own := p.asked[a.ID]; !own { // of the process that was there before
 			break
 		}
-		p.sim.history = append(p.sim.history, porcupine.Operation{ClientId: p.index, Input: l.Duty, Output: grant{l.Token, p.index, p.boot},
-			Call: int64(1e6 * p.asked[a.ID]), Return: int64(1e6 * p.sim.now)})
+		p.sim.history = append(p.sim.history, porcupine.Operation{
+			ClientId: p.index, Input: l.Duty, Output: grant{l.Token, p.index, p.boot},
+			Call: int64(1e6 * p.asked[a.ID]), Return: int64(1e6 * p.sim.now),
+		})
 	}
 	for _, l := range a.Leases {
 		p.tokens[l.Duty] = l.Token
@@ -467,7 +468,8 @@
 		is, told := state.(grant), output.(grant)
 		return told == is || told.token > is.token, told
 	},
-	Equal: func(a, b any) bool { return a == b }}
+	Equal: func(a, b any) bool { return a == b },
+}
 
 // ordered checks what was taken: never a lower token after a higher, never one token from two.
 func (s *sim) ordered() (wrong []string) {
@@ -502,8 +504,10 @@
 
 // trouble draws what goes wrong now.
 func (s *sim) trouble() {
-	if s.fault != "" && s.chance.IntN(3) > 0 && slices.Contains([]string{"votes are not synced", "a new leader counts nothing anew", "an old copy of a disk votes on", "no majority is asked",
-		"the log is not synced"}, s.fault) {
+	if s.fault != "" && s.chance.IntN(3) > 0 && slices.Contains([]string{
+		"votes are not synced", "a new leader counts nothing anew", "an old copy of a disk votes on", "no majority is asked",
+		"the log is not synced",
+	}, s.fault) {
 		s.elections()
 		return
 	}
@@ -625,8 +629,10 @@
 
 // The checkers see what is put in on purpose.
 func TestTheCheckersFindFaults(t *testing.T) {
-	for _, fault := range []string{"votes are not synced", "the log is not synced", "a disk is lost and the voter votes on", "a lease is counted from the answer",
-		"the guard is asked once", "a new leader counts nothing anew", "a lease is ended early", "an old copy of a disk votes on", "tokens are not looked at", "clocks drift by far more than stated"} {
+	for _, fault := range []string{
+		"votes are not synced", "the log is not synced", "a disk is lost and the voter votes on", "a lease is counted from the answer",
+		"the guard is asked once", "a new leader counts nothing anew", "a lease is ended early", "an old copy of a disk votes on", "tokens are not looked at", "clocks drift by far more than stated",
+	} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			most := 300
--- a/internal/cluster/recall.go
+++ b/internal/cluster/recall.go
@@ -3,6 +3,11 @@
 import (
 	"context"
 	"crypto/rand"
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/membership"
+	"elderwall/core/cluster/purgefloor"
+	"elderwall/core/cluster/replication"
+	"elderwall/core/cluster/variant"
 	"encoding/binary"
 	"errors"
 	"path/filepath"
@@ -11,12 +16,6 @@
 
 	"github.com/fxamacker/cbor/v2"
 	"golang.org/x/time/rate"
-
-	"elderwall/core/cluster/channel"
-	"elderwall/core/cluster/purgefloor"
-	"elderwall/core/cluster/membership"
-	"elderwall/core/cluster/replication"
-	"elderwall/core/cluster/variant"
 )
 
 // Defaults of the fleet's memory.
@@ -71,9 +70,11 @@
 
 func newMemory(f *Fleet) *memory {
 	out := rate.Limit(bytesOut + f.Memory.Rate)
-	m := &memory{fleet: f, limit: rate.NewLimiter(out, bytesBurst), wake: make(chan struct{}, 1), stale: make(chan struct{}, 1),
+	m := &memory{
+		fleet: f, limit: rate.NewLimiter(out, bytesBurst), wake: make(chan struct{}, 1), stale: make(chan struct{}, 1),
 		kinds: append([]replication.Kind{purgefloor.Kind(), variant.Kind()}, faultKinds...), waits: map[replication.Dot]chan replication.Outcome{},
-		follow: map[uint8][]func([]replication.Record){}, names: map[uint64]string{}}
+		follow: map[uint8][]func([]replication.Record){}, names: map[uint64]string{},
+	}
 	for _, k := range channel.Kinds() {
 		k.Longest = min(k.Longest, replication.MostLongest)
 		m.kinds = append(m.kinds, k)
--- a/internal/cluster/recall_test.go
+++ b/internal/cluster/recall_test.go
@@ -3,6 +3,11 @@
 import (
 	"bytes"
 	"context"
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/purgefloor"
+	"elderwall/core/cluster/replication"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/processes"
 	"encoding/binary"
 	"errors"
 	"fmt"
@@ -22,12 +27,6 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sync/errgroup"
-
-	"elderwall/core/cluster/channel"
-	"elderwall/core/cluster/purgefloor"
-	"elderwall/core/cluster/replication"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/processes"
 )
 
 const testKind = 250 // of a program built with faults: synced, the higher bytes stand
--- a/internal/cluster/report.go
+++ b/internal/cluster/report.go
@@ -2,11 +2,10 @@
 
 import (
 	"context"
+	"elderwall/core/cluster/lease"
 	"time"
 
 	"golang.org/x/sync/errgroup"
-
-	"elderwall/core/cluster/lease"
 )
 
 // Report is the duty to write one summary of the fleet's counters now and then.
--- a/internal/cluster/seal.go
+++ b/internal/cluster/seal.go
@@ -3,6 +3,7 @@
 import (
 	"crypto/cipher"
 	"crypto/rand"
+	"elderwall/core/cluster/membership"
 	"encoding/base64"
 	"encoding/binary"
 	"errors"
@@ -13,15 +14,13 @@
 
 	lru "github.com/hashicorp/golang-lru/v2/simplelru"
 	"golang.org/x/crypto/chacha20poly1305"
-
-	"elderwall/core/cluster/membership"
 )
 
 const (
 	mostKeys   = 2                    // the one that seals, and one that is on its way in or out
 	longestKey = 1 << 12              // bytes of a key file
 	window     = 1024                 // numbers behind the highest that may still come: datagrams overtake streams
-	starts     = 2 * membership.Most     // processes whose numbers are remembered
+	starts     = 2 * membership.Most  // processes whose numbers are remembered
 	headLength = 1 + 8 + 8            // kind, boot, number: in the clear, and sealed with the rest
 	sealLength = headLength + 24 + 16 // and the nonce and the tag
 )
--- a/internal/cluster/tell.go
+++ b/internal/cluster/tell.go
@@ -2,9 +2,8 @@
 
 import (
 	"bytes"
-	"time"
-
 	"elderwall/core/cluster/channel"
+	"time"
 )
 
 // Channels that the fleet writes to by itself.
--- a/internal/cluster/transport_test.go
+++ b/internal/cluster/transport_test.go
@@ -3,6 +3,9 @@
 import (
 	"bufio"
 	"context"
+	"elderwall/core/cluster/channel"
+	"elderwall/internal/contract"
+	"elderwall/internal/standin/need"
 	"encoding/base64"
 	"io"
 	"net"
@@ -16,10 +19,6 @@
 	"github.com/stretchr/testify/require"
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
-
-	"elderwall/core/cluster/channel"
-	"elderwall/internal/contract"
-	"elderwall/internal/standin/need"
 )
 
 const (
@@ -33,7 +32,8 @@
 	{Name: "streams", Pair: pairOf(anyKind, true), Longest: longestStream - sealLength, Unordered: eachAlone},
 	{Name: "council's", Pair: pairOf(sealedRaft, false), Longest: longestStream - sealLength - raftHead - 32, Over: 64, Unordered: eachAlone},
 	{Name: "questions", Pair: questions, Longest: longestAsk*3/4 - 256, Over: 1 << 10, Flood: 500},
-	{Name: "a reader's notes", Pair: notes, Longest: channel.MostBody}}
+	{Name: "a reader's notes", Pair: notes, Longest: channel.MostBody},
+}
 
 const eachAlone = "each is a datagram or a stream of its own; the machines number what needs an order"
 
--- a/internal/cluster/user_test.go
+++ b/internal/cluster/user_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-
 	"elderwall/client"
 	"elderwall/core/cluster/channel"
 	"elderwall/internal/cluster"
@@ -25,9 +24,11 @@
 				return p.Publish(ctx, all...)
 			}
 		}
-		return cluster.User{Follow: f.Follow, Declare: func(ctx context.Context, d channel.Declaration) error { return f.Declare(ctx, d) }, After: after,
+		return cluster.User{
+			Follow: f.Follow, Declare: func(ctx context.Context, d channel.Declaration) error { return f.Declare(ctx, d) }, After: after,
 			Writer: func(channel, writer string) func(context.Context, string, ...string) error {
 				return after(channel, writer, nil)
-			}}
+			},
+		}
 	}
 }
--- a/internal/cluster/variants_test.go
+++ b/internal/cluster/variants_test.go
@@ -2,6 +2,11 @@
 
 import (
 	"context"
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/variant"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/processes"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -16,12 +21,6 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/core/cluster/channel"
-	"elderwall/core/cluster/variant"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/processes"
 )
 
 // fill is what a host keeps of a class: the bytes, and the state of the object that they are of.
@@ -183,7 +182,7 @@
 func (h *holder) Facts(int) (f []variant.Fact)      { f, h.fact = h.fact, nil; return f }
 func (*holder) Learn(float64, []variant.Fact)       {}
 func (*holder) Keep(_ *variant.Fact, own bool) bool { return !own }
-func (*holder) Peers(int)                            {}
+func (*holder) Peers(int)                           {}
 func (*holder) Notices() []variant.Notice           { return []variant.Notice{{Class: 1}} }
 
 // What is told is written; what its teller does not keep is deleted, so that the kind's bound holds.
--- a/internal/cluster/voter.go
+++ b/internal/cluster/voter.go
@@ -3,6 +3,11 @@
 import (
 	"context"
 	"crypto/rand"
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/lease"
+	"elderwall/core/cluster/membership"
+	"elderwall/core/cluster/quota"
+	"elderwall/internal/cluster/raftvoter"
 	"encoding/binary"
 	"errors"
 	"fmt"
@@ -17,12 +22,6 @@
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
-
-	"elderwall/core/cluster/quota"
-	"elderwall/core/cluster/channel"
-	"elderwall/core/cluster/lease"
-	"elderwall/core/cluster/membership"
-	"elderwall/internal/cluster/raftvoter"
 )
 
 const (
@@ -51,7 +50,7 @@
 	folder   string
 	disk     *disk
 	machine  *raftvoter.Machine // nil before it takes part
-	admitted bool             // others have said that the disk is no old copy
+	admitted bool               // others have said that the disk is no old copy
 	asked    time.Time
 	bumped   time.Time
 	opened   time.Time // when the disk was last opened anew
@@ -169,8 +168,10 @@
 	if !v.admitted { // guards against a leader that books the new era before this one has asked about it: it would pass for an old copy
 		era--
 	}
-	s := &known{Status: v.machine.Status(), Vote: membership.Vote{ID: k.ID, Council: k.Council, Era: era, Recovery: k.Recovery}, Leader: v.machine.Leader(),
-		Admit: v.admitted, Applied: v.machine.Applied()}
+	s := &known{
+		Status: v.machine.Status(), Vote: membership.Vote{ID: k.ID, Council: k.Council, Era: era, Recovery: k.Recovery}, Leader: v.machine.Leader(),
+		Admit: v.admitted, Applied: v.machine.Applied(),
+	}
 	if was := v.known.Load(); was.Applied == s.Applied && was.Vote.ID == k.ID { // nothing has changed since
 		s.State = was.State
 	} else {
--- a/internal/cluster/wire.go
+++ b/internal/cluster/wire.go
@@ -1,12 +1,11 @@
 package cluster
 
 import (
+	"elderwall/core/cluster/membership"
 	"errors"
 	"fmt"
 
 	"github.com/fxamacker/cbor/v2"
-
-	"elderwall/core/cluster/membership"
 )
 
 // Versions of the wire. Each process tells its own in its record, and reads both.
@@ -18,19 +17,19 @@
 
 // record is a member on the wire. Fields are numbered; a reader passes over numbers that it does not know.
 type record struct {
-	Name        string       `cbor:"1,keyasint"`
-	Address     string       `cbor:"2,keyasint"`
-	Zone        string       `cbor:"3,keyasint,omitempty"`
-	Boot        uint64       `cbor:"4,keyasint"`
-	Incarnation uint64       `cbor:"5,keyasint"`
-	State       uint8        `cbor:"6,keyasint,omitempty"`
-	By          string       `cbor:"7,keyasint,omitempty"`
-	Wire        uint8        `cbor:"8,keyasint,omitempty"`
-	Version     uint32       `cbor:"9,keyasint,omitempty"`
-	Generation  uint32       `cbor:"10,keyasint,omitempty"`
+	Name        string          `cbor:"1,keyasint"`
+	Address     string          `cbor:"2,keyasint"`
+	Zone        string          `cbor:"3,keyasint,omitempty"`
+	Boot        uint64          `cbor:"4,keyasint"`
+	Incarnation uint64          `cbor:"5,keyasint"`
+	State       uint8           `cbor:"6,keyasint,omitempty"`
+	By          string          `cbor:"7,keyasint,omitempty"`
+	Wire        uint8           `cbor:"8,keyasint,omitempty"`
+	Version     uint32          `cbor:"9,keyasint,omitempty"`
+	Generation  uint32          `cbor:"10,keyasint,omitempty"`
 	Load        membership.Load `cbor:"11,keyasint,omitempty"`
-	Counted     bool         `cbor:"12,keyasint,omitempty"`
-	Vote        *vote        `cbor:"13,keyasint,omitempty"`
+	Counted     bool            `cbor:"12,keyasint,omitempty"`
+	Vote        *vote           `cbor:"13,keyasint,omitempty"`
 }
 
 // vote is what a voter tells of itself.
@@ -94,8 +93,10 @@
 }
 
 func recordOf(m *membership.Member, wire uint8) record {
-	r := record{Name: m.Name, Address: m.Address, Zone: m.Zone, Boot: m.Boot, Incarnation: m.Incarnation, State: uint8(m.State), By: m.By,
-		Wire: m.Wire}
+	r := record{
+		Name: m.Name, Address: m.Address, Zone: m.Zone, Boot: m.Boot, Incarnation: m.Incarnation, State: uint8(m.State), By: m.By,
+		Wire: m.Wire,
+	}
 	if wire >= Wire2 {
 		r.Version, r.Generation, r.Load, r.Counted = m.Version, m.Generation, m.Load, m.Counted
 		if v := m.Vote; v.ID != 0 {
@@ -114,8 +115,10 @@
 	if in.Wire == 0 || in.Kind == 0 || in.Kind > uint8(membership.Refused) || in.From.Name == "" || in.From.Address == "" {
 		return m, errMessage
 	}
-	m = membership.Message{Kind: membership.Kind(in.Kind), From: in.From.member(), Seq: in.Seq, Wants: in.Wants, Digest: in.Digest, Sees: in.Sees,
-		Fleet: in.Fleet, Reference: in.Reference, Of: in.Of}
+	m = membership.Message{
+		Kind: membership.Kind(in.Kind), From: in.From.member(), Seq: in.Seq, Wants: in.Wants, Digest: in.Digest, Sees: in.Sees,
+		Fleet: in.Fleet, Reference: in.Reference, Of: in.Of,
+	}
 	if in.Wire < Wire2 { // it tells no view: what it has is taken for what is known here
 		m.Sees = true
 	}
@@ -129,9 +132,11 @@
 }
 
 func (r *record) member() membership.Member {
-	m := membership.Member{Name: r.Name, Address: r.Address, Zone: r.Zone, Boot: r.Boot, Incarnation: r.Incarnation,
+	m := membership.Member{
+		Name: r.Name, Address: r.Address, Zone: r.Zone, Boot: r.Boot, Incarnation: r.Incarnation,
 		State: membership.State(min(r.State, uint8(membership.Left))), By: r.By, Wire: r.Wire, Version: r.Version, Generation: r.Generation, Load: r.Load,
-		Counted: r.Counted}
+		Counted: r.Counted,
+	}
 	if v := r.Vote; v != nil {
 		m.Vote = membership.Vote{ID: v.ID, Council: v.Council, Era: v.Era, Recovery: v.Recovery}
 	}
--- a/internal/contract/kind_test.go
+++ b/internal/contract/kind_test.go
@@ -18,7 +18,8 @@
 
 func lawKind(fault string) Kind[law] {
 	calls := 0
-	k := Kind[law]{Name: fault,
+	k := Kind[law]{
+		Name:  fault,
 		Draw:  func(c *rand.Rand) law { return law{c.IntN(5), byte(c.IntN(4))} },
 		Bytes: func(v law) []byte { return []byte{byte(v.number), v.name} },
 		Check: func(b []byte) error {
@@ -43,7 +44,8 @@
 				return -cmp.Compare(a.number, b.number)
 			}
 			return cmp.Or(cmp.Compare(a.number, b.number), cmp.Compare(a.name, b.name))
-		}}
+		},
+	}
 	higher := func(a, b law) law {
 		if k.Compare(a, b) < 0 {
 			return b
@@ -75,9 +77,11 @@
 
 func TestLawsWithFaultsAreRefused(t *testing.T) {
 	lawKind("").Hold(t)
-	for fault, finds := range map[string]string{"panics": "panic", "takes all": "nothing is refused", "refuses what is right": "refused",
+	for fault, finds := range map[string]string{
+		"panics": "panic", "takes all": "nothing is refused", "refuses what is right": "refused",
 		"is not symmetric": "order", "goes round": "", "is never equal": "itself", "goes by chance": "", "adds up": "idempotent",
-		"takes the second": "commutative", "takes the lower": "at least", "takes the mean": ""} {
+		"takes the second": "commutative", "takes the lower": "at least", "takes the mean": "",
+	} {
 		words := Refused(t, lawKind(fault).Hold)
 		if assert.NotEmpty(t, words, "%s passes", fault) {
 			assert.Contains(t, words[0], finds, fault)
--- a/internal/contract/store_test.go
+++ b/internal/contract/store_test.go
@@ -68,8 +68,10 @@
 }
 
 func plainStores(fault string) Stores {
-	return Stores{Name: "plain, " + fault, Longest: plainLongest, File: func(folder string) string { return filepath.Join(folder, "all") },
-		Open: func(folder string) (Store, uint64, error) { return openPlain(folder, fault) }}
+	return Stores{
+		Name: "plain, " + fault, Longest: plainLongest, File: func(folder string) string { return filepath.Join(folder, "all") },
+		Open: func(folder string) (Store, uint64, error) { return openPlain(folder, fault) },
+	}
 }
 
 func openPlain(folder, fault string) (Store, uint64, error) {
@@ -227,8 +229,10 @@
 func TestStoresWithFaultsAreRefused(t *testing.T) {
 	t.Run("none", func(t *testing.T) { plainStores("").Hold(t) })
 	t.Run("in memory", func(t *testing.T) {
-		Stores{Dies: "it is kept nowhere", Shared: "each is one of its own", Any: "it is the caller's memory",
-			Open: func(string) (Store, uint64, error) { return &memory{}, 0, nil }}.Hold(t)
+		Stores{
+			Dies: "it is kept nowhere", Shared: "each is one of its own", Any: "it is the caller's memory",
+			Open: func(string) (Store, uint64, error) { return &memory{}, 0, nil },
+		}.Hold(t)
 	})
 	for fault, finds := range storeFaults {
 		t.Run(fault, func(t *testing.T) {
--- a/internal/contract/transport_test.go
+++ b/internal/contract/transport_test.go
@@ -60,8 +60,10 @@
 		if w == nil {
 			w = func(piece []byte) [][]byte { return [][]byte{piece} }
 		}
-		p := &pipe{fault: fault, wire: w, seen: map[uint64]bool{}, came: make(chan []byte, 256), buffer: make([]byte, pipeLongest),
-			closed: make(chan struct{}), ended: make(chan struct{}), once: &sync.Once{}, end: &sync.Once{}}
+		p := &pipe{
+			fault: fault, wire: w, seen: map[uint64]bool{}, came: make(chan []byte, 256), buffer: make([]byte, pipeLongest),
+			closed: make(chan struct{}), ended: make(chan struct{}), once: &sync.Once{}, end: &sync.Once{},
+		}
 		return pipeFrom{p}, pipeTo{p}
 	}}
 }
--- a/internal/dispatcher/door.go
+++ b/internal/dispatcher/door.go
@@ -1,15 +1,14 @@
 package dispatcher
 
 import (
+	"elderwall/core/admission"
+	"elderwall/core/routing"
+	"elderwall/internal/call"
+	"elderwall/internal/hostproto"
 	"errors"
 	"fmt"
 	"math"
 	"slices"
-
-	"elderwall/core/routing"
-	"elderwall/internal/call"
-	"elderwall/internal/hostproto"
-	"elderwall/core/admission"
 )
 
 // Process takes a GET of any front. It passes the gate, where there is one, and goes to the module.
@@ -78,8 +77,10 @@
 	for n.lastID++; n.gets[n.lastID] != nil; n.lastID++ {
 	}
 	g.ID, g.ViewerTimeout = n.lastID, now+g.ViewerTimeout
-	request := hostproto.Request{ID: in.ID, Service: in.Service, Object: in.Object, Part: in.PartText, Tag: in.Tag, Body: in.Body,
-		IdempotencyKey: in.IdempotencyKey}
+	request := hostproto.Request{
+		ID: in.ID, Service: in.Service, Object: in.Object, Part: in.PartText, Tag: in.Tag, Body: in.Body,
+		IdempotencyKey: in.IdempotencyKey,
+	}
 	held := &get{id: g.ID, call: c, ticket: ticket, request: request, from: now, until: g.ViewerTimeout, asks: g}
 	n.gets[held.id], n.byCall[c], n.byID[in.ID] = held, held, held
 	if n.Variants != nil {
@@ -96,8 +97,10 @@
 
 // read makes a GET of the module's of what a front has read; its viewer timeout is still that from now on.
 func (n *Node) read(in call.GET) (routing.GET, error) {
-	g := routing.GET{Service: slices.Index(n.Settings.Services, in.Service), Object: in.Object, Group: in.Group,
-		Part: in.Part, ViewerTimeout: in.Budget}
+	g := routing.GET{
+		Service: slices.Index(n.Settings.Services, in.Service), Object: in.Object, Group: in.Group,
+		Part: in.Part, ViewerTimeout: in.Budget,
+	}
 	switch {
 	case in.Err != nil:
 		return g, in.Err
--- a/internal/dispatcher/hosts.go
+++ b/internal/dispatcher/hosts.go
@@ -1,6 +1,11 @@
 package dispatcher
 
 import (
+	"elderwall/core/endpoints"
+	"elderwall/core/routing"
+	"elderwall/internal/changelog"
+	"elderwall/internal/clock"
+	"elderwall/internal/upstream"
 	"fmt"
 	"hash/fnv"
 	"math"
@@ -8,12 +13,6 @@
 	"slices"
 	"strings"
 	"time"
-
-	"elderwall/core/routing"
-	"elderwall/core/endpoints"
-	"elderwall/internal/changelog"
-	"elderwall/internal/clock"
-	"elderwall/internal/upstream"
 )
 
 type host struct {
@@ -85,8 +84,10 @@
 // entry is a host as the module knows it, with connections of its own; it was listed together with others.
 func (n *Node) entry(told changelog.Host, together int) (routing.HostEntry, error) {
 	phase, known := phases[told.State]
-	e := routing.HostEntry{ID: n.hostID(told.ID), Zone: slices.Index(n.Settings.Zones, told.Zone),
-		Kind: slices.Index(n.Settings.Kinds, told.Kind), Cell: told.Cell, Phase: phase, Weight: told.Weight}
+	e := routing.HostEntry{
+		ID: n.hostID(told.ID), Zone: slices.Index(n.Settings.Zones, told.Zone),
+		Kind: slices.Index(n.Settings.Kinds, told.Kind), Cell: told.Cell, Phase: phase, Weight: told.Weight,
+	}
 	if !known || told.ID == "" || strings.ContainsAny(told.ID, " ,=\r\n") { // which a request could not carry
 		return e, fmt.Errorf("state %q, id %q", told.State, told.ID)
 	}
--- a/internal/dispatcher/joint.go
+++ b/internal/dispatcher/joint.go
@@ -1,9 +1,9 @@
 package dispatcher
 
 import (
+	"elderwall/core/coalescing"
 	"elderwall/core/routing"
 	"elderwall/internal/call"
-	"elderwall/core/coalescing"
 )
 
 // newJoint is an empty table, nil where no GETs share a forward.
--- a/internal/dispatcher/late_test.go
+++ b/internal/dispatcher/late_test.go
@@ -1,15 +1,14 @@
 package dispatcher
 
 import (
+	"elderwall/internal/call"
+	"elderwall/internal/clock"
+	"elderwall/internal/standin/rig"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/call"
-	"elderwall/internal/clock"
-	"elderwall/internal/standin/rig"
 )
 
 // A connection comes up when the GET that waits for it is over, or its client has left: nothing of that GET comes to the host.
--- a/internal/dispatcher/left_test.go
+++ b/internal/dispatcher/left_test.go
@@ -1,14 +1,13 @@
 package dispatcher
 
 import (
-	"testing"
-
-	"github.com/stretchr/testify/assert"
-
 	"elderwall/internal/call"
 	"elderwall/internal/clock"
 	"elderwall/internal/standin/need"
 	"elderwall/internal/standin/rig"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
 )
 
 // A GET whose client left before its turn came takes nothing, and is settled with its gate.
--- a/internal/dispatcher/node.go
+++ b/internal/dispatcher/node.go
@@ -4,6 +4,17 @@
 
 import (
 	"context"
+	"elderwall/core/admission"
+	"elderwall/core/coalescing"
+	"elderwall/core/endpoints"
+	"elderwall/core/routing"
+	"elderwall/core/settings"
+	"elderwall/core/timerwheel"
+	"elderwall/internal/call"
+	"elderwall/internal/changelog"
+	"elderwall/internal/clock"
+	"elderwall/internal/hostproto"
+	"elderwall/internal/upstream"
 	"errors"
 	"fmt"
 	"math"
@@ -12,18 +23,6 @@
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"elderwall/core/routing"
-	"elderwall/core/endpoints"
-	"elderwall/internal/call"
-	"elderwall/internal/changelog"
-	"elderwall/internal/clock"
-	"elderwall/core/timerwheel"
-	"elderwall/internal/hostproto"
-	"elderwall/internal/upstream"
-	"elderwall/core/settings"
-	"elderwall/core/admission"
-	"elderwall/core/coalescing"
 )
 
 const sweepEach = 1.0 // s; how often connections are looked over for idle ones, which hosts keep for many
@@ -81,26 +80,26 @@
 	listed   atomic.Bool // the list of hosts is known
 	draining atomic.Bool
 	joint    *coalescing.Table[*get] // nil where none share a forward
-	leads    []*get             // that go on in the lead, to be told to the module once it returns
-	heard    uint64             // the number of the newest event that the module knows
-	line     line               // of what is to be done, where there are several shards
+	leads    []*get                  // that go on in the lead, to be told to the module once it returns
+	heard    uint64                  // the number of the newest event that the module knows
+	line     line                    // of what is to be done, where there are several shards
 }
 
 type get struct {
 	id       uint32
 	call     call.Call
-	ticket   admission.Ticket // of a GET that the gate passed
-	request  hostproto.Request  // as far as all its forwards share it
-	from     float64        // when it came
-	until    float64        // the viewer timeout
+	ticket   admission.Ticket  // of a GET that the gate passed
+	request  hostproto.Request // as far as all its forwards share it
+	from     float64           // when it came
+	until    float64           // the viewer timeout
 	expiry   *timerwheel.Timer[*get]
 	forwards []*forward
 	out      int
-	over     bool                // answered, or given up by the client
-	closed   atomic.Bool         // the same, for those who don't hold the node's lock
-	asks     routing.GET         // what the module is told, for one that may go on in the lead
+	over     bool                     // answered, or given up by the client
+	closed   atomic.Bool              // the same, for those who don't hold the node's lock
+	asks     routing.GET              // what the module is told, for one that may go on in the lead
 	waiter   *coalescing.Waiter[*get] // nil for one that is alone
-	variant  Variant             // that it is sent for, where variants are declared
+	variant  Variant                  // that it is sent for, where variants are declared
 }
 
 type forward struct {
@@ -127,8 +126,10 @@
 
 // New makes a node and its module.
 func New(c Config) *Node {
-	n := &Node{Config: c, timer: time.NewTimer(time.Hour), gets: map[uint32]*get{},
-		byCall: map[call.Call]*get{}, byID: map[string]*get{}, hosts: map[uint32]*host{}}
+	n := &Node{
+		Config: c, timer: time.NewTimer(time.Hour), gets: map[uint32]*get{},
+		byCall: map[call.Call]*get{}, byID: map[string]*get{}, hosts: map[uint32]*host{},
+	}
 	if n.Bounders != nil {
 		n.origins = n.Bounders()
 	}
--- a/internal/dispatcher/node_test.go
+++ b/internal/dispatcher/node_test.go
@@ -2,6 +2,14 @@
 
 import (
 	"cmp"
+	"elderwall/core/routing"
+	"elderwall/internal/call"
+	"elderwall/internal/changelog"
+	"elderwall/internal/clock"
+	"elderwall/internal/downstream"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/rig"
 	"fmt"
 	"math/rand/v2"
 	"slices"
@@ -15,15 +23,6 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sync/errgroup"
-
-	"elderwall/core/routing"
-	"elderwall/internal/call"
-	"elderwall/internal/changelog"
-	"elderwall/internal/clock"
-	"elderwall/internal/downstream"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/rig"
 )
 
 // forgetful is a node whose module never hears of a GET, as if it had broken on it.
@@ -75,11 +74,16 @@
 	}{
 		{"the whole list", true, []changelog.Host{entry("a", "1", "SERVING"), entry("b", "2", "SERVING")}, map[string]string{"a": "1", "b": "2"}, 4},
 		{"one drains", false, []changelog.Host{entry("a", "1", "DRAINING")}, map[string]string{"a": "1", "b": "2"}, 4},
-		{"one is gone, another has its address", false, []changelog.Host{entry("a", "", "DELETED"), entry("c", "1", "SERVING")},
-			map[string]string{"b": "2", "c": "1"}, 3},
+		{
+			"one is gone, another has its address", false,
+			[]changelog.Host{entry("a", "", "DELETED"), entry("c", "1", "SERVING")},
+			map[string]string{"b": "2", "c": "1"},
+			3,
+		},
 		{"one moves", false, []changelog.Host{entry("b", "3", "SERVING")}, map[string]string{"b": "3", "c": "1"}, 3},
 		{"one comes back", false, []changelog.Host{entry("a", "4", "SERVING")}, map[string]string{"a": "4", "b": "3", "c": "1"}, 3},
-		{"one is no longer in the whole list", true, []changelog.Host{entry("a", "4", "SERVING")}, map[string]string{"a": "4"}, 3}} {
+		{"one is no longer in the whole list", true, []changelog.Host{entry("a", "4", "SERVING")}, map[string]string{"a": "4"}, 3},
+	} {
 		n.Take(changelog.Event{Fleet: &changelog.Fleet{Reset: tt.reset, Hosts: tt.list}})
 		got := map[string]string{}
 		for _, h := range n.hosts {
@@ -128,8 +132,10 @@
 	started := changelog.Host{ID: "a", Address: "127.0.0.1:1", Zone: "z", Kind: "std", Cell: 2, State: "DRAINING", Weight: 4, StartedAtMs: 1764576000123}
 	e, err := n.entry(started, 1)
 	require.NoError(t, err)
-	assert.Equal(t, routing.HostEntry{ID: n.hostID("a"), Cell: 2, Phase: routing.Draining, Weight: 4,
-		OnlineSince: e.OnlineSince, OnlineSinceIsTold: true}, e)
+	assert.Equal(t, routing.HostEntry{
+		ID: n.hostID("a"), Cell: 2, Phase: routing.Draining, Weight: 4,
+		OnlineSince: e.OnlineSince, OnlineSinceIsTold: true,
+	}, e)
 	assert.InDelta(t, float64(1764576000123)/1e3, float64(time.Now().UnixMicro())/1e6-n.Clock.Now()+e.OnlineSince, 0.01)
 	for name, change := range map[string]func(*changelog.Host){
 		"no id":                     func(h *changelog.Host) { h.ID = "" },
--- a/internal/dispatcher/route.go
+++ b/internal/dispatcher/route.go
@@ -1,17 +1,18 @@
 package dispatcher
 
 import (
-	"sync/atomic"
-
 	"elderwall/core/routing"
 	"elderwall/internal/call"
+	"sync/atomic"
 )
 
 // route has a forward sent by the proxy that asked.
 func (n *Node) route(f *forward, out routing.Forward) {
 	h := f.to
-	r := call.Route{Number: f.number, Host: h.name, Address: h.address, Rank: out.Rank, MaxAge: out.MaxAge, Join: out.Join,
-		Renew: out.Renew, HeldOnly: out.HeldOnly, Budget: f.get.until - f.at}
+	r := call.Route{
+		Number: f.number, Host: h.name, Address: h.address, Rank: out.Rank, MaxAge: out.MaxAge, Join: out.Join,
+		Renew: out.Renew, HeldOnly: out.HeldOnly, Budget: f.get.until - f.at,
+	}
 	if out.Source != out.Host {
 		r.Source, r.SourceAddress = f.from.name, f.from.address
 	}
--- a/internal/dispatcher/shard.go
+++ b/internal/dispatcher/shard.go
@@ -1,6 +1,13 @@
 package dispatcher
 
 import (
+	"elderwall/core/admission"
+	"elderwall/core/routing"
+	"elderwall/core/sharding"
+	"elderwall/core/timerwheel"
+	"elderwall/internal/call"
+	"elderwall/internal/changelog"
+	"elderwall/internal/clock"
 	"fmt"
 	"hash/maphash"
 	"math"
@@ -8,14 +15,6 @@
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"elderwall/core/routing"
-	"elderwall/internal/call"
-	"elderwall/internal/changelog"
-	"elderwall/internal/clock"
-	"elderwall/core/timerwheel"
-	"elderwall/core/admission"
-	"elderwall/core/sharding"
 )
 
 const (
--- a/internal/dispatcher/wall_test.go
+++ b/internal/dispatcher/wall_test.go
@@ -1,6 +1,11 @@
 package dispatcher
 
 import (
+	"elderwall/internal/call"
+	"elderwall/internal/changelog"
+	"elderwall/internal/clock"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/rig"
 	"strconv"
 	"sync/atomic"
 	"testing"
@@ -8,12 +13,6 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/call"
-	"elderwall/internal/changelog"
-	"elderwall/internal/clock"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/rig"
 )
 
 // The wall clock of the machine, and with it that of the change log, is stepped before a purge and a host's start are told: hosts are asked for no copy
--- a/internal/dispatcher/window_test.go
+++ b/internal/dispatcher/window_test.go
@@ -1,18 +1,17 @@
 package dispatcher
 
 import (
+	"elderwall/core/routing"
+	"elderwall/internal/call"
+	"elderwall/internal/clock"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/rig"
 	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
-
-	"elderwall/core/routing"
-	"elderwall/internal/call"
-	"elderwall/internal/clock"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/rig"
 )
 
 // One host faults, and the connection to the next comes up after a while: a repeat goes out only where hosts know it for longer than that.
--- a/internal/dispatcher/wire.go
+++ b/internal/dispatcher/wire.go
@@ -1,11 +1,11 @@
 package dispatcher
 
 import (
+	"elderwall/core/coalescing"
 	"elderwall/core/routing"
 	"elderwall/internal/call"
 	"elderwall/internal/clock"
 	"elderwall/internal/upstream"
-	"elderwall/core/coalescing"
 )
 
 // wire carries the module's answers out; it is called under the node's lock and only queues.
--- a/internal/downstream/accept.go
+++ b/internal/downstream/accept.go
@@ -1,14 +1,13 @@
 package downstream
 
 import (
+	"elderwall/internal/clock"
+	"elderwall/internal/syserr"
 	"net"
 	"syscall"
 	"time"
 
 	"golang.org/x/sys/unix"
-
-	"elderwall/internal/clock"
-	"elderwall/internal/syserr"
 )
 
 // A drain accepts what the kernel holds for no longer than that: enough for a full backlog, and short beside what a drain waits for in any case. Who
