--- a/internal/downstream/accept_test.go
+++ b/internal/downstream/accept_test.go
@@ -1,6 +1,10 @@
 package downstream_test
 
 import (
+	"elderwall/internal/call"
+	"elderwall/internal/downstream"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
 	"errors"
 	"io"
 	"net"
@@ -12,11 +16,6 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/call"
-	"elderwall/internal/downstream"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
 )
 
 // lacking is a listener of a process with so few descriptors that only so many sockets can be open.
@@ -46,7 +45,8 @@
 		"the machine lacks descriptors": {syscall.ENFILE, true},
 		"lacks memory":                  {syscall.ENOMEM, true},
 		"lacks buffers":                 {syscall.ENOBUFS, true},
-		"anything else":                 {errors.New("else"), false}} {
+		"anything else":                 {errors.New("else"), false},
+	} {
 		t.Run(name, func(t *testing.T) {
 			h := &handler{calls: make(chan call.Call, 9), givenUp: make(chan call.Call, 9)}
 			l := &lacking{counting: counting{Listener: need.Listener(t)}, most: 2, err: tt.err}
@@ -153,11 +153,26 @@
 		times  int32
 		atOnce bool
 	}{
-		{syscall.ECONNABORTED, 20, true}, {syscall.EPROTO, 20, true}, {syscall.ENETDOWN, 20, true}, {syscall.ENOPROTOOPT, 20, true},
-		{syscall.EHOSTDOWN, 20, true}, {syscall.ENONET, 20, true}, {syscall.EHOSTUNREACH, 20, true}, {syscall.EOPNOTSUPP, 20, true},
-		{syscall.ENETUNREACH, 20, true}, {syscall.EPERM, 20, true}, {syscall.EINTR, 20, true}, {syscall.EAGAIN, 20, true}, {syscall.ETIMEDOUT, 20, true},
-		{syscall.EMFILE, 3, false}, {syscall.ENFILE, 3, false}, {syscall.ENOBUFS, 3, false}, {syscall.ENOMEM, 3, false},
-		{syscall.EINVAL, 3, false}, {syscall.ECONNABORTED, downstream.FailsAtOnce + 2, false}} {
+		{syscall.ECONNABORTED, 20, true},
+		{syscall.EPROTO, 20, true},
+		{syscall.ENETDOWN, 20, true},
+		{syscall.ENOPROTOOPT, 20, true},
+		{syscall.EHOSTDOWN, 20, true},
+		{syscall.ENONET, 20, true},
+		{syscall.EHOSTUNREACH, 20, true},
+		{syscall.EOPNOTSUPP, 20, true},
+		{syscall.ENETUNREACH, 20, true},
+		{syscall.EPERM, 20, true},
+		{syscall.EINTR, 20, true},
+		{syscall.EAGAIN, 20, true},
+		{syscall.ETIMEDOUT, 20, true},
+		{syscall.EMFILE, 3, false},
+		{syscall.ENFILE, 3, false},
+		{syscall.ENOBUFS, 3, false},
+		{syscall.ENOMEM, 3, false},
+		{syscall.EINVAL, 3, false},
+		{syscall.ECONNABORTED, downstream.FailsAtOnce + 2, false},
+	} {
 		t.Run(tt.err.Error(), func(t *testing.T) {
 			t.Parallel()
 			l := &failing{Listener: need.Listener(t), err: tt.err}
--- a/internal/downstream/call.go
+++ b/internal/downstream/call.go
@@ -1,11 +1,10 @@
 package downstream
 
 import (
-	"sync/atomic"
-	"time"
-
 	"elderwall/internal/clock"
 	"elderwall/internal/thrift"
+	"sync/atomic"
+	"time"
 )
 
 // Call is one open call of a client.
--- a/internal/downstream/close_test.go
+++ b/internal/downstream/close_test.go
@@ -2,6 +2,11 @@
 
 import (
 	"crypto/tls"
+	"elderwall/core/admission"
+	"elderwall/internal/call"
+	"elderwall/internal/downstream"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
 	"encoding/binary"
 	"io"
 	"net"
@@ -12,12 +17,6 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/call"
-	"elderwall/internal/downstream"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/core/admission"
 )
 
 // oneCall is a listener whose first connection waits, once its second bytes were read, until the test lets it go on: what comes then is unread.
@@ -78,7 +77,8 @@
 			_, err := other.Read()
 			require.Error(t, err, "the end has come")
 		}},
-		"it sent what is none": {nil, func(*testing.T, *downstream.Server, *standing, string, func()) {}}} {
+		"it sent what is none": {nil, func(*testing.T, *downstream.Server, *standing, string, func()) {}},
+	} {
 		t.Run(name, func(t *testing.T) {
 			h := &handler{calls: make(chan call.Call, 9), givenUp: make(chan call.Call, 9)}
 			by, l := &standing{}, &oneCall{Listener: need.Listener(t), read: make(chan bool), goOn: make(chan bool)}
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -1,6 +1,8 @@
 package downstream
 
 import (
+	"elderwall/core/admission"
+	"elderwall/internal/call"
 	"fmt"
 	"maps"
 	"net"
@@ -10,18 +12,15 @@
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"elderwall/internal/call"
-	"elderwall/core/admission"
 )
 
 type conn struct {
 	server *Server
 	net    net.Conn
-	raw    net.Conn      // beneath net where that is TLS, whose own close waits for the client
+	raw    net.Conn        // beneath net where that is TLS, whose own close waits for the client
 	caller *admission.Conn // nil where nobody asks who is calling
-	wake   chan struct{} // tells the writer of a change
-	number uint64        // by which it is told from all others
+	wake   chan struct{}   // tells the writer of a change
+	number uint64          // by which it is told from all others
 
 	drained chan struct{} // tells the reader that the queue is shorter, or that the writer has ended
 
--- a/internal/downstream/crossing_test.go
+++ b/internal/downstream/crossing_test.go
@@ -2,6 +2,13 @@
 
 import (
 	"context"
+	"elderwall/core/admission"
+	"elderwall/internal/call"
+	"elderwall/internal/counters"
+	"elderwall/internal/downstream"
+	"elderwall/internal/memquota"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
 	"io"
 	"net"
 	"net/netip"
@@ -13,14 +20,6 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/call"
-	"elderwall/internal/counters"
-	"elderwall/internal/downstream"
-	"elderwall/internal/memquota"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/core/admission"
 )
 
 // standing is callers that all stand the same way.
@@ -89,7 +88,8 @@
 				need.Client(t, address)
 			}
 			need.Soon(t, func() bool { return s.Counts.GaveWay.Load() > 0 })
-		}} {
+		},
+	} {
 		t.Run(name, func(t *testing.T) {
 			h := &handler{calls: make(chan call.Call, 9), givenUp: make(chan call.Call, 9)}
 			by, l := &standing{}, paused{need.Listener(t), make(chan bool), make(chan bool)}
--- a/internal/downstream/front.go
+++ b/internal/downstream/front.go
@@ -2,13 +2,12 @@
 package downstream
 
 import (
+	"elderwall/core/admission"
+	"elderwall/internal/call"
+	"elderwall/internal/thrift"
 	"net"
 	"net/netip"
 	"time"
-
-	"elderwall/internal/call"
-	"elderwall/internal/thrift"
-	"elderwall/core/admission"
 )
 
 const (
--- a/internal/downstream/front_test.go
+++ b/internal/downstream/front_test.go
@@ -2,6 +2,12 @@
 
 import (
 	"context"
+	"elderwall/internal/call"
+	"elderwall/internal/counters"
+	"elderwall/internal/downstream"
+	"elderwall/internal/memquota"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
 	"encoding/binary"
 	"io"
 	"net"
@@ -17,13 +23,6 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
-
-	"elderwall/internal/call"
-	"elderwall/internal/counters"
-	"elderwall/internal/downstream"
-	"elderwall/internal/memquota"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -90,7 +89,8 @@
 		{Seq: 5, Method: "process", Kind: "served", Body: "bytes", Fields: map[string]string{}, Good: true},
 		{Seq: 3, Method: "process", Kind: "refused", Fields: map[string]string{"backoff": "125"}},
 		{Seq: 2, Method: "process", Kind: "failed", Fields: map[string]string{}},
-		{Seq: 4, Method: "process", Kind: "served", Fields: map[string]string{"ok304": "1"}, Good: true}} {
+		{Seq: 4, Method: "process", Kind: "served", Fields: map[string]string{"ok304": "1"}, Good: true},
+	} {
 		assert.Equal(t, w, need.Of(c.Read())(t))
 	}
 	assert.True(t, need.Of(c.Probe())(t), "and nothing came in between")
@@ -120,8 +120,11 @@
 		"nothing before it":              {cut, 0, nil, false},
 		"a number that is open":          {append(calls(2), whole(2)...), 2, nil, false},
 		"a call that breaks the handler": {append(calls(2), broken...), 2, map[int32]string{3: "failed"}, true},
-		"too many open calls": {calls(40), 32, map[int32]string{33: "refused", 34: "refused", 35: "refused", 36: "refused",
-			37: "refused", 38: "refused", 39: "refused", 40: "refused"}, true}} {
+		"too many open calls": {calls(40), 32, map[int32]string{
+			33: "refused", 34: "refused", 35: "refused", 36: "refused",
+			37: "refused", 38: "refused", 39: "refused", 40: "refused",
+		}, true},
+	} {
 		t.Run(name, func(t *testing.T) {
 			h, s, address := serve(t, 4)
 			other, c := need.Client(t, address), need.Client(t, address)
@@ -336,7 +339,8 @@
 		"nothing":                  {nil, 0, 2 * time.Second},
 		"a message that trickles":  {whole[:4], 900 * time.Millisecond, 2 * time.Second},
 		"a message, and then none": {whole, 0, 5 * time.Second},
-		"a part of a second one":   {append(whole, whole[:7]...), 0, 2 * time.Second}} {
+		"a part of a second one":   {append(whole, whole[:7]...), 0, 2 * time.Second},
+	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s, l, ended := server(&handler{}, 1), pipes{accepted: make(chan net.Conn)}, make(chan error)
--- a/internal/downstream/leave_test.go
+++ b/internal/downstream/leave_test.go
@@ -1,6 +1,9 @@
 package downstream_test
 
 import (
+	"elderwall/internal/call"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
 	"net"
 	"strings"
 	"testing"
@@ -8,10 +11,6 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/call"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
 )
 
 // A client that leaves is noticed at once, whatever is under way on its connection: long before any bound on messages, writes or idle time.
@@ -40,7 +39,8 @@
 			for seq := range int32(16) {
 				require.NoError(t, c.GiveUp(unread+1+seq))
 			}
-		}}} {
+		}},
+	} {
 		t.Run(name, func(t *testing.T) {
 			h, s, address := serve(t, 4)
 			c := need.Client(t, address)
--- a/internal/downstream/partial_test.go
+++ b/internal/downstream/partial_test.go
@@ -2,6 +2,10 @@
 
 import (
 	"context"
+	"elderwall/internal/call"
+	"elderwall/internal/downstream"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
 	"net"
 	"os"
 	"testing"
@@ -9,11 +13,6 @@
 	"time"
 
 	"github.com/stretchr/testify/assert"
-
-	"elderwall/internal/call"
-	"elderwall/internal/downstream"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
 )
 
 // half writes half a probe, and waits until the server has read it; rest is what it lacks.
@@ -90,7 +89,8 @@
 	}{
 		{"clients wait for longer", 6 * time.Second, 5 * time.Second, true},
 		{"it takes longer than clients wait", 6 * time.Second, 7 * time.Second, false},
-		{"clients wait for less than a message may take anyway", 100 * time.Millisecond, time.Second, true}} {
+		{"clients wait for less than a message may take anyway", 100 * time.Millisecond, time.Second, true},
+	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				h, ended := &handler{calls: make(chan call.Call, 9), givenUp: make(chan call.Call, 9)}, make(chan error)
--- a/internal/downstream/read.go
+++ b/internal/downstream/read.go
@@ -2,16 +2,15 @@
 
 import (
 	"bytes"
+	"elderwall/core/admission"
+	"elderwall/internal/call"
+	"elderwall/internal/thrift"
 	"errors"
 	"fmt"
 	"math"
 	"slices"
 	"strconv"
 	"unicode/utf8"
-
-	"elderwall/internal/call"
-	"elderwall/internal/thrift"
-	"elderwall/core/admission"
 )
 
 const (
@@ -27,8 +26,10 @@
 // read makes a GET of a message, with strings of its own. Its token names the caller where somebody asks for that; elsewhere it is the
 // key by which hosts tell a repeat of a request that must not take effect twice, and is passed on to them.
 func read(m thrift.Call, caller *admission.Conn) call.GET {
-	g := call.GET{ID: string(m.ID), Service: string(m.Service), Object: string(m.Object), PartText: string(m.Part),
-		Tag: string(m.Tag), Body: slices.Clone(m.Body), Conn: caller}
+	g := call.GET{
+		ID: string(m.ID), Service: string(m.Service), Object: string(m.Object), PartText: string(m.Part),
+		Tag: string(m.Tag), Body: slices.Clone(m.Body), Conn: caller,
+	}
 	check := func(ok bool, name string, text []byte) {
 		if !ok && g.Err == nil {
 			g.Err = fmt.Errorf("%w: %s %.32q", errField, name, text)
--- a/internal/downstream/read_test.go
+++ b/internal/downstream/read_test.go
@@ -1,12 +1,11 @@
 package downstream
 
 import (
+	"elderwall/core/admission"
+	"elderwall/internal/thrift"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
-
-	"elderwall/internal/thrift"
-	"elderwall/core/admission"
 )
 
 // A token that names a caller is a secret between the two: no host may get it.
--- a/internal/downstream/receive.go
+++ b/internal/downstream/receive.go
@@ -1,14 +1,13 @@
 package downstream
 
 import (
+	"elderwall/internal/clock"
+	"elderwall/internal/thrift"
 	"errors"
 	"fmt"
 	"io"
 	"os"
 	"time"
-
-	"elderwall/internal/clock"
-	"elderwall/internal/thrift"
 )
 
 var errRoom = errors.New("no memory for a call")
@@ -173,8 +172,8 @@
 
 const (
 	callAdmitted  callAdmission = iota
-	callTooLate             // the connection is closing: it is answered, and not sent on, as its client may send it again
-	callOverLimit           // as many calls as may be open are
+	callTooLate                 // the connection is closing: it is answered, and not sent on, as its client may send it again
+	callOverLimit               // as many calls as may be open are
 )
 
 // enter books a call as open, unless there are too many. A number that is open already can't be answered apart from the call that has it: an error.
--- a/internal/downstream/send.go
+++ b/internal/downstream/send.go
@@ -1,12 +1,11 @@
 package downstream
 
 import (
+	"elderwall/internal/thrift"
 	"errors"
 	"net"
 	"os"
 	"time"
-
-	"elderwall/internal/thrift"
 )
 
 // outgoing is a message to be written, and by when its client wants it whole; the zero time where that is not known.
--- a/internal/downstream/send_test.go
+++ b/internal/downstream/send_test.go
@@ -2,6 +2,10 @@
 
 import (
 	"context"
+	"elderwall/internal/call"
+	"elderwall/internal/downstream"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
 	"io"
 	"net"
 	"strings"
@@ -10,11 +14,6 @@
 	"time"
 
 	"github.com/stretchr/testify/assert"
-
-	"elderwall/internal/call"
-	"elderwall/internal/downstream"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
 )
 
 // A client that reads slowly has its answer as long as it takes some of it now and then and can still want it; one that reads nothing does not hold
@@ -32,7 +31,8 @@
 		{"20 KB/s, and it waits for long", "20000", 1000, 50 * time.Millisecond, true, 13 * time.Second},
 		{"20 KB/s, and it waits for 2 s", "2000", 1000, 50 * time.Millisecond, false, downstream.Stalled + time.Second},
 		{"20 KB/s, and it waits for 7 s", "7000", 1000, 50 * time.Millisecond, false, 7*time.Second + downstream.ReadsLate + time.Second},
-		{"nothing, and it waits for long", "20000", 0, 0, false, downstream.Stalled + time.Second}} {
+		{"nothing, and it waits for long", "20000", 0, 0, false, downstream.Stalled + time.Second},
+	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				h, ended := &handler{calls: make(chan call.Call, 9), givenUp: make(chan call.Call, 9)}, make(chan error)
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -2,6 +2,11 @@
 
 import (
 	"context"
+	"elderwall/core/admission"
+	"elderwall/internal/clock"
+	"elderwall/internal/counters"
+	"elderwall/internal/memquota"
+	"elderwall/internal/syserr"
 	"errors"
 	"maps"
 	"net"
@@ -14,12 +19,6 @@
 
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
-
-	"elderwall/internal/clock"
-	"elderwall/internal/counters"
-	"elderwall/internal/memquota"
-	"elderwall/internal/syserr"
-	"elderwall/core/admission"
 )
 
 // Server serves clients until its context ends.
@@ -28,10 +27,10 @@
 	Callers Callers // nil where nobody asks who is calling
 	Log     zerolog.Logger
 	Counts  *counters.Counters
-	Room    *memquota.Room    // what long calls and the bodies of answers hold
-	Most    int           // connections at a time
-	Longest time.Duration // that a client waits for an answer: a message may take as long to be whole, and wholeIn at least
-	Devices Devices       // where the class of a client's device stands; nothing of it is looked for by the zero value
+	Room    *memquota.Room // what long calls and the bodies of answers hold
+	Most    int            // connections at a time
+	Longest time.Duration  // that a client waits for an answer: a message may take as long to be whole, and wholeIn at least
+	Devices Devices        // where the class of a client's device stands; nothing of it is looked for by the zero value
 
 	refusing  atomic.Bool  // what comes now is refused
 	ending    atomic.Bool  // connections are told to end with the server
@@ -114,8 +113,10 @@
 // enter books a new connection, and has another one give way where there are too many, or itself if all have
 // something open: a connection with a GET under way is no place for who comes later. What has come on it by then is refused.
 func (s *Server) enter(socket net.Conn) *conn {
-	c := &conn{server: s, net: socket, raw: socket, wake: make(chan struct{}, 1), drained: make(chan struct{}, 1),
-		open: map[int32]*Call{}, used: time.Now(), looks: firstLook}
+	c := &conn{
+		server: s, net: socket, raw: socket, wake: make(chan struct{}, 1), drained: make(chan struct{}, 1),
+		open: map[int32]*Call{}, used: time.Now(), looks: firstLook,
+	}
 	if over, ok := socket.(secured); ok {
 		c.raw = over.NetConn()
 	}
--- a/internal/extensions/extras.go
+++ b/internal/extensions/extras.go
@@ -4,31 +4,30 @@
 
 import (
 	"context"
-	"errors"
-	"fmt"
-	"net"
-	"reflect"
-	"sync"
-	"sync/atomic"
-	"time"
-
-	"github.com/rs/zerolog"
-
-	"elderwall/core/routing/retrybudget"
-	"elderwall/core/cluster/quota"
 	"elderwall/core/cluster/purgefloor"
+	"elderwall/core/cluster/quota"
+	"elderwall/core/routing/retrybudget"
+	"elderwall/internal/authn"
 	"elderwall/internal/certs"
 	"elderwall/internal/changelog"
 	"elderwall/internal/clock"
-	"elderwall/internal/counters"
-	"elderwall/internal/extproc"
 	"elderwall/internal/cluster"
-	"elderwall/internal/downstream"
-	"elderwall/internal/authn"
+	"elderwall/internal/counters"
 	"elderwall/internal/dispatcher"
+	"elderwall/internal/downstream"
+	"elderwall/internal/extproc"
 	"elderwall/internal/operator"
 	"elderwall/internal/service"
 	"elderwall/internal/variantfilter"
+	"errors"
+	"fmt"
+	"net"
+	"reflect"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/rs/zerolog"
 )
 
 // Extras is an operator's file in force.
@@ -41,11 +40,11 @@
 	secure   certs.Listener
 	proxies  certs.Listener
 	fleet    atomic.Pointer[cluster.Fleet] // nil where the dispatcher is by itself, and before it is opened
-	early    early                       // purges told before the fleet was opened
-	purged   func(purgefloor.Floor)          // takes what others learned of purges; nil where the fleet remembers nothing
-	gone     float64                     // s after which a purge needs no memory
-	variants *variantfilter.Stage             // nil where none are declared
-	cores    int                         // that the command line says, before the file; 0 where it says none
+	early    early                         // purges told before the fleet was opened
+	purged   func(purgefloor.Floor)        // takes what others learned of purges; nil where the fleet remembers nothing
+	gone     float64                       // s after which a purge needs no memory
+	variants *variantfilter.Stage          // nil where none are declared
+	cores    int                           // that the command line says, before the file; 0 where it says none
 }
 
 // Alone is what holds with no file, on so many cores.
@@ -264,8 +263,10 @@
 		o.Secure = &e.proxies
 	}
 	to.Log.Info().Str("listen", t.Listen).Bool("routing", o.Rules.Routing).Msg("listens for proxies")
-	return append(all, beside{&extproc.Server{Options: o, Handler: to.Handler, Callers: to.Callers, Log: to.Log, Counts: to.Counts,
-		Room: to.Room, Clock: to.Clock}, l}), nil
+	return append(all, beside{&extproc.Server{
+		Options: o, Handler: to.Handler, Callers: to.Callers, Log: to.Log, Counts: to.Counts,
+		Room: to.Room, Clock: to.Clock,
+	}, l}), nil
 }
 
 // Cores tells how many cores are used and how GETs are divided.
--- a/internal/extensions/extras_test.go
+++ b/internal/extensions/extras_test.go
@@ -3,6 +3,12 @@
 import (
 	"context"
 	"crypto/tls"
+	"elderwall/core/admission"
+	"elderwall/internal/service"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/proxy"
+	"elderwall/internal/token"
 	"fmt"
 	"io"
 	"net"
@@ -21,13 +27,7 @@
 	"go.uber.org/goleak"
 	"google.golang.org/grpc/credentials"
 
-	"elderwall/internal/service"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/proxy"
 	rigs "elderwall/internal/standin/rig"
-	"elderwall/internal/token"
-	"elderwall/core/admission"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -170,7 +170,8 @@
 		{"one with no right", r.token("k1", "reseller", "x"), "failed denied"},
 		{"of a tenant that there is not", r.token("k1", "else", "x"), "failed unknown"},
 		{"no token at all", "x", "failed token"},
-		{"a long one", strings.Repeat("A", 100000), "failed token"}} {
+		{"a long one", strings.Repeat("A", 100000), "failed token"},
+	} {
 		assert.Equal(t, tt.want, ask(t, c, tt.token), tt.name)
 	}
 	got := need.Of(c.Identify("x"))(t)
--- a/internal/extproc/call.go
+++ b/internal/extproc/call.go
@@ -1,13 +1,12 @@
 package extproc
 
 import (
+	"elderwall/core/proxycall"
+	"elderwall/internal/call"
+	"elderwall/internal/memquota"
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"elderwall/internal/call"
-	"elderwall/internal/memquota"
-	"elderwall/core/proxycall"
 )
 
 const lookAgain = time.Millisecond // at a route that news has overtaken: a shard that does not stand still hears it in less
@@ -19,9 +18,9 @@
 	as     call.Call // as the handler knows it
 	origin uint64
 
-	entered   atomic.Int32 // how far it has come to the handler
-	abandoned atomic.Bool  // the operator's choice went out before its decision
-	room      *memquota.Room   // that the bytes of its answer hold
+	entered   atomic.Int32   // how far it has come to the handler
+	abandoned atomic.Bool    // the operator's choice went out before its decision
+	room      *memquota.Room // that the bytes of its answer hold
 	mark      atomic.Int32
 
 	mu     sync.Mutex
--- a/internal/extproc/extproc_test.go
+++ b/internal/extproc/extproc_test.go
@@ -2,6 +2,16 @@
 
 import (
 	"context"
+	"elderwall/core/proxycall"
+	"elderwall/core/routing"
+	"elderwall/internal/call"
+	"elderwall/internal/changelog"
+	"elderwall/internal/clock"
+	"elderwall/internal/dispatcher"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/proxy"
+	"elderwall/internal/variantfilter"
 	"fmt"
 	"math"
 	"net"
@@ -24,18 +34,8 @@
 	healthpb "google.golang.org/grpc/health/grpc_health_v1"
 	"google.golang.org/grpc/status"
 
-	"elderwall/core/routing"
 	pure "elderwall/core/cluster/variant"
-	"elderwall/internal/call"
-	"elderwall/internal/changelog"
-	"elderwall/internal/clock"
-	"elderwall/internal/dispatcher"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/proxy"
 	rigs "elderwall/internal/standin/rig"
-	"elderwall/internal/variantfilter"
-	"elderwall/core/proxycall"
 )
 
 // paused is a handler that a test can hold up.
@@ -115,8 +115,10 @@
 
 // rules read objects and parts from paths.
 func rules() Rules {
-	return Rules{Prefix: "x-elderwall-", Routing: true,
-		Paths: []Path{{Pattern: regexp.MustCompile(`^/clips/(?P<object>[^/?]+)/(?P<part>[0-9]+)$`), Service: "segment", Budget: 5}}}
+	return Rules{
+		Prefix: "x-elderwall-", Routing: true,
+		Paths: []Path{{Pattern: regexp.MustCompile(`^/clips/(?P<object>[^/?]+)/(?P<part>[0-9]+)$`), Service: "segment", Budget: 5}},
+	}
 }
 
 func entry(i int, address, state string) changelog.Host {
@@ -267,7 +269,8 @@
 		"a path of no rule":          {[]string{":path", "/else"}, 0},
 		"a method of no rule":        {[]string{":path", path, ":method", "POST"}, 0},
 		"an id that is nobody's":     {[]string{":path", path, "x-elderwall-get", "00000000000000ff"}, 0},
-		"a budget that is no number": {[]string{":path", path, "x-envoy-expected-rq-timeout-ms", "soon"}, 0}} {
+		"a budget that is no number": {[]string{":path", path, "x-envoy-expected-rq-timeout-ms", "soon"}, 0},
+	} {
 		p := r.proxy()
 		_, m := r.told(p, tt.words...)
 		assert.Equal(t, tt.want, int(m.GetImmediateResponse().GetStatus().GetCode()), name)
@@ -651,8 +654,10 @@
 
 // later is a stage past the time in which copies are warmed.
 func declared(t *testing.T, r *rig) {
-	one := pure.Service{Classes: []string{"tv", "phone"}, Proof: pure.ByDigest, Witnesses: 1, Repeats: true, Fresh: math.Inf(1),
-		Presume: &pure.Presumed{Objects: 1, Checks: 1e-6}}
+	one := pure.Service{
+		Classes: []string{"tv", "phone"}, Proof: pure.ByDigest, Witnesses: 1, Repeats: true, Fresh: math.Inf(1),
+		Presume: &pure.Presumed{Objects: 1, Checks: 1e-6},
+	}
 	stage, err := variantfilter.New(variantfilter.Settings{Module: pure.Settings{Services: []pure.Service{one}, Objects: 10, Seed: 3, Self: "d1"}, Fields: []string{""}})
 	require.NoError(t, err)
 	same := func(c int) pure.Answer {
--- a/internal/extproc/messages.go
+++ b/internal/extproc/messages.go
@@ -1,6 +1,8 @@
 package extproc
 
 import (
+	"elderwall/core/proxycall"
+	"elderwall/internal/call"
 	"fmt"
 	"math"
 	"net/http"
@@ -11,9 +13,6 @@
 	procv3 "github.com/envoyproxy/go-control-plane/envoy/service/ext_proc/v3"
 	typev3 "github.com/envoyproxy/go-control-plane/envoy/type/v3"
 	"google.golang.org/protobuf/types/known/structpb"
-
-	"elderwall/internal/call"
-	"elderwall/core/proxycall"
 )
 
 // namespace is that of dynamic metadata.
@@ -27,7 +26,8 @@
 	for _, p := range set {
 		m.SetHeaders = append(m.SetHeaders, &corev3.HeaderValueOption{
 			Header:       &corev3.HeaderValue{Key: p.name, RawValue: []byte(p.value)},
-			AppendAction: corev3.HeaderValueOption_OVERWRITE_IF_EXISTS_OR_ADD})
+			AppendAction: corev3.HeaderValueOption_OVERWRITE_IF_EXISTS_OR_ADD,
+		})
 	}
 	return m
 }
@@ -35,8 +35,10 @@
 // routeHeaders says where a proxy is to send a forward, and until when.
 func (r *Rules) routeHeaders(route *call.Route, id proxycall.ID, sendIn float64, now time.Time) []pair {
 	all := []pair{
-		{r.Prefix + "host", route.Address}, {r.Prefix + "host-name", route.Host},
-		{r.Prefix + "get", fmt.Sprintf("%016x", uint64(id))}, {r.Prefix + "forward", strconv.Itoa(route.Number)},
+		{r.Prefix + "host", route.Address},
+		{r.Prefix + "host-name", route.Host},
+		{r.Prefix + "get", fmt.Sprintf("%016x", uint64(id))},
+		{r.Prefix + "forward", strconv.Itoa(route.Number)},
 		{r.Prefix + "rank", strconv.Itoa(route.Rank)},
 		{r.Prefix + "budget-ms", strconv.FormatInt(int64(route.Budget*1e3), 10)},
 		{r.Prefix + "send-by", strconv.FormatInt(now.Add(time.Duration(sendIn*float64(time.Second))).UnixMilli(), 10)},
@@ -79,19 +81,22 @@
 			fields[p.name[len(r.Prefix):]] = structpb.NewStringValue(p.value)
 		}
 		out.DynamicMetadata = &structpb.Struct{Fields: map[string]*structpb.Value{
-			namespace: structpb.NewStructValue(&structpb.Struct{Fields: fields})}}
+			namespace: structpb.NewStructValue(&structpb.Struct{Fields: fields}),
+		}}
 	}
 	return out
 }
 
 func continueRequest(m *procv3.HeaderMutation) *procv3.ProcessingResponse {
 	return &procv3.ProcessingResponse{Response: &procv3.ProcessingResponse_RequestHeaders{
-		RequestHeaders: &procv3.HeadersResponse{Response: &procv3.CommonResponse{HeaderMutation: m}}}}
+		RequestHeaders: &procv3.HeadersResponse{Response: &procv3.CommonResponse{HeaderMutation: m}},
+	}}
 }
 
 func continueResponse(m *procv3.HeaderMutation) *procv3.ProcessingResponse {
 	return &procv3.ProcessingResponse{Response: &procv3.ProcessingResponse_ResponseHeaders{
-		ResponseHeaders: &procv3.HeadersResponse{Response: &procv3.CommonResponse{HeaderMutation: m}}}}
+		ResponseHeaders: &procv3.HeadersResponse{Response: &procv3.CommonResponse{HeaderMutation: m}},
+	}}
 }
 
 // immediate is the one final answer, in place of any from a host.
@@ -105,8 +110,11 @@
 		set = append(set, pair{r.Prefix + "reason", f.reason})
 	}
 	return &procv3.ProcessingResponse{Response: &procv3.ProcessingResponse_ImmediateResponse{
-		ImmediateResponse: &procv3.ImmediateResponse{Status: &typev3.HttpStatus{Code: typev3.StatusCode(f.status)},
-			Headers: mutation(set), Body: f.body, Details: "elderwall: " + http.StatusText(f.status)}}}
+		ImmediateResponse: &procv3.ImmediateResponse{
+			Status:  &typev3.HttpStatus{Code: typev3.StatusCode(f.status)},
+			Headers: mutation(set), Body: f.body, Details: "elderwall: " + http.StatusText(f.status),
+		},
+	}}
 }
 
 // passOn answers a message that nothing is decided on, so that the proxy goes on; nil for one of a kind that wants no answer.
--- a/internal/extproc/room_test.go
+++ b/internal/extproc/room_test.go
@@ -2,15 +2,15 @@
 
 import (
 	"context"
+	"elderwall/internal/memquota"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/proxy"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"elderwall/internal/memquota"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/proxy"
 	rigs "elderwall/internal/standin/rig"
 )
 
--- a/internal/extproc/rules.go
+++ b/internal/extproc/rules.go
@@ -4,6 +4,9 @@
 package extproc
 
 import (
+	"elderwall/core/proxycall"
+	"elderwall/internal/call"
+	"elderwall/internal/hostproto"
 	"errors"
 	"fmt"
 	"hash/fnv"
@@ -13,10 +16,6 @@
 	"unicode/utf8"
 
 	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
-
-	"elderwall/internal/call"
-	"elderwall/internal/hostproto"
-	"elderwall/core/proxycall"
 )
 
 const (
@@ -53,7 +52,7 @@
 type Asked struct {
 	call.GET
 	Again  proxycall.ID // of the GET that it goes on with, 0 for none
-	Unsent bool     // the proxy tells that it could not send the forward before
+	Unsent bool         // the proxy tells that it could not send the forward before
 }
 
 // What can be wrong with a request.
--- a/internal/extproc/server.go
+++ b/internal/extproc/server.go
@@ -5,6 +5,15 @@
 	"context"
 	crypto "crypto/rand"
 	"crypto/tls"
+	"elderwall/core/admission"
+	"elderwall/core/proxycall"
+	"elderwall/core/routing"
+	"elderwall/internal/certs"
+	"elderwall/internal/clock"
+	"elderwall/internal/counters"
+	"elderwall/internal/downstream"
+	"elderwall/internal/memquota"
+	"elderwall/internal/syserr"
 	"errors"
 	"fmt"
 	"hash/fnv"
@@ -26,16 +35,6 @@
 	"google.golang.org/grpc/keepalive"
 	"google.golang.org/grpc/peer"
 	"google.golang.org/grpc/status"
-
-	"elderwall/core/routing"
-	"elderwall/internal/certs"
-	"elderwall/internal/clock"
-	"elderwall/internal/counters"
-	"elderwall/internal/downstream"
-	"elderwall/internal/memquota"
-	"elderwall/internal/syserr"
-	"elderwall/core/admission"
-	"elderwall/core/proxycall"
 )
 
 const (
@@ -86,9 +85,11 @@
 // Serve serves until the context ends.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	s.begin()
-	options := []grpc.ServerOption{grpc.MaxRecvMsgSize(longestMessage), grpc.MaxConcurrentStreams(uint32(s.table.Open)),
+	options := []grpc.ServerOption{
+		grpc.MaxRecvMsgSize(longestMessage), grpc.MaxConcurrentStreams(uint32(s.table.Open)),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveEach, Timeout: keepaliveIn}),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: keepaliveIn, PermitWithoutStream: true})}
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: keepaliveIn, PermitWithoutStream: true}),
+	}
 	if s.Secure != nil {
 		c := s.Secure.Config()
 		c.NextProtos = []string{"h2"}
@@ -459,13 +460,17 @@
 }
 
 // outcomes is what the module is told of a proof.
-var outcomes = map[proxycall.Proof]routing.Outcome{proxycall.Returned: routing.Returned, proxycall.HostError: routing.HostError,
+var outcomes = map[proxycall.Proof]routing.Outcome{
+	proxycall.Returned: routing.Returned, proxycall.HostError: routing.HostError,
 	proxycall.Full: routing.NotTaken, proxycall.TooOld: routing.NotTaken, proxycall.Lacks: routing.Empty, proxycall.Unreached: routing.Unreached,
-	proxycall.Dropped: routing.Dropped}
+	proxycall.Dropped: routing.Dropped,
+}
 
 // notes is what hosts say of a hit or a fill in a header.
-var notes = map[string]routing.Note{"hit": routing.Hit, "filled": routing.Filled, "origin": routing.FilledByOrigin, "joined": routing.Joined,
-	"source-refused": routing.SourceRefused, "source-failed": routing.SourceFailed, "source-lacks": routing.SourceLacks, "origin-failed": routing.OriginFailed}
+var notes = map[string]routing.Note{
+	"hit": routing.Hit, "filled": routing.Filled, "origin": routing.FilledByOrigin, "joined": routing.Joined,
+	"source-refused": routing.SourceRefused, "source-failed": routing.SourceFailed, "source-lacks": routing.SourceLacks, "origin-failed": routing.OriginFailed,
+}
 
 // response takes how a forward went, and says what the client gets.
 func (st *stream) response(h *procv3.HttpHeaders) (*procv3.ProcessingResponse, error) {
--- a/internal/hostproto/lines.go
+++ b/internal/hostproto/lines.go
@@ -4,14 +4,13 @@
 
 import (
 	"bytes"
+	"elderwall/core/routing"
 	"errors"
 	"fmt"
 	"slices"
 	"strconv"
 
 	"github.com/cespare/xxhash/v2"
-
-	"elderwall/core/routing"
 )
 
 const (
--- a/internal/hostproto/lines_test.go
+++ b/internal/hostproto/lines_test.go
@@ -1,16 +1,15 @@
 package hostproto_test
 
 import (
+	"elderwall/core/routing"
+	"elderwall/internal/hostproto"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
 	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/core/routing"
-	"elderwall/internal/hostproto"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
 )
 
 // answers feeds text in pieces of a size and gives back the answers, until the first error.
@@ -67,7 +66,8 @@
 		{standin.Answer("a", "FAULT", "detail=behind", ""), hostproto.Answer{Word: hostproto.Fault, Note: routing.OriginFailed, Body: empty}},
 		{standin.Answer("a", "LATE", "detail=new", ""), hostproto.Answer{Word: hostproto.Late, Body: empty}},
 		{"a PONG\r\n", hostproto.Answer{Word: hostproto.Pong}},
-		{"a PONG - 0\r\n\r\n", hostproto.Answer{Word: hostproto.Pong, Body: empty}}} {
+		{"a PONG - 0\r\n\r\n", hostproto.Answer{Word: hostproto.Pong, Body: empty}},
+	} {
 		tt.want.ID = []byte("a")
 		for _, piece := range []int{1, 11, 1 << 20} {
 			got, err := answers(tt.text+tt.text, piece, roomy)
@@ -90,9 +90,11 @@
 }
 
 func TestHostileAnswers(t *testing.T) {
-	for _, text := range []string{"\r\n", "a\r\n", " HIT - 0\r\n", "a WHAT - 0\r\n", "a HIT -\r\n", "a HIT - 0 0\r\n", "a HIT - -1\r\n",
+	for _, text := range []string{
+		"\r\n", "a\r\n", " HIT - 0\r\n", "a WHAT - 0\r\n", "a HIT -\r\n", "a HIT - 0 0\r\n", "a HIT - -1\r\n",
 		"a HIT - x\r\n", "a HIT - 99999999\r\n", "a HIT - 99999999999999999999\r\n", "a HIT detail 0\r\n\r\n", "a HIT - 0\n\r\n",
-		"a HIT - 1\r\nxyz", strings.Repeat("a", 5000)} {
+		"a HIT - 1\r\nxyz", strings.Repeat("a", 5000),
+	} {
 		for _, piece := range []int{1, 1 << 20} {
 			got, err := answers(text, piece, roomy)
 			assert.Error(t, err, "%.40q", text)
@@ -108,7 +110,8 @@
 	full.Join, full.HeldOnly, full.Renew = true, true, true
 	for want, q := range map[string]hostproto.Request{
 		"REQ 9b1f queue=segment,path=7f3a,blk=3,budget=1500 0\r\n":                                                   bare,
-		"REQ 9b1f queue=segment,path=7f3a,blk=3,budget=1500,up=s-0,store=2,cap=900,do=share+peek+swr,inm=4be0 2\r\n": full} {
+		"REQ 9b1f queue=segment,path=7f3a,blk=3,budget=1500,up=s-0,store=2,cap=900,do=share+peek+swr,inm=4be0 2\r\n": full,
+	} {
 		assert.Equal(t, want, string(q.AppendHead(nil)))
 	}
 	assert.Equal(t, "STOP 9b1f\r\nHELO t\r\n", string(hostproto.AppendHello(hostproto.AppendStop(nil, "9b1f"), "t")))
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -1,6 +1,8 @@
 package load
 
 import (
+	"elderwall/internal/clock"
+	"elderwall/internal/thrift"
 	"fmt"
 	"math/rand/v2"
 	"net"
@@ -9,9 +11,6 @@
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
-
-	"elderwall/internal/clock"
-	"elderwall/internal/thrift"
 )
 
 const (
@@ -77,8 +76,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("load: %w", err)
 	}
-	cl := &client{Case: c, token: token, number: number, net: conn, counts: counts, ends: ends, tally: newTally(),
-		chance: rand.New(rand.NewPCG(seed, uint64(number))), open: map[int32]shot{}, space: make(chan struct{}, 1)}
+	cl := &client{
+		Case: c, token: token, number: number, net: conn, counts: counts, ends: ends, tally: newTally(),
+		chance: rand.New(rand.NewPCG(seed, uint64(number))), open: map[int32]shot{}, space: make(chan struct{}, 1),
+	}
 	if c.Zipf > 0 {
 		cl.zipf = rand.NewZipf(cl.chance, c.Zipf, 1, uint64(c.Objects-1))
 	}
@@ -106,8 +107,10 @@
 	c.seq++
 	c.ids++
 	id := uint64(c.number)<<40 | c.ids
-	fields := []string{"method", c.Service, "rid", fmt.Sprintf("%016x", id), "budget", strconv.Itoa(int(c.Budget * 1e3)),
-		"obj", fmt.Sprintf("%016x", s.object*0x9e3779b97f4a7c15), "nth", strconv.Itoa(s.part), "batch", strconv.Itoa(int(s.object & 255))}
+	fields := []string{
+		"method", c.Service, "rid", fmt.Sprintf("%016x", id), "budget", strconv.Itoa(int(c.Budget * 1e3)),
+		"obj", fmt.Sprintf("%016x", s.object*0x9e3779b97f4a7c15), "nth", strconv.Itoa(s.part), "batch", strconv.Itoa(int(s.object & 255)),
+	}
 	if c.token != "" {
 		fields = append(fields, "token", c.token)
 	}
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -2,6 +2,10 @@
 
 import (
 	"bytes"
+	"elderwall/internal/call"
+	"elderwall/internal/downstream"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/rig"
 	"maps"
 	"os"
 	"path/filepath"
@@ -14,11 +18,6 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/call"
-	"elderwall/internal/downstream"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/rig"
 )
 
 func TestPlans(t *testing.T) {
@@ -33,7 +32,8 @@
 		"a share without a peak":     {`{cases: [{name: "a", of_peak: 0.5}]}`, "goes with peak"},
 		"more than a client may ask": {`{cases: [{name: "a", under_way: 33}]}`, "under_way"},
 		"a size with no unit":        {`{farm: {bytes: 1000}, cases: [{name: "a"}]}`, "farm.bytes"},
-		"no name":                    {`{cases: [{}]}`, "name: is needed"}} {
+		"no name":                    {`{cases: [{}]}`, "name: is needed"},
+	} {
 		_, err := decode("p", tt[0])
 		assert.ErrorContains(t, err, tt[1], name)
 	}
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -4,12 +4,11 @@
 package load
 
 import (
+	"elderwall/internal/configfile"
+	"elderwall/internal/standin"
 	"errors"
 	"fmt"
 	"os"
-
-	"elderwall/internal/standin"
-	"elderwall/internal/configfile"
 )
 
 // Plan is an experiment: every case, with every subject, so many rounds in turn.
@@ -74,8 +73,10 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Plan{Text: text, Rounds: 1, Seconds: 5, Warm: 1, Seed: 1,
-		Farm: standin.FarmOptions{Caches: 4, Parents: 1, Bytes: 1000, Holds: 1 << 16}}
+	p := &Plan{
+		Text: text, Rounds: 1, Seconds: 5, Warm: 1, Seed: 1,
+		Farm: standin.FarmOptions{Caches: 4, Parents: 1, Bytes: 1000, Holds: 1 << 16},
+	}
 	o.Count("rounds", &p.Rounds, 1, 1000)
 	o.Duration("seconds", &p.Seconds, 0.05, mostSeconds)
 	o.Duration("warm", &p.Warm, 0, mostSeconds)
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"elderwall/internal/standin"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -16,8 +17,6 @@
 	"syscall"
 	"text/tabwriter"
 	"time"
-
-	"elderwall/internal/standin"
 )
 
 const (
--- a/internal/multicore/cores.go
+++ b/internal/multicore/cores.go
@@ -5,21 +5,20 @@
 
 import (
 	"context"
-	"slices"
-	"sync"
-	"sync/atomic"
-	"time"
-
-	"golang.org/x/sync/errgroup"
-
 	"elderwall/core/routing"
 	"elderwall/core/routing/rendezvous"
+	"elderwall/core/sharding"
 	"elderwall/internal/call"
 	"elderwall/internal/changelog"
 	"elderwall/internal/counters"
 	"elderwall/internal/dispatcher"
 	"elderwall/internal/upstream"
-	"elderwall/core/sharding"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"golang.org/x/sync/errgroup"
 )
 
 const (
@@ -92,8 +91,10 @@
 		c, o := g.config, g.config.Options
 		m := &member{counts: &counters.Counters{}}
 		m.ctx, m.cancel = context.WithCancel(o.Context)
-		c.Options = &upstream.Options{Log: o.Log, Counts: m.counts, Room: o.Room, Dialer: o.Dialer, IdleClose: o.IdleClose,
-			Streams: o.Streams, Proofs: o.Proofs, Places: o.Places, Dials: o.Dials, Context: m.ctx, Group: o.Group}
+		c.Options = &upstream.Options{
+			Log: o.Log, Counts: m.counts, Room: o.Room, Dialer: o.Dialer, IdleClose: o.IdleClose,
+			Streams: o.Streams, Proofs: o.Proofs, Places: o.Places, Dials: o.Dials, Context: m.ctx, Group: o.Group,
+		}
 		c.Connections = max(1, g.config.Connections/n)
 		c.Shard = &dispatcher.Shard{Index: len(members), Shards: n, Peers: &peers{g, len(members)}, Together: g.together, Known: g.known}
 		m.Node = dispatcher.New(c)
--- a/internal/multicore/cores_test.go
+++ b/internal/multicore/cores_test.go
@@ -1,6 +1,14 @@
 package multicore
 
 import (
+	"elderwall/core/sharding"
+	"elderwall/internal/call"
+	"elderwall/internal/clock"
+	"elderwall/internal/counters"
+	"elderwall/internal/dispatcher"
+	"elderwall/internal/downstream"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
 	"fmt"
 	"maps"
 	"slices"
@@ -14,15 +22,7 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 
-	"elderwall/internal/call"
-	"elderwall/internal/clock"
-	"elderwall/internal/counters"
-	"elderwall/internal/downstream"
-	"elderwall/internal/dispatcher"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
 	rigs "elderwall/internal/standin/rig"
-	"elderwall/core/sharding"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/multicore/held_test.go
+++ b/internal/multicore/held_test.go
@@ -1,15 +1,14 @@
 package multicore
 
 import (
+	"elderwall/core/sharding"
+	"elderwall/internal/dispatcher"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/dispatcher"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/core/sharding"
 )
 
 // settled waits until a shard has done all that is in its line by now.
--- a/internal/multicore/left_test.go
+++ b/internal/multicore/left_test.go
@@ -1,18 +1,17 @@
 package multicore
 
 import (
+	"elderwall/core/sharding"
+	"elderwall/internal/dispatcher"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/upstream"
 	"net"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/dispatcher"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/upstream"
-	"elderwall/core/sharding"
 )
 
 // ways in which a client leaves.
--- a/internal/operator/callers.go
+++ b/internal/operator/callers.go
@@ -1,16 +1,15 @@
 package operator
 
 import (
+	"elderwall/core/admission"
+	"elderwall/internal/configfile"
+	"elderwall/internal/token"
 	"encoding/json"
 	"fmt"
 	"net/netip"
 	"slices"
 	"strconv"
 	"strings"
-
-	"elderwall/internal/configfile"
-	"elderwall/internal/token"
-	"elderwall/core/admission"
 )
 
 const (
--- a/internal/operator/channels.go
+++ b/internal/operator/channels.go
@@ -1,12 +1,11 @@
 package operator
 
 import (
-	"errors"
-	"os"
-
 	"elderwall/core/cluster/channel"
 	"elderwall/internal/cluster"
 	"elderwall/internal/configfile"
+	"errors"
+	"os"
 )
 
 // What a channel is kept by where its declaration does not say.
--- a/internal/operator/channels_test.go
+++ b/internal/operator/channels_test.go
@@ -1,12 +1,11 @@
 package operator
 
 import (
+	"elderwall/core/cluster/channel"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/core/cluster/channel"
 )
 
 func TestChannels(t *testing.T) {
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -1,15 +1,14 @@
 package operator
 
 import (
-	"net/netip"
-	"path/filepath"
-	"strings"
-
-	"elderwall/core/cluster/quota"
 	"elderwall/core/cluster/lease"
 	"elderwall/core/cluster/membership"
+	"elderwall/core/cluster/quota"
 	"elderwall/internal/cluster"
 	"elderwall/internal/configfile"
+	"net/netip"
+	"path/filepath"
+	"strings"
 )
 
 const (
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -5,22 +5,21 @@
 package operator
 
 import (
+	"elderwall/core/admission"
+	"elderwall/core/routing/retrybudget"
+	"elderwall/core/sharding"
+	"elderwall/internal/certs"
+	"elderwall/internal/cluster"
+	"elderwall/internal/configfile"
+	"elderwall/internal/extproc"
+	"elderwall/internal/service"
+	"elderwall/internal/token"
 	"errors"
 	"fmt"
 	"hash/fnv"
 	"os"
 	"path/filepath"
 	"slices"
-
-	"elderwall/core/routing/retrybudget"
-	"elderwall/internal/certs"
-	"elderwall/internal/extproc"
-	"elderwall/internal/cluster"
-	"elderwall/internal/service"
-	"elderwall/internal/configfile"
-	"elderwall/internal/token"
-	"elderwall/core/admission"
-	"elderwall/core/sharding"
 )
 
 const mostCores = 256 // of a machine; as many shards would each see hardly a GET of an item
@@ -29,14 +28,14 @@
 
 // Config is what the file says.
 type Config struct {
-	Callers  *admission.Settings     // nil where nobody asks who is calling
+	Callers  *admission.Settings   // nil where nobody asks who is calling
 	Keys     map[string]*token.Key // that tokens may be signed by
 	TLS      *TLS                  // nil where there is no listener for it
 	Cores    service.Cores
 	Joins    []bool // by delivery service, whether GETs for the same part share a forward; nil for none
 	Retries  retrybudget.Settings
-	Proxies  *Proxies        // nil where none may ask
-	Variants *Variants       // nil where no device classes are declared
+	Proxies  *Proxies          // nil where none may ask
+	Variants *Variants         // nil where no device classes are declared
 	Fleet    *cluster.Settings // nil where the dispatcher is by itself
 
 	Generation uint32 // of the file: a hash of its text
@@ -92,8 +91,10 @@
 	}
 	sum := fnv.New32a()
 	_, _ = sum.Write([]byte(text))
-	d := &decoder{config: Config{Generation: sum.Sum32()}, Faults: faults, folder: filepath.Dir(path), services: services,
-		open: len(services) == 0}
+	d := &decoder{
+		config: Config{Generation: sum.Sum32()}, Faults: faults, folder: filepath.Dir(path), services: services,
+		open: len(services) == 0,
+	}
 	if c := o.Inner("callers"); c != nil {
 		d.callers(c)
 	}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -1,6 +1,13 @@
 package operator
 
 import (
+	"elderwall/core/admission"
+	"elderwall/core/cluster/quota"
+	"elderwall/internal/cluster"
+	"elderwall/internal/downstream"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/token"
 	"encoding/json"
 	"fmt"
 	"math"
@@ -13,14 +20,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"elderwall/core/cluster/quota"
 	pure "elderwall/core/cluster/variant"
-	"elderwall/internal/cluster"
-	"elderwall/internal/downstream"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/token"
-	"elderwall/core/admission"
 )
 
 var services = []string{"segment", "page"}
@@ -54,8 +54,10 @@
 	c := need.Of(decode(filepath.Join(folder(t), "operator.jsonnet"), example(t), services))(t)
 	s := c.Callers
 	assert.Equal(t, []any{30.0, 2.0, 43200.0, "elderwall", 1, []string{"j9"}}, []any{s.Skew, s.Window, s.MostLife, s.Audience, len(s.Keys), s.Revoked.Tokens})
-	assert.Equal(t, admission.Tenant{Name: "reseller-south", Roles: []string{"clips", "pages"}, Rules: []admission.Rule{{Deny: true, Groups: []int{17}}},
-		Share: admission.Share{Rate: 200, Burst: 400, Most: 256, Weight: 2}, Caller: admission.Share{Rate: 20, Burst: 40}}, s.Tenants[2])
+	assert.Equal(t, admission.Tenant{
+		Name: "reseller-south", Roles: []string{"clips", "pages"}, Rules: []admission.Rule{{Deny: true, Groups: []int{17}}},
+		Share: admission.Share{Rate: 200, Burst: 400, Most: 256, Weight: 2}, Caller: admission.Share{Rate: 20, Burst: 40},
+	}, s.Tenants[2])
 	assert.Equal(t, admission.Rule{Deny: true, Services: []int{1}, Objects: []admission.Prefix{{Bits: 0xff << 48, Digits: 4}}}, s.Roles["pages"][1])
 	assert.Equal(t, []any{"127.0.0.1:4143", true, false, 1, 1}, []any{c.TLS.Listen, c.TLS.Required, c.TLS.Only13, len(s.Authorities), len(s.Revoked.Certificates)})
 	need.Of(admission.New(0, 0, *s))(t)
@@ -99,7 +101,8 @@
 		{"an unknown word", `oldest: '1.2'`, `oldest: '1.1'`, `tls.oldest: "1.1" is none of 1.2, 1.3`},
 		{"a weight for callers", `caller: { rate`, `caller: { weight: 2, rate`, "caller: weight is for tenants alone"},
 		{"a list for an object", `roles: {`, `roles: [] + {`, "roles"},
-		{"no Jsonnet", `callers: {`, `callers: (`, "operator.jsonnet:"}} {
+		{"no Jsonnet", `callers: {`, `callers: (`, "operator.jsonnet:"},
+	} {
 		text := example(t)
 		require.Contains(t, text, tt.old, tt.name)
 		_, err := decode(filepath.Join(folder(t), "operator.jsonnet"), strings.Replace(text, tt.old, tt.new, 1), services)
@@ -123,7 +126,8 @@
 		{`'server.key'`, `'none'`, "tls.key: stat"},
 		{`'clients.pem'`, `'none'`, "tls.authorities: stat"},
 		{`'clients.pem'`, `'server.key'`, "authorities: a PEM block"},
-		{`'clients.crl'`, `'none'`, "tls.revocations: stat"}} {
+		{`'clients.crl'`, `'none'`, "tls.revocations: stat"},
+	} {
 		text := example(t)
 		require.Contains(t, text, tt.old)
 		_, err := decode(filepath.Join(dir, "operator.jsonnet"), strings.Replace(text, tt.old, tt.new, 1), services)
@@ -195,7 +199,8 @@
 		`{listen: '127.0.0.1:1', paths: [{match: '(', service: 'segment'}]}`:               "match",
 		`{listen: '127.0.0.1:1', paths: [{match: '/a', service: 'segment'}]}`:              "a group named object",
 		`{listen: '127.0.0.1:1', paths: [{match: '/(?P<object>.*)', service: 'nothing'}]}`: "no delivery service",
-		`{listen: 'nowhere', paths: [%s]}`:                                                 "proxies.listen"})
+		`{listen: 'nowhere', paths: [%s]}`:                                                 "proxies.listen",
+	})
 }
 
 func TestJoinsAndRetries(t *testing.T) {
@@ -205,8 +210,10 @@
 	c = need.Of(decode("f", `{}`, services))(t)
 	assert.Nil(t, c.Joins)
 	assert.Zero(t, c.Retries)
-	faults(t, strings.Clone, map[string]string{`{joins: ['nothing']}`: "joins", `{retries: {share: -1}}`: "retries.share",
-		`{retries: {floor: 5}}`: "retries.floor", `{retries: {many: 1}}`: "retries.many"})
+	faults(t, strings.Clone, map[string]string{
+		`{joins: ['nothing']}`: "joins", `{retries: {share: -1}}`: "retries.share",
+		`{retries: {floor: 5}}`: "retries.floor", `{retries: {many: 1}}`: "retries.many",
+	})
 }
 
 func TestBudgets(t *testing.T) {
@@ -228,7 +235,8 @@
 		`wholes: {x: {of: 'tenant:', most: 2}}`:            "is none of origin, host:NAME, retries and tenant:NAME",
 		`wholes: {x: {amount: 2}}`:                         "a window of 0 s",
 		`wholes: {x: {most: 2, floor: 3, ceiling: 2}}`:     "the ceiling is under the floor",
-		`wholes: {x: {amount: 2, window: '1h', floor: 1}}`: "an amount has no floor", `tail: '40s', wholes: {}`: "tail"})
+		`wholes: {x: {amount: 2, window: '1h', floor: 1}}`: "an amount has no floor", `tail: '40s', wholes: {}`: "tail",
+	})
 	faults(t, file, map[string]string{`budgets: {wholes: {}}`: "duties: is needed"})
 }
 
@@ -239,15 +247,19 @@
 	assert.Equal(t, &cluster.Memory{Horizon: 3600, Rate: 1 << 20}, c.Fleet.Memory)
 	c = need.Of(decode("f", file(``), services))(t)
 	assert.Nil(t, c.Fleet.Memory)
-	faults(t, func(text string) string { return file(`memory: {` + text + `}`) }, map[string]string{`horizon: 5`: "memory.horizon", `horizon: '1s'`: "memory.horizon",
-		`rate: '1KiB'`: "memory.rate", `rate: 5000000`: "memory.rate", `kinds: 3`: "memory.kinds"})
+	faults(t, func(text string) string { return file(`memory: {` + text + `}`) }, map[string]string{
+		`horizon: 5`: "memory.horizon", `horizon: '1s'`: "memory.horizon",
+		`rate: '1KiB'`: "memory.rate", `rate: 5000000`: "memory.rate", `kinds: 3`: "memory.kinds",
+	})
 }
 
 func TestVariants(t *testing.T) {
 	c := need.Of(decode("f", string(need.Of(os.ReadFile("../../examples/variants.jsonnet"))(t)), services))(t)
 	v := c.Variants
-	assert.Equal(t, pure.Service{Classes: []string{"tv", "phone", "car"}, Proof: pure.ByTag, Witnesses: 2, Repeats: true, Fresh: 600,
-		Presume: &pure.Presumed{Objects: 200, Checks: 0.01}}, v.Module.Services[0])
+	assert.Equal(t, pure.Service{
+		Classes: []string{"tv", "phone", "car"}, Proof: pure.ByTag, Witnesses: 2, Repeats: true, Fresh: 600,
+		Presume: &pure.Presumed{Objects: 200, Checks: 0.01},
+	}, v.Module.Services[0])
 	assert.Empty(t, v.Module.Services[1].Classes)
 	assert.Equal(t, []string{"dev", ""}, v.Fields)
 	assert.NoError(t, v.Repeatable(services, []bool{true, false}))
@@ -269,8 +281,10 @@
 		bad = strings.Replace(bad, from, to, 1)
 	}
 	_, err := decode("f", bad, services)
-	for _, want := range []string{"witnesses", "fresh", "presume.checks", "segment.other", "two at least", "must be letters", "segment.field", "segment.host_field",
-		"segment.proof"} {
+	for _, want := range []string{
+		"witnesses", "fresh", "presume.checks", "segment.other", "two at least", "must be letters", "segment.field", "segment.host_field",
+		"segment.proof",
+	} {
 		assert.ErrorContains(t, err, want, "all at once")
 	}
 	faults(t, strings.Clone, map[string]string{strings.Replace(one(""), "segment", "nothing", 1): "no delivery service", file(`variants: {}`): "services: is needed"})
--- a/internal/operator/proxies.go
+++ b/internal/operator/proxies.go
@@ -1,13 +1,12 @@
 package operator
 
 import (
-	"regexp"
-	"slices"
-
+	"elderwall/core/proxycall"
 	"elderwall/internal/certs"
-	"elderwall/internal/extproc"
 	"elderwall/internal/configfile"
-	"elderwall/core/proxycall"
+	"elderwall/internal/extproc"
+	"regexp"
+	"slices"
 )
 
 const (
@@ -21,8 +20,10 @@
 
 // proxies reads the listener for proxies that ask for each request.
 func (d *decoder) proxies(o *configfile.Object) {
-	p := &Proxies{Options: extproc.Options{Decide: proxycall.DefaultDecide, Rules: extproc.Rules{Prefix: prefixDefault},
-		Calls: proxycall.Settings{Open: proxycall.DefaultOpen, Share: proxycall.DefaultShare, Hold: proxycall.DefaultHold}}}
+	p := &Proxies{Options: extproc.Options{
+		Decide: proxycall.DefaultDecide, Rules: extproc.Rules{Prefix: prefixDefault},
+		Calls: proxycall.Settings{Open: proxycall.DefaultOpen, Share: proxycall.DefaultShare, Hold: proxycall.DefaultHold},
+	}}
 	o.Address("listen", &p.Listen)
 	if p.Listen == "" {
 		o.Fault("listen", "is needed")
--- a/internal/operator/variants.go
+++ b/internal/operator/variants.go
@@ -1,6 +1,11 @@
 package operator
 
 import (
+	"elderwall/internal/configfile"
+	"elderwall/internal/downstream"
+	"elderwall/internal/hostproto"
+	"elderwall/internal/thrift"
+	"elderwall/internal/variantfilter"
 	"errors"
 	"fmt"
 	"math"
@@ -9,11 +14,6 @@
 	"strings"
 
 	pure "elderwall/core/cluster/variant"
-	"elderwall/internal/downstream"
-	"elderwall/internal/hostproto"
-	"elderwall/internal/configfile"
-	"elderwall/internal/thrift"
-	"elderwall/internal/variantfilter"
 )
 
 const (
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -2,12 +2,11 @@
 package scenario
 
 import (
+	"elderwall/emulator"
+	"elderwall/internal/configfile"
 	"errors"
 	"fmt"
 	"os"
-
-	"elderwall/emulator"
-	"elderwall/internal/configfile"
 )
 
 const (
@@ -34,20 +33,26 @@
 	seed := 1
 	o.Count("seed", &seed, 0, 1<<31)
 	s.Seed = uint64(seed)
-	for key, to := range map[string]*int{"dispatchers": &s.Dispatchers, "caches": &s.Caches, "cells": &s.Cells, "parents": &s.Parents,
+	for key, to := range map[string]*int{
+		"dispatchers": &s.Dispatchers, "caches": &s.Caches, "cells": &s.Cells, "parents": &s.Parents,
 		"slots": &s.Slots, "queue": &s.Queue, "holds": &s.Holds, "parent_slots": &s.ParentSlots, "parent_holds": &s.ParentHolds,
-		"origin_slots": &s.OriginSlots, "objects": &s.Objects, "again": &s.Again, "max_forwards": &s.MaxForwards, "shards": &s.Shards, "zones": &s.Zones} {
+		"origin_slots": &s.OriginSlots, "objects": &s.Objects, "again": &s.Again, "max_forwards": &s.MaxForwards, "shards": &s.Shards, "zones": &s.Zones,
+	} {
 		o.Count(key, to, 0, most)
 	}
-	for key, to := range map[string]*float64{"seconds": &s.Seconds, "warm": &s.Warm, "serve": &s.Serve, "origin_serve": &s.OriginServe,
+	for key, to := range map[string]*float64{
+		"seconds": &s.Seconds, "warm": &s.Warm, "serve": &s.Serve, "origin_serve": &s.OriginServe,
 		"link": &s.Link, "connect": &s.Connect, "idle_close": &s.IdleClose, "news": &s.News, "objective": &s.Objective,
-		"viewer_timeout": &s.ViewerTimeout} {
+		"viewer_timeout": &s.ViewerTimeout,
+	} {
 		o.Duration(key, to, 0, times)
 	}
 	o.Rate("rate", &s.Rate, 0.01, most)
 	o.Number("zipf", &s.Zipf, 0, 10)
-	for key, to := range map[string]*float64{"kb": &s.KB, "spread": &s.Spread, "pace": &s.Pace, "cache_kb": &s.CacheKB,
-		"parent_kb": &s.ParentKB, "origin_kb": &s.OriginKB, "way_in_kb": &s.WayInKB} {
+	for key, to := range map[string]*float64{
+		"kb": &s.KB, "spread": &s.Spread, "pace": &s.Pace, "cache_kb": &s.CacheKB,
+		"parent_kb": &s.ParentKB, "origin_kb": &s.OriginKB, "way_in_kb": &s.WayInKB,
+	} {
 		o.Number(key, to, 0, most)
 	}
 	o.Flag("tells", &s.Tells)
--- a/internal/service/config.go
+++ b/internal/service/config.go
@@ -1,6 +1,10 @@
 package service
 
 import (
+	"elderwall/core/routing"
+	"elderwall/core/settings"
+	"elderwall/internal/changelog"
+	"elderwall/internal/clock"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -9,11 +13,6 @@
 	"reflect"
 	"strconv"
 	"time"
-
-	"elderwall/core/routing"
-	"elderwall/internal/changelog"
-	"elderwall/internal/clock"
-	"elderwall/core/settings"
 )
 
 // Config is what a dispatcher is told.
@@ -101,8 +100,11 @@
 		name string
 		same bool
 	}{
-		{"name", c.Name == to.Name}, {"listen", c.Listen == to.Listen}, {"seed", c.Seed == to.Seed},
-		{"limits", c.Limits == to.Limits}, {"settings", reflect.DeepEqual(c.settings, to.settings)},
+		{"name", c.Name == to.Name},
+		{"listen", c.Listen == to.Listen},
+		{"seed", c.Seed == to.Seed},
+		{"limits", c.Limits == to.Limits},
+		{"settings", reflect.DeepEqual(c.settings, to.settings)},
 	} {
 		if !part.same {
 			kept = append(kept, part.name)
--- a/internal/service/descriptors_test.go
+++ b/internal/service/descriptors_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"bytes"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
 	"fmt"
 	"net"
 	"os"
@@ -13,9 +15,6 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
 )
 
 // limited is this test program as a dispatcher of its own that has so many descriptors.
--- a/internal/service/drain_test.go
+++ b/internal/service/drain_test.go
@@ -1,14 +1,13 @@
 package service
 
 import (
+	"elderwall/core/routing"
+	"elderwall/internal/standin/need"
 	"syscall"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
-
-	"elderwall/core/routing"
-	"elderwall/internal/standin/need"
 )
 
 // A host that is silent for longer than the platform waits with SIGKILL leaves no request unanswered: what is open just before that is
@@ -42,7 +41,8 @@
 	for longest, giveUpAt := range map[time.Duration]time.Duration{
 		10 * time.Millisecond: 460 * time.Millisecond, 60 * time.Millisecond: 510 * time.Millisecond, 150 * time.Millisecond: 600 * time.Millisecond,
 		300 * time.Millisecond: stillComing, 400 * time.Millisecond: stillComing, time.Second: 1300 * time.Millisecond,
-		3 * time.Second: 3300 * time.Millisecond, time.Minute: 3300 * time.Millisecond} {
+		3 * time.Second: 3300 * time.Millisecond, time.Minute: 3300 * time.Millisecond,
+	} {
 		c := &Config{}
 		c.settings.Settings.Services = []routing.DeliveryService{{ViewerTimeout: longest.Seconds()}}
 		plan, killed := planShutdown(c.longest()), min(longest, longestWait)+stillComing
--- a/internal/service/idempotency_test.go
+++ b/internal/service/idempotency_test.go
@@ -17,7 +17,8 @@
 		{"one that is too long", longest + "k", "failed"},
 		{"one with a comma", "a,up=s-9", "failed"},
 		{"one with a line end", "a\r\nSTOP b", "failed"},
-		{"one with a byte that is no text", "a\xff", "failed"}} {
+		{"one with a byte that is no text", "a\xff", "failed"},
+	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			_, asked, s1 := host(t, 1, hit)
--- a/internal/service/killed_test.go
+++ b/internal/service/killed_test.go
@@ -1,6 +1,9 @@
 package service
 
 import (
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/rig"
 	"fmt"
 	"io"
 	"os"
@@ -15,10 +18,6 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/rig"
 )
 
 // A real process is told to end and killed as early as the platform may, while clients go on sending on open connections and new ones come: it has
--- a/internal/service/reload_test.go
+++ b/internal/service/reload_test.go
@@ -2,6 +2,9 @@
 
 import (
 	"bufio"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/rig"
 	"fmt"
 	"io"
 	"net"
@@ -17,10 +20,6 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/rig"
 )
 
 // A signal that comes while the file is being written has it read again until it is whole.
@@ -56,7 +55,8 @@
 // SIGHUP and SIGTERM together: what is moved is followed for as long as the drain goes on, and the drain ends as always.
 func TestAReloadAgainstADrain(t *testing.T) {
 	for name, signals := range map[string][]os.Signal{
-		"reload first": {syscall.SIGHUP, syscall.SIGTERM}, "drain first": {syscall.SIGTERM, syscall.SIGHUP}} {
+		"reload first": {syscall.SIGHUP, syscall.SIGTERM}, "drain first": {syscall.SIGTERM, syscall.SIGHUP},
+	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			arrived, release := make(chan bool, 10), make(chan bool)
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -5,6 +5,16 @@
 import (
 	"cmp"
 	"context"
+	"elderwall/core/routing/retrybudget"
+	"elderwall/core/sharding"
+	"elderwall/internal/changelog"
+	"elderwall/internal/clock"
+	"elderwall/internal/counters"
+	"elderwall/internal/dispatcher"
+	"elderwall/internal/downstream"
+	"elderwall/internal/memquota"
+	"elderwall/internal/multicore"
+	"elderwall/internal/upstream"
 	"errors"
 	"fmt"
 	"maps"
@@ -20,17 +30,6 @@
 
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
-
-	"elderwall/core/routing/retrybudget"
-	"elderwall/internal/changelog"
-	"elderwall/internal/clock"
-	"elderwall/internal/multicore"
-	"elderwall/internal/counters"
-	"elderwall/internal/downstream"
-	"elderwall/internal/dispatcher"
-	"elderwall/internal/memquota"
-	"elderwall/internal/upstream"
-	"elderwall/core/sharding"
 )
 
 const (
@@ -221,11 +220,13 @@
 	defer cancel()
 	group, ctx := errgroup.WithContext(ctx)
 	clients := max(1, c.Limits.Sockets/clientShare)
-	o := &upstream.Options{Log: log, Counts: counts, Room: memquota.New(int64(bodyShare * memory)),
+	o := &upstream.Options{
+		Log: log, Counts: counts, Room: memquota.New(int64(bodyShare * memory)),
 		Dialer:    net.Dialer{Timeout: clock.Duration(c.settings.ConnectTimeout)},
 		Places:    upstream.NewPlaces(c.Limits.Sockets - clients - ownSockets),
 		Dials:     upstream.NewDials(),
-		IdleClose: clock.Duration(c.settings.IdleClose), Streams: c.settings.MaxStreams, Context: ctx, Group: group}
+		IdleClose: clock.Duration(c.settings.IdleClose), Streams: c.settings.MaxStreams, Context: ctx, Group: group,
+	}
 	n := dispatcher.Config{Settings: c.settings, Clock: clock.New(), Options: o, Connections: c.Limits.Sockets - clients - ownSockets}
 	if gate != nil {
 		n.Gate = gate
@@ -261,8 +262,10 @@
 	group.Go(func() error { return s.core.Run(ctx) })
 	group.Go(func() error { return follower.Follow(ctx, c.Known) })
 	for _, l := range s.listeners {
-		server := &downstream.Server{Handler: s.core, Log: log, Counts: counts, Room: o.Room, Most: max(1, clients/len(s.listeners)),
-			Longest: c.longest(), Devices: devices}
+		server := &downstream.Server{
+			Handler: s.core, Log: log, Counts: counts, Room: o.Room, Most: max(1, clients/len(s.listeners)),
+			Longest: c.longest(), Devices: devices,
+		}
 		if gate != nil {
 			server.Callers = gate
 		}
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -1,6 +1,10 @@
 package service
 
 import (
+	"elderwall/internal/load"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/rig"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -20,11 +24,6 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
-
-	"elderwall/internal/load"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/rig"
 )
 
 // TestMain checks that neither goroutines nor sockets are left.
@@ -145,7 +144,8 @@
 		{"a failure, for a group above the last", hit, true, []string{"batch", "256"}, failed},
 		{"a failure, for a number in another form", hit, true, []string{"nth", "+3"}, failed},
 		{"a failure, for a budget above the viewer timeout", hit, true, []string{"budget", "60001"}, failed},
-		{"a failure, for a malformed tag", hit, true, []string{"got", "a,b=c"}, failed}} {
+		{"a failure, for a malformed tag", hit, true, []string{"got", "a,b=c"}, failed},
+	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			a, asked, s1 := host(t, 1, tt.first)
@@ -176,7 +176,8 @@
 	for _, before := range []func(){
 		func() {}, func() {},
 		func() { d.log.Push(`{"seq":2,"invalidate":{"object":"` + object + `","time":1764576000123}}`) },
-		func() { d.End(); d.Run() }} {
+		func() { d.End(); d.Run() },
+	} {
 		before()
 		assert.Equal(t, map[string]string{"ok304": "1"}, d.get("got", tag).Fields)
 		require.Len(t, asked, 1, "one host was asked")
@@ -322,7 +323,8 @@
 		"too few sockets":     strings.Replace(whole, `"sockets":1024`, `"sockets":9`, 1),
 		"no settings":         strings.Replace(whole, `"settings":{`, `"settings":7,"other":{`, 1),
 		"no delivery service": strings.Replace(whole, `"classes":[`, `"classes":[],"others":[`, 1),
-		"no streams":          strings.Replace(whole, `"maxStreams":10`, `"maxStreams":0`, 1)} {
+		"no streams":          strings.Replace(whole, `"maxStreams":10`, `"maxStreams":0`, 1),
+	} {
 		_, err := read(t, text)
 		assert.Error(t, err, name)
 	}
--- a/internal/service/signals_test.go
+++ b/internal/service/signals_test.go
@@ -1,6 +1,7 @@
 package service
 
 import (
+	"elderwall/internal/standin/need"
 	"os"
 	"os/signal"
 	"syscall"
@@ -8,8 +9,6 @@
 	"time"
 
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/standin/need"
 )
 
 func TestNoBurstOfSignalsKeepsTheEndOut(t *testing.T) {
--- a/internal/service/start_test.go
+++ b/internal/service/start_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"bufio"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
 	"fmt"
 	"io"
 	"net"
@@ -15,9 +17,6 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
 )
 
 const (
--- a/internal/service/unusual_test.go
+++ b/internal/service/unusual_test.go
@@ -1,6 +1,9 @@
 package service
 
 import (
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/rig"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -14,26 +17,26 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/rig"
 )
 
 type fields map[string]any
 
 // unusual is a configuration whose every name and figure is another than the platform's usual ones, with changes to it.
 func unusual(listen, changelog string, changes, limits fields, classes ...fields) string {
-	set := fields{"balancers": 7, "index": 3, "zones": []string{"Zürich 2"}, "machineTypes": []string{"up", "edge/9", "root"}, "zone": 0,
+	set := fields{
+		"balancers": 7, "index": 3, "zones": []string{"Zürich 2"}, "machineTypes": []string{"up", "edge/9", "root"}, "zone": 0,
 		"classes": classes,
 		"extra":   fields{"shieldKind": 0, "sourceKind": 2, "noteLevel": "silent", "seatsByZone": []int{7}, "goneEverywhere": 777_000, "straight": true},
-		"rules":   fields{"coldFrom": 0.031, "rampTime": 333_333, "tipMultiple": 1.07, "fall": 12_345}}
+		"rules":   fields{"coldFrom": 0.031, "rampTime": 333_333, "tipMultiple": 1.07, "fall": 12_345},
+	}
 	all := fields{"maxAttempts": 3, "mayCancel": true, "secondCopies": true, "connectTimeout": 61_000, "idleClose": 997_000, "maxStreams": 3, "mostHeld": 41}
 	maps.Copy(all, limits)
 	set["limits"] = all
 	maps.Copy(set, changes)
-	raw, _ := json.Marshal(fields{"name": "odd", "listen": listen, "seed": "0000000000000001", "changelog": changelog, "settings": set,
-		"limits": fields{"cores": 0.3, "memory_mb": 37, "sockets": 131}, "known": fields{"seq": 0, "results": []any{}}})
+	raw, _ := json.Marshal(fields{
+		"name": "odd", "listen": listen, "seed": "0000000000000001", "changelog": changelog, "settings": set,
+		"limits": fields{"cores": 0.3, "memory_mb": 37, "sockets": 131}, "known": fields{"seq": 0, "results": []any{}},
+	})
 	return string(raw)
 }
 
--- a/internal/service/usable.go
+++ b/internal/service/usable.go
@@ -1,11 +1,10 @@
 package service
 
 import (
+	"elderwall/core/settings"
 	"errors"
 	"fmt"
 	"slices"
-
-	"elderwall/core/settings"
 )
 
 // usable tells what of the settings no GET could be served by. Guards against a dispatcher that starts, says that it is ready, and fails all of a
--- a/internal/snakejson/snake_test.go
+++ b/internal/snakejson/snake_test.go
@@ -1,12 +1,11 @@
 package snakejson
 
 import (
+	"elderwall/core/cluster/membership"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/core/cluster/membership"
 )
 
 func TestOneStyle(t *testing.T) {
--- a/internal/sse/sse_test.go
+++ b/internal/sse/sse_test.go
@@ -1,14 +1,13 @@
 package sse_test
 
 import (
+	"elderwall/internal/sse"
 	"fmt"
 	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/sse"
 )
 
 // events feeds text in pieces of a size and gives back the events, until the first error.
@@ -56,9 +55,11 @@
 }
 
 func TestHostileReplies(t *testing.T) {
-	for _, text := range []string{"HTTP/1.1 404 Not Found\r\n", "SSH-2.0 200\r\n", "\r\n", strings.Repeat("a", 20000),
+	for _, text := range []string{
+		"HTTP/1.1 404 Not Found\r\n", "SSH-2.0 200\r\n", "\r\n", strings.Repeat("a", 20000),
 		chunked + "xyz\r\n", chunked + "-1\r\n", chunked + "fffffffff\r\n", chunked + "2\r\nabc\r\n",
-		plain + "data: " + strings.Repeat("a", 5<<20), plain + strings.Repeat("data: "+strings.Repeat("a", 1000)+"\n", 5000)} {
+		plain + "data: " + strings.Repeat("a", 5<<20), plain + strings.Repeat("data: "+strings.Repeat("a", 1000)+"\n", 5000),
+	} {
 		got, _, err := events(text, 1<<14)
 		assert.Error(t, err, "%.60q", text)
 		assert.Empty(t, got, "%.60q", text)
--- a/internal/sse/stream_test.go
+++ b/internal/sse/stream_test.go
@@ -1,6 +1,7 @@
 package sse_test
 
 import (
+	"elderwall/internal/sse"
 	"fmt"
 	"strings"
 	"testing"
@@ -8,8 +9,6 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/sse"
 )
 
 // A stream may be written in each of the forms that server-sent events allow, and come in pieces that end anywhere.
@@ -18,7 +17,8 @@
 	want := []string{`1={"a":1}`, "2=b\nc", "3=d"}
 	mixed := strings.NewReplacer("id: 1\n", "id: 1\r", "\n\n", "\r\r\n", ": between\n", ": between\r\n").Replace(stream)
 	for name, text := range map[string]string{
-		"LF": stream, "CR LF": strings.ReplaceAll(stream, "\n", "\r\n"), "CR": strings.ReplaceAll(stream, "\n", "\r"), "mixed": mixed} {
+		"LF": stream, "CR LF": strings.ReplaceAll(stream, "\n", "\r\n"), "CR": strings.ReplaceAll(stream, "\n", "\r"), "mixed": mixed,
+	} {
 		for _, mark := range []string{"", "\ufeff"} {
 			text := mark + text
 			for head, whole := range map[string]string{plain: plain + text, chunked: chunked + chunks(text, 3) + "0\r\n\r\n"} {
@@ -68,11 +68,27 @@
 		text string
 		want bool
 	}{
-		{"", true}, {"HTTP/1.1 200 OK\r\n", true}, {plain, false}, {plain + ": here", true}, {plain + ": here\n", false}, {plain + ": here\n\n", false},
-		{plain + "id: 1\n", true}, {plain + "id: 1\n\n", false}, {plain + "data: a\n: here\n", true}, {plain + "data: a\n: here\n\n", false},
-		{plain + "data: a\r\r", false}, {plain + "\xef", true}, {plain + "\ufeff", false},
-		{chunked, false}, {chunked + "5", true}, {chunked + "5\r\n", false}, {chunked + "7\r\n: here\n", false}, {chunked + "7\r\n: here\n\r\n", false},
-		{chunked + "0\r\n", true}, {chunked + "0\r\n\r\n", false}} {
+		{"", true},
+		{"HTTP/1.1 200 OK\r\n", true},
+		{plain, false},
+		{plain + ": here", true},
+		{plain + ": here\n", false},
+		{plain + ": here\n\n", false},
+		{plain + "id: 1\n", true},
+		{plain + "id: 1\n\n", false},
+		{plain + "data: a\n: here\n", true},
+		{plain + "data: a\n: here\n\n", false},
+		{plain + "data: a\r\r", false},
+		{plain + "\xef", true},
+		{plain + "\ufeff", false},
+		{chunked, false},
+		{chunked + "5", true},
+		{chunked + "5\r\n", false},
+		{chunked + "7\r\n: here\n", false},
+		{chunked + "7\r\n: here\n\r\n", false},
+		{chunked + "0\r\n", true},
+		{chunked + "0\r\n\r\n", false},
+	} {
 		var r sse.Reader
 		require.NoError(t, r.Feed([]byte(tt.text)))
 		for _, ok := r.Next(); ok; _, ok = r.Next() {
--- a/internal/standin/authority.go
+++ b/internal/standin/authority.go
@@ -34,9 +34,11 @@
 // NewAuthority is one that signs itself.
 func NewAuthority(name string) *Authority {
 	a := &Authority{key: must(ecdsa.GenerateKey(elliptic.P256(), rand.Reader)), serial: 1}
-	of := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: name}, NotBefore: time.Now().Add(-time.Hour),
+	of := &x509.Certificate{
+		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: name}, NotBefore: time.Now().Add(-time.Hour),
 		NotAfter: time.Now().Add(24 * time.Hour), IsCA: true, BasicConstraintsValid: true,
-		KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageCRLSign}
+		KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageCRLSign,
+	}
 	a.cert = must(x509.ParseCertificate(must(x509.CreateCertificate(rand.Reader, of, of, &a.key.PublicKey, a.key))))
 	return a
 }
@@ -52,9 +54,11 @@
 func (a *Authority) Issue(name, uri string, until time.Time) (chain, key []byte) {
 	a.serial++
 	k := must(ecdsa.GenerateKey(elliptic.P256(), rand.Reader))
-	of := &x509.Certificate{SerialNumber: big.NewInt(a.serial), Subject: pkix.Name{CommonName: name}, NotBefore: time.Now().Add(-time.Hour),
+	of := &x509.Certificate{
+		SerialNumber: big.NewInt(a.serial), Subject: pkix.Name{CommonName: name}, NotBefore: time.Now().Add(-time.Hour),
 		NotAfter: until, IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, KeyUsage: x509.KeyUsageDigitalSignature,
-		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}
+		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
+	}
 	if uri != "" {
 		of.URIs = []*url.URL{must(url.Parse(uri))}
 	}
@@ -78,8 +82,10 @@
 
 // List is the revocation list as of now.
 func (a *Authority) List() []byte {
-	list := &x509.RevocationList{Number: big.NewInt(time.Now().UnixNano()), ThisUpdate: time.Now(), NextUpdate: time.Now().Add(time.Hour),
-		RevokedCertificateEntries: a.revoked}
+	list := &x509.RevocationList{
+		Number: big.NewInt(time.Now().UnixNano()), ThisUpdate: time.Now(), NextUpdate: time.Now().Add(time.Hour),
+		RevokedCertificateEntries: a.revoked,
+	}
 	return block("X509 CRL", must(x509.CreateRevocationList(rand.Reader, list, a.cert, a.key)))
 }
 
--- a/internal/standin/need/need.go
+++ b/internal/standin/need/need.go
@@ -2,14 +2,13 @@
 package need
 
 import (
+	"elderwall/internal/standin"
 	"net"
 	"runtime"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/standin"
 )
 
 // Of gives the first result of a call, and ends the test where the call failed: need.Of(os.ReadFile(name))(t).
--- a/internal/standin/processes/links_test.go
+++ b/internal/standin/processes/links_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"elderwall/internal/contract"
+	"elderwall/internal/standin/need"
 	"encoding/binary"
 	"errors"
 	"io"
@@ -11,9 +13,6 @@
 	"time"
 
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/contract"
-	"elderwall/internal/standin/need"
 )
 
 const bare = "a relay repeats and loses what it is told to; seals are the ends' own"
@@ -22,7 +21,8 @@
 func TestRelays(t *testing.T) {
 	for _, k := range []contract.Transports{
 		{Name: "datagrams", Pair: relayed("udp"), Longest: longestDatagram, Bare: bare},
-		{Name: "streams", Pair: relayed("tcp"), Longest: 1 << 20, Bare: bare}} {
+		{Name: "streams", Pair: relayed("tcp"), Longest: 1 << 20, Bare: bare},
+	} {
 		t.Run(k.Name, func(t *testing.T) { k.Hold(t) })
 	}
 }
--- a/internal/standin/processes/processes.go
+++ b/internal/standin/processes/processes.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"elderwall/internal/standin"
 	"encoding/json"
 	"fmt"
 	"os"
@@ -16,8 +17,6 @@
 	"time"
 
 	"golang.org/x/sys/unix"
-
-	"elderwall/internal/standin"
 )
 
 const (
@@ -142,8 +141,10 @@
 	r.Changes.Push(standin.List(1, true, "s-1 "+r.Host.Address+" std SERVING", "s-2 127.0.0.1:1 origin SERVING"))
 	t.Cleanup(r.close)
 	for i := range o.N {
-		p := &Process{Rig: r, Index: i, Name: fmt.Sprintf("n%d", i), Dir: filepath.Join(r.Dir, fmt.Sprint(i)), HTTP: standin.Free(),
-			Fleet: standin.Free(), Reach: map[string]string{}}
+		p := &Process{
+			Rig: r, Index: i, Name: fmt.Sprintf("n%d", i), Dir: filepath.Join(r.Dir, fmt.Sprint(i)), HTTP: standin.Free(),
+			Fleet: standin.Free(), Reach: map[string]string{},
+		}
 		r.Processes = append(r.Processes, p)
 	}
 	for i := range r.Processes {
--- a/internal/standin/proxy/proxy.go
+++ b/internal/standin/proxy/proxy.go
@@ -96,13 +96,15 @@
 // Ask is a message with a request's headers.
 func Ask(words ...string) *procv3.ProcessingRequest {
 	return &procv3.ProcessingRequest{Request: &procv3.ProcessingRequest_RequestHeaders{
-		RequestHeaders: &procv3.HttpHeaders{Headers: Headers(words...), EndOfStream: true}}}
+		RequestHeaders: &procv3.HttpHeaders{Headers: Headers(words...), EndOfStream: true},
+	}}
 }
 
 // Response is a message with a response's headers.
 func Response(status int, words ...string) *procv3.ProcessingRequest {
 	return &procv3.ProcessingRequest{Request: &procv3.ProcessingRequest_ResponseHeaders{
-		ResponseHeaders: &procv3.HttpHeaders{Headers: Headers(append([]string{":status", strconv.Itoa(status)}, words...)...)}}}
+		ResponseHeaders: &procv3.HttpHeaders{Headers: Headers(append([]string{":status", strconv.Itoa(status)}, words...)...)},
+	}}
 }
 
 // Set is the headers that an answer sets.
--- a/internal/standin/rig/rig.go
+++ b/internal/standin/rig/rig.go
@@ -5,6 +5,14 @@
 import (
 	"bytes"
 	"context"
+	"elderwall/core/routing"
+	"elderwall/core/settings"
+	"elderwall/internal/changelog"
+	"elderwall/internal/counters"
+	"elderwall/internal/memquota"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/upstream"
 	"fmt"
 	"io"
 	"net"
@@ -18,15 +26,6 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
 	"golang.org/x/sync/errgroup"
-
-	"elderwall/core/routing"
-	"elderwall/internal/changelog"
-	"elderwall/internal/counters"
-	"elderwall/internal/memquota"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/upstream"
-	"elderwall/core/settings"
 )
 
 // Object is the one that GETs of a rig are for, as those of standin.Fields.
@@ -36,16 +35,22 @@
 
 // Settings is one zone with caches, parents and an origin, and one idempotent delivery service.
 func Settings(held int) settings.Settings {
-	return settings.Settings{Zones: []string{"z"}, Kinds: []string{"std", "parent", "origin"}, Services: []string{"segment"}, MostHeld: held,
-		Settings: routing.Settings{ParentKind: 1, OriginKind: 2, MayCancel: true, MaxForwards: 6, OldCopies: 60, Joins: true,
+	return settings.Settings{
+		Zones: []string{"z"}, Kinds: []string{"std", "parent", "origin"}, Services: []string{"segment"}, MostHeld: held,
+		Settings: routing.Settings{
+			ParentKind: 1, OriginKind: 2, MayCancel: true, MaxForwards: 6, OldCopies: 60, Joins: true,
 			ColdFrom: 0.2, RampTime: 9, TipMultiple: 2, Fall: 1, Seats: []int{1}, Dispatchers: 1,
-			Services: []routing.DeliveryService{{Objective: 5, ViewerTimeout: 60, Revenue: 1, Effect: routing.Idempotent, Scope: routing.AllHosts}}}}
+			Services: []routing.DeliveryService{{Objective: 5, ViewerTimeout: 60, Revenue: 1, Effect: routing.Idempotent, Scope: routing.AllHosts}},
+		},
+	}
 }
 
 // Options is connections that live in a group, with 16 MiB of room.
 func Options(ctx context.Context, group *errgroup.Group) *upstream.Options {
-	return &upstream.Options{Log: zerolog.Nop(), Counts: &counters.Counters{}, Room: memquota.New(roomOf), Context: ctx, Group: group,
-		IdleClose: time.Minute, Streams: 1000, Dialer: net.Dialer{Timeout: time.Second}}
+	return &upstream.Options{
+		Log: zerolog.Nop(), Counts: &counters.Counters{}, Room: memquota.New(roomOf), Context: ctx, Group: group,
+		IdleClose: time.Minute, Streams: 1000, Dialer: net.Dialer{Timeout: time.Second},
+	}
 }
 
 // Life is Options of a group that ends with the test, or with end before that: all room must be given back then.
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -237,8 +237,10 @@
 
 // Fields are those of a GET as clients send them, with changes; a change to "" leaves the field out.
 func Fields(changes ...string) map[string]string {
-	fields := map[string]string{"method": "segment", "rid": "9b1f03aa5c7e2d41", "budget": "60000",
-		"obj": "7f3a9c21e0b4d655", "nth": "3", "batch": "17"}
+	fields := map[string]string{
+		"method": "segment", "rid": "9b1f03aa5c7e2d41", "budget": "60000",
+		"obj": "7f3a9c21e0b4d655", "nth": "3", "batch": "17",
+	}
 	for i := 0; i+1 < len(changes); i += 2 {
 		if fields[changes[i]] = changes[i+1]; changes[i+1] == "" {
 			delete(fields, changes[i])
--- a/internal/syserr/listener_test.go
+++ b/internal/syserr/listener_test.go
@@ -1,6 +1,8 @@
 package syserr_test
 
 import (
+	"elderwall/internal/standin/need"
+	"elderwall/internal/syserr"
 	"net"
 	"os"
 	"syscall"
@@ -8,9 +10,6 @@
 	"time"
 
 	"github.com/stretchr/testify/assert"
-
-	"elderwall/internal/standin/need"
-	"elderwall/internal/syserr"
 )
 
 // failing is a listener whose first accepts fail.
--- a/internal/syserr/syserr.go
+++ b/internal/syserr/syserr.go
@@ -66,9 +66,11 @@
 }
 
 // ofPeer is what accept reports of the one connection that it would have given, which is gone (accept(2), "Error handling").
-var ofPeer = map[syscall.Errno]bool{syscall.ECONNABORTED: true, syscall.EPROTO: true, syscall.ENETDOWN: true, syscall.ENOPROTOOPT: true,
+var ofPeer = map[syscall.Errno]bool{
+	syscall.ECONNABORTED: true, syscall.EPROTO: true, syscall.ENETDOWN: true, syscall.ENOPROTOOPT: true,
 	syscall.EHOSTDOWN: true, syscall.ENONET: true, syscall.EHOSTUNREACH: true, syscall.EOPNOTSUPP: true, syscall.ENETUNREACH: true,
-	syscall.ETIMEDOUT: true, syscall.ECONNRESET: true, syscall.EPERM: true, syscall.EINTR: true, syscall.EAGAIN: true}
+	syscall.ETIMEDOUT: true, syscall.ECONNRESET: true, syscall.EPERM: true, syscall.EINTR: true, syscall.EAGAIN: true,
+}
 
 // OfPeer tells whether an accept failed for one connection alone: the next may be accepted at once.
 func OfPeer(err error) bool {
--- a/internal/syserr/syserr_test.go
+++ b/internal/syserr/syserr_test.go
@@ -1,6 +1,7 @@
 package syserr_test
 
 import (
+	"elderwall/internal/syserr"
 	"errors"
 	"fmt"
 	"net"
@@ -9,8 +10,6 @@
 	"testing"
 
 	"github.com/stretchr/testify/assert"
-
-	"elderwall/internal/syserr"
 )
 
 // What each error of a system call proves, as accept(2), connect(2), socket(2), write(2) and fsync(2) have it; wrapped as the net package does.
@@ -24,19 +23,34 @@
 		lacking    bool
 		passing    bool // a file may be well again by itself
 	}{
-		{syscall.EMFILE, local, local, false, true, true}, {syscall.ENFILE, local, local, false, true, true},
-		{syscall.ENOBUFS, local, local, false, true, true}, {syscall.ENOMEM, local, local, false, true, true},
-		{syscall.EADDRNOTAVAIL, local, may, false, false, true}, {syscall.EADDRINUSE, local, may, false, false, true},
-		{syscall.EAGAIN, local, may, true, false, true}, {syscall.EINTR, local, may, true, false, true},
-		{syscall.ENETUNREACH, local, may, true, false, true}, {syscall.ENETDOWN, local, may, true, false, true}, {syscall.ENONET, local, may, true, false, true},
-		{syscall.EPERM, local, may, true, false, false}, {syscall.EACCES, permanent, may, false, false, false},
-		{syscall.ECONNREFUSED, never, may, false, false, true}, {syscall.EHOSTUNREACH, never, may, true, false, true},
-		{syscall.EHOSTDOWN, never, may, true, false, true}, {syscall.ETIMEDOUT, never, may, true, false, true},
-		{syscall.ECONNRESET, never, may, true, false, true}, {syscall.ECONNABORTED, never, may, true, false, true},
-		{syscall.EPROTO, never, may, true, false, true}, {syscall.EPIPE, never, may, false, false, true},
-		{syscall.EAFNOSUPPORT, permanent, may, false, false, false}, {syscall.EINVAL, permanent, may, false, false, false},
-		{syscall.ENOSPC, never, may, false, false, true}, {syscall.EIO, never, may, false, false, true}, {syscall.EROFS, permanent, may, false, false, false},
-		{syscall.ENOENT, permanent, may, false, false, false}} {
+		{syscall.EMFILE, local, local, false, true, true},
+		{syscall.ENFILE, local, local, false, true, true},
+		{syscall.ENOBUFS, local, local, false, true, true},
+		{syscall.ENOMEM, local, local, false, true, true},
+		{syscall.EADDRNOTAVAIL, local, may, false, false, true},
+		{syscall.EADDRINUSE, local, may, false, false, true},
+		{syscall.EAGAIN, local, may, true, false, true},
+		{syscall.EINTR, local, may, true, false, true},
+		{syscall.ENETUNREACH, local, may, true, false, true},
+		{syscall.ENETDOWN, local, may, true, false, true},
+		{syscall.ENONET, local, may, true, false, true},
+		{syscall.EPERM, local, may, true, false, false},
+		{syscall.EACCES, permanent, may, false, false, false},
+		{syscall.ECONNREFUSED, never, may, false, false, true},
+		{syscall.EHOSTUNREACH, never, may, true, false, true},
+		{syscall.EHOSTDOWN, never, may, true, false, true},
+		{syscall.ETIMEDOUT, never, may, true, false, true},
+		{syscall.ECONNRESET, never, may, true, false, true},
+		{syscall.ECONNABORTED, never, may, true, false, true},
+		{syscall.EPROTO, never, may, true, false, true},
+		{syscall.EPIPE, never, may, false, false, true},
+		{syscall.EAFNOSUPPORT, permanent, may, false, false, false},
+		{syscall.EINVAL, permanent, may, false, false, false},
+		{syscall.ENOSPC, never, may, false, false, true},
+		{syscall.EIO, never, may, false, false, true},
+		{syscall.EROFS, permanent, may, false, false, false},
+		{syscall.ENOENT, permanent, may, false, false, false},
+	} {
 		err := fmt.Errorf("wrapped: %w", &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", tt.code)})
 		got := []any{syserr.Connecting(err), syserr.Open(err), syserr.OfPeer(err), syserr.Lacking(err), syserr.Passing(err)}
 		assert.Equal(t, []any{tt.connecting, tt.open, tt.ofPeer, tt.lacking, tt.passing}, got, "%v", tt.code)
--- a/internal/thrift/thrift_test.go
+++ b/internal/thrift/thrift_test.go
@@ -1,15 +1,14 @@
 package thrift_test
 
 import (
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/thrift"
 	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/thrift"
 )
 
 // calls feeds bytes in pieces of a size and gives back the calls, until the first error.
@@ -29,9 +28,11 @@
 }
 
 func TestCalls(t *testing.T) {
-	get := thrift.Call{Method: thrift.Process, Name: []byte("process"), Seq: 7, Body: []byte("b"), Service: []byte("segment"),
+	get := thrift.Call{
+		Method: thrift.Process, Name: []byte("process"), Seq: 7, Body: []byte("b"), Service: []byte("segment"),
 		ID: []byte("9b1f03aa5c7e2d41"), Budget: []byte("60000"), Object: []byte("7f3a9c21e0b4d655"), Part: []byte("3"),
-		Group: []byte("17"), Tag: []byte("4be0c1927d55a6f3")}
+		Group: []byte("17"), Tag: []byte("4be0c1927d55a6f3"),
+	}
 	bare := get
 	bare.Tag, bare.Body = nil, []byte{}
 	long := get
@@ -45,15 +46,24 @@
 		{"a GET with no tag and no body", process(""), []thrift.Call{bare}},
 		{"a GET with the longest body", process(string(long.Body), "got", "4be0c1927d55a6f3"), []thrift.Call{long}},
 		{"a call given up, and a probe", append(standin.Call("giveUp", 4, 9, standin.GiveUpArguments(7)),
-			standin.Call("probe", 1, 10, []byte{2, 0, 1, 0})...), []thrift.Call{{Method: thrift.GiveUp, Name: []byte("giveUp"), Seq: 9, GivenUp: 7},
-			{Method: thrift.Probe, Name: []byte("probe"), Seq: 10}}},
+			standin.Call("probe", 1, 10, []byte{2, 0, 1, 0})...), []thrift.Call{
+			{Method: thrift.GiveUp, Name: []byte("giveUp"), Seq: 9, GivenUp: 7},
+			{Method: thrift.Probe, Name: []byte("probe"), Seq: 10},
+		}},
 		{"a GET with a token", process("b", "token", "t"), []thrift.Call{with(get, func(c *thrift.Call) { c.Tag, c.Token = nil, []byte("t") })}},
-		{"a token for the connection", standin.Call("identify", 1, 8, []byte{11, 0, 1, 0, 0, 0, 1, 't'}),
-			[]thrift.Call{{Method: thrift.Identify, Name: []byte("identify"), Seq: 8, Token: []byte("t")}}},
-		{"a method that is not known, with every type", standin.Call("else", 1, 3, []byte{2, 0, 1, 1, 3, 0, 2, 9, 6, 0, 3, 0, 1,
-			8, 0, 4, 0, 0, 0, 1, 10, 0, 5, 0, 0, 0, 0, 0, 0, 0, 1, 4, 0, 6, 0, 0, 0, 0, 0, 0, 0, 1, 12, 0, 7, 2, 0, 1, 0, 0,
-			15, 0, 8, 2, 0, 0, 0, 2, 1, 1, 14, 0, 9, 3, 0, 0, 0, 1, 1, 13, 0, 10, 11, 2, 0, 0, 0, 1, 0, 0, 0, 1, 'k', 1}),
-			[]thrift.Call{{Name: []byte("else"), Seq: 3}}}} {
+		{
+			"a token for the connection", standin.Call("identify", 1, 8, []byte{11, 0, 1, 0, 0, 0, 1, 't'}),
+			[]thrift.Call{{Method: thrift.Identify, Name: []byte("identify"), Seq: 8, Token: []byte("t")}},
+		},
+		{
+			"a method that is not known, with every type", standin.Call("else", 1, 3, []byte{
+				2, 0, 1, 1, 3, 0, 2, 9, 6, 0, 3, 0, 1,
+				8, 0, 4, 0, 0, 0, 1, 10, 0, 5, 0, 0, 0, 0, 0, 0, 0, 1, 4, 0, 6, 0, 0, 0, 0, 0, 0, 0, 1, 12, 0, 7, 2, 0, 1, 0, 0,
+				15, 0, 8, 2, 0, 0, 0, 2, 1, 1, 14, 0, 9, 3, 0, 0, 0, 1, 1, 13, 0, 10, 11, 2, 0, 0, 0, 1, 0, 0, 0, 1, 'k', 1,
+			}),
+			[]thrift.Call{{Name: []byte("else"), Seq: 3}},
+		},
+	} {
 		for _, piece := range []int{1, 7, 1 << 20} {
 			got, err := calls(tt.bytes, piece)
 			require.NoError(t, err, tt.name)
@@ -83,7 +93,8 @@
 		"endless nesting":             nested,
 		"a list longer than its call": endless,
 		"no end of its arguments":     {0, 0, 0, 13, 0x80, 1, 0, 1, 0, 0, 0, 1, 'p', 0, 0, 0, 1},
-		"bytes behind it":             {0, 0, 0, 15, 0x80, 1, 0, 1, 0, 0, 0, 1, 'p', 0, 0, 0, 1, 0, 0}} {
+		"bytes behind it":             {0, 0, 0, 15, 0x80, 1, 0, 1, 0, 0, 0, 1, 'p', 0, 0, 0, 1, 0, 0},
+	} {
 		got, err := calls(b, 1<<20)
 		assert.Error(t, err, name)
 		assert.Empty(t, got, name)
@@ -104,27 +115,45 @@
 		want  string     // on the wire
 		got   thrift.Got // as a client reads it
 	}{
-		"served": {thrift.Served(7, []byte("abc"), false), process + "\x0c\x00\x00\x0b\x00\x01\x00\x00\x00\x03abc" + none + "\x02\x00\x03\x01\x00\x00",
-			thrift.Got{Seq: 7, Body: []byte("abc"), Good: true}},
-		"the client's copy is the one": {thrift.Served(7, nil, true),
+		"served": {
+			thrift.Served(7, []byte("abc"), false), process + "\x0c\x00\x00\x0b\x00\x01\x00\x00\x00\x03abc" + none + "\x02\x00\x03\x01\x00\x00",
+			thrift.Got{Seq: 7, Body: []byte("abc"), Good: true},
+		},
+		"the client's copy is the one": {
+			thrift.Served(7, nil, true),
 			process + "\x0c\x00\x00\x0b\x00\x01\x00\x00\x00\x00\x0d\x00\x02\x0b\x0b" + fields("\x05", "ok304", "1") + "\x02\x00\x03\x01\x00\x00",
-			thrift.Got{Seq: 7, Body: []byte{}, Good: true, Fields: said("ok304", "1")}},
-		"not ready": {thrift.Ready(2, false), head("\x02", "probe", "\x02") + "\x0c\x00\x00\x0b\x00\x01\x00\x00\x00\x00" + none + "\x02\x00\x03\x00\x00\x00",
-			thrift.Got{Seq: 2, Body: []byte{}}},
+			thrift.Got{Seq: 7, Body: []byte{}, Good: true, Fields: said("ok304", "1")},
+		},
+		"not ready": {
+			thrift.Ready(2, false), head("\x02", "probe", "\x02") + "\x0c\x00\x00\x0b\x00\x01\x00\x00\x00\x00" + none + "\x02\x00\x03\x00\x00\x00",
+			thrift.Got{Seq: 2, Body: []byte{}},
+		},
 		"refused": {thrift.Refused(7, 0), process + "\x0c\x00\x01\x0d\x00\x01\x0b\x0b\x00\x00\x00\x00\x00\x00", thrift.Got{Seq: 7, Ending: thrift.EndRefused}},
-		"refused with a time": {thrift.Refused(7, 125), process + "\x0c\x00\x01\x0d\x00\x01\x0b\x0b" + fields("\x07", "backoff", "125") + "\x00\x00",
-			thrift.Got{Seq: 7, Ending: thrift.EndRefused, Fields: said("backoff", "125")}},
+		"refused with a time": {
+			thrift.Refused(7, 125), process + "\x0c\x00\x01\x0d\x00\x01\x0b\x0b" + fields("\x07", "backoff", "125") + "\x00\x00",
+			thrift.Got{Seq: 7, Ending: thrift.EndRefused, Fields: said("backoff", "125")},
+		},
 		"failed": {thrift.Failed(7, ""), process + "\x0c\x00\x02\x0d\x00\x01\x0b\x0b\x00\x00\x00\x00\x00\x00", thrift.Got{Seq: 7, Ending: thrift.EndFailed}},
-		"failed for a reason": {thrift.Failed(7, "denied"), process + "\x0c\x00\x02\x0d\x00\x01\x0b\x0b" + fields("\x06", "reason", "denied") + "\x00\x00",
-			thrift.Got{Seq: 7, Ending: thrift.EndFailed, Fields: said("reason", "denied")}},
-		"a token that names somebody": {thrift.Identified(7, ""),
+		"failed for a reason": {
+			thrift.Failed(7, "denied"), process + "\x0c\x00\x02\x0d\x00\x01\x0b\x0b" + fields("\x06", "reason", "denied") + "\x00\x00",
+			thrift.Got{Seq: 7, Ending: thrift.EndFailed, Fields: said("reason", "denied")},
+		},
+		"a token that names somebody": {
+			thrift.Identified(7, ""),
 			head("\x02", "identify", "\x07") + "\x0c\x00\x00\x0b\x00\x01\x00\x00\x00\x00" + none + "\x02\x00\x03\x01\x00\x00",
-			thrift.Got{Seq: 7, Body: []byte{}, Good: true}},
-		"a token that names nobody": {thrift.Identified(7, "token"),
+			thrift.Got{Seq: 7, Body: []byte{}, Good: true},
+		},
+		"a token that names nobody": {
+			thrift.Identified(7, "token"),
 			head("\x02", "identify", "\x07") + "\x0c\x00\x02\x0d\x00\x01\x0b\x0b" + fields("\x06", "reason", "token") + "\x00\x00",
-			thrift.Got{Seq: 7, Ending: thrift.EndFailed, Fields: said("reason", "token")}},
-		"unknown": {thrift.NoSuchMethod([]byte("else"), 7),
-			head("\x03", "else", "\x07") + "\x0b\x00\x01\x00\x00\x00\x0eunknown method\x08\x00\x02\x00\x00\x00\x01\x00", thrift.Got{Seq: 7, Ending: thrift.EndException}}} {
+			thrift.Got{Seq: 7, Ending: thrift.EndFailed, Fields: said("reason", "token")},
+		},
+		"unknown": {
+			thrift.NoSuchMethod([]byte("else"), 7),
+			head("\x03", "else", "\x07") + "\x0b\x00\x01\x00\x00\x00\x0eunknown method\x08\x00\x02\x00\x00\x00\x01\x00",
+			thrift.Got{Seq: 7, Ending: thrift.EndException},
+		},
+	} {
 		wire := string(tt.reply.Head) + string(tt.reply.Body) + string(tt.reply.Tail)
 		assert.Equal(t, "\x00\x00\x00"+string([]byte{byte(len(tt.want))})+tt.want, wire, name)
 		assert.Equal(t, tt.got, need.Of(thrift.ParseReply(frame(tt.reply)))(t), name)
--- a/internal/token/keys.go
+++ b/internal/token/keys.go
@@ -8,6 +8,7 @@
 	"crypto/rand"
 	"crypto/rsa"
 	"crypto/sha256"
+	"elderwall/core/admission"
 	"encoding/base64"
 	"encoding/hex"
 	"encoding/json"
@@ -17,8 +18,6 @@
 	"time"
 
 	"github.com/go-jose/go-jose/v4"
-
-	"elderwall/core/admission"
 )
 
 const (
@@ -45,8 +44,10 @@
 	Tenants []string `json:"tenants,omitempty"`
 }
 
-var states = map[string]admission.KeyState{"announced": admission.Announced, "active": admission.Active,
-	"retiring": admission.Retiring, "revoked": admission.Revoked}
+var states = map[string]admission.KeyState{
+	"announced": admission.Announced, "active": admission.Active,
+	"retiring": admission.Retiring, "revoked": admission.Revoked,
+}
 
 // StateName is a state's word in a key file.
 func StateName(s admission.KeyState) string {
@@ -253,8 +254,10 @@
 		if err := json.Unmarshal(raw, &one); err != nil {
 			return nil, fmt.Errorf("key %q: %w", k.ID, err)
 		}
-		l := life{State: StateName(k.State), From: moment(k.From), Until: moment(k.Until), Retired: moment(k.RetiredAt),
-			Issuer: k.Issuer, Tenants: k.Tenants}
+		l := life{
+			State: StateName(k.State), From: moment(k.From), Until: moment(k.Until), Retired: moment(k.RetiredAt),
+			Issuer: k.Issuer, Tenants: k.Tenants,
+		}
 		raw, _ = json.Marshal(l)
 		_ = json.Unmarshal(raw, &one)
 		set.Keys = append(set.Keys, one)
--- a/internal/token/token.go
+++ b/internal/token/token.go
@@ -4,6 +4,7 @@
 package token
 
 import (
+	"elderwall/core/admission"
 	"encoding/base64"
 	"encoding/json"
 	"errors"
@@ -13,8 +14,6 @@
 
 	"github.com/go-jose/go-jose/v4"
 	"github.com/go-jose/go-jose/v4/jwt"
-
-	"elderwall/core/admission"
 )
 
 const (
@@ -109,8 +108,10 @@
 			return admission.Claims{}, fmt.Errorf("%w: a claim of %d bytes", ErrForm, len(name))
 		}
 	}
-	return admission.Claims{Issuer: c.Issuer, Subject: c.Subject, ID: c.ID, Tenant: c.Tenant, Audience: c.Audience,
-		IssuedAt: unix(c.IssuedAt), NotBefore: unix(c.NotBefore), Expiry: unix(c.Expiry)}, nil
+	return admission.Claims{
+		Issuer: c.Issuer, Subject: c.Subject, ID: c.ID, Tenant: c.Tenant, Audience: c.Audience,
+		IssuedAt: unix(c.IssuedAt), NotBefore: unix(c.NotBefore), Expiry: unix(c.Expiry),
+	}, nil
 }
 
 func unix(d *jwt.NumericDate) float64 {
@@ -136,8 +137,10 @@
 	said := struct {
 		jwt.Claims
 		Tenant string `json:"tenant,omitempty"`
-	}{jwt.Claims{Issuer: c.Issuer, Subject: c.Subject, Audience: c.Audience, ID: c.ID, Expiry: date(c.Expiry),
-		NotBefore: date(c.NotBefore), IssuedAt: date(c.IssuedAt)}, c.Tenant}
+	}{jwt.Claims{
+		Issuer: c.Issuer, Subject: c.Subject, Audience: c.Audience, ID: c.ID, Expiry: date(c.Expiry),
+		NotBefore: date(c.NotBefore), IssuedAt: date(c.IssuedAt),
+	}, c.Tenant}
 	text, err := jwt.Signed(signer).Claims(said).Serialize()
 	if err != nil {
 		return "", fmt.Errorf("sign: %w", err)
--- a/internal/token/token_test.go
+++ b/internal/token/token_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"crypto/x509"
+	"elderwall/core/admission"
+	"elderwall/internal/standin/need"
 	"encoding/base64"
 	"encoding/json"
 	"strings"
@@ -9,13 +11,12 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/standin/need"
-	"elderwall/core/admission"
 )
 
-var said = admission.Claims{Issuer: "us", Subject: "till-4", ID: "j1", Tenant: "counter", Audience: []string{"elderwall"},
-	IssuedAt: 1764590400, NotBefore: 1764590400, Expiry: 1764594000}
+var said = admission.Claims{
+	Issuer: "us", Subject: "till-4", ID: "j1", Tenant: "counter", Audience: []string{"elderwall"},
+	IssuedAt: 1764590400, NotBefore: 1764590400, Expiry: 1764594000,
+}
 
 func newKey(t testing.TB, algorithm string) *Key { k := need.Of(NewKey("k1", algorithm))(t); return k }
 
@@ -90,7 +91,8 @@
 		{"two parts", good[:strings.LastIndex(good, ".")], ed, ErrForm},
 		{"four parts", good + ".x", ed, ErrForm},
 		{"a megabyte", good + strings.Repeat("A", 1<<20), ed, ErrForm},
-		{"nothing", "", ed, ErrForm}} {
+		{"nothing", "", ed, ErrForm},
+	} {
 		_, err := verify(tt.text, tt.key)
 		assert.ErrorIs(t, err, tt.want, tt.name)
 	}
@@ -128,7 +130,8 @@
 		"a short secret":                   `{"keys":[{"kty":"oct","k":"c2hvcnQ","kid":"k3","alg":"HS256","state":"active"}]}`,
 		"a kind that is not known":         `{"keys":[{"kty":"EC","crv":"P-521","kid":"k3","alg":"ES256","state":"active"}]}`,
 		"too many":                         `{"keys":[` + strings.Repeat(`{},`, 1024) + `{}]}`,
-		"too long":                         strings.Repeat(" ", 5<<20)} {
+		"too long":                         strings.Repeat(" ", 5<<20),
+	} {
 		_, err := ReadSet([]byte(text), false)
 		assert.Error(t, err, name)
 	}
--- a/internal/upstream/again_test.go
+++ b/internal/upstream/again_test.go
@@ -1,17 +1,16 @@
 package upstream_test
 
 import (
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/rig"
+	"elderwall/internal/upstream"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/rig"
-	"elderwall/internal/upstream"
 )
 
 // A host answers a request twice, and the second answer comes when the request is out once more.
@@ -26,7 +25,8 @@
 		{"another connection", false, 2, "HIT"},
 		{"another connection for what must not run twice", true, 2, "HIT"},
 		{"no other connection", false, 1, "SHED"}, // which costs a forward, and no rule
-		{"no other connection for what must not run twice", true, 1, never}} {
+		{"no other connection for what must not run twice", true, 1, never},
+	} {
 		t.Run(tt.name, func(t *testing.T) {
 			l, o := need.Listener(t), options(t)
 			o.PerHost.Store(tt.conns)
--- a/internal/upstream/alone_test.go
+++ b/internal/upstream/alone_test.go
@@ -1,16 +1,15 @@
 package upstream_test
 
 import (
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/upstream"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/upstream"
 )
 
 // Where no second copy is allowed, a request is given up at one host before it goes out to the next: by its STOP, or, where the host takes none, by the
--- a/internal/upstream/bench_test.go
+++ b/internal/upstream/bench_test.go
@@ -1,12 +1,11 @@
 package upstream_test
 
 import (
-	"testing"
-
 	"elderwall/internal/standin"
 	"elderwall/internal/standin/need"
 	"elderwall/internal/standin/rig"
 	"elderwall/internal/upstream"
+	"testing"
 )
 
 // BenchmarkForward is one forward after the other on one connection, with a stand-in host in the same process.
--- a/internal/upstream/blocked_test.go
+++ b/internal/upstream/blocked_test.go
@@ -2,6 +2,9 @@
 
 import (
 	"context"
+	"elderwall/internal/counters"
+	"elderwall/internal/hostproto"
+	"elderwall/internal/memquota"
 	"net"
 	"os"
 	"strconv"
@@ -12,10 +15,6 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/counters"
-	"elderwall/internal/hostproto"
-	"elderwall/internal/memquota"
 )
 
 // fullBuffer is a connection whose kernel takes nothing for some writes, and then all.
@@ -50,13 +49,16 @@
 		{"it goes out at last", func(*conn, *Forward, *bool) {}, true, nil},
 		{"its client leaves", func(_ *conn, _ *Forward, left *bool) { *left = true }, false, ErrOvertaken},
 		{"it is stopped", func(_ *conn, f *Forward, _ *bool) { f.Stop() }, false, nil},
-		{"its time is over", func(_ *conn, f *Forward, _ *bool) { f.Until = time.Now() }, false, ErrOvertaken}} {
+		{"its time is over", func(_ *conn, f *Forward, _ *bool) { f.Until = time.Now() }, false, ErrOvertaken},
+	} {
 		t.Run(tt.name, func(t *testing.T) {
 			o := &Options{Log: zerolog.Nop(), Counts: &counters.Counters{}, Room: memquota.New(1 << 20), Context: context.Background()}
 			h, left, done := New("127.0.0.1:1", o, 0), false, make(chan Result, 1)
 			began := time.Now()
-			f := &Forward{Request: hostproto.Request{ID: "a", Service: "s", Object: "o", Part: "0", Budget: 60_000}, Until: began.Add(budget * time.Millisecond),
-				Overtaken: func() bool { return left }, Done: func(r Result) { done <- r }}
+			f := &Forward{
+				Request: hostproto.Request{ID: "a", Service: "s", Object: "o", Part: "0", Budget: 60_000}, Until: began.Add(budget * time.Millisecond),
+				Overtaken: func() bool { return left }, Done: func(r Result) { done <- r },
+			}
 			c := &conn{host: h, wake: make(chan struct{}, 1), open: map[string]*Forward{"a": f}, stopped: map[string]string{}, writing: f, stop: func() {}}
 			f.conn, f.stage, f.written = c, NotWritten, began
 			socket := &fullBuffer{blocked: blocked, each: func() { tt.each(c, f, &left) }}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -3,6 +3,8 @@
 import (
 	"cmp"
 	"context"
+	"elderwall/internal/hostproto"
+	"elderwall/internal/syserr"
 	"errors"
 	"fmt"
 	"maps"
@@ -12,9 +14,6 @@
 	"slices"
 	"sync/atomic"
 	"time"
-
-	"elderwall/internal/hostproto"
-	"elderwall/internal/syserr"
 )
 
 // conn is one connection to a host.
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -1,6 +1,8 @@
 package upstream_test
 
 import (
+	"elderwall/internal/standin/need"
+	"elderwall/internal/upstream"
 	"fmt"
 	"net"
 	"os"
@@ -12,9 +14,6 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/standin/need"
-	"elderwall/internal/upstream"
 )
 
 // neverUp is the address of a listener whose line of connections is full, so that none comes up.
--- a/internal/upstream/ended_test.go
+++ b/internal/upstream/ended_test.go
@@ -1,6 +1,9 @@
 package upstream_test
 
 import (
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/upstream"
 	"net"
 	"sync"
 	"testing"
@@ -8,10 +11,6 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
-
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/upstream"
 )
 
 const finWait2 = 5 // the state of a connection whose half-close the other system has taken in
@@ -42,7 +41,8 @@
 		{"by a half-close behind bytes", true, func(p *peer) { p.write(standin.Hit("nobody", "")); p.halfClose() }, upstream.NotWritten},
 		{"by a reset", true, (*peer).reset, upstream.NotWritten},
 		{"not at all", true, func(*peer) {}, upstream.Answered},
-		{"by a half-close, where a repeat does no harm", false, (*peer).halfClose, upstream.WrittenWhole}} {
+		{"by a half-close, where a repeat does no harm", false, (*peer).halfClose, upstream.WrittenWhole},
+	} {
 		t.Run(tt.name, func(t *testing.T) {
 			l, o := need.Listener(t), options(t)
 			h := upstream.New(l.Addr().String(), o, 0)
--- a/internal/upstream/ending_test.go
+++ b/internal/upstream/ending_test.go
@@ -2,15 +2,14 @@
 
 import (
 	"context"
+	"elderwall/internal/standin/rig"
+	"elderwall/internal/upstream"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sync/errgroup"
-
-	"elderwall/internal/standin/rig"
-	"elderwall/internal/upstream"
 )
 
 // Whoever waits for the end of all connections has been told of the end of every forward by then.
--- a/internal/upstream/idle_test.go
+++ b/internal/upstream/idle_test.go
@@ -1,16 +1,15 @@
 package upstream_test
 
 import (
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/upstream"
 	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
-
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/upstream"
 )
 
 // A host closes connections sooner than any sweep comes: one that rested is not used again, and closed at the next forward.
--- a/internal/upstream/peer_test.go
+++ b/internal/upstream/peer_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"elderwall/internal/standin/need"
 	"io"
 	"net"
 	"strconv"
@@ -10,8 +11,6 @@
 	"time"
 
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/standin/need"
 )
 
 // peer is the host's end of one connection, which does only what its test says.
--- a/internal/upstream/places.go
+++ b/internal/upstream/places.go
@@ -1,12 +1,11 @@
 package upstream
 
 import (
+	"elderwall/core/endpoints"
+	"elderwall/internal/clock"
 	"math"
 	"sync"
 	"time"
-
-	"elderwall/core/endpoints"
-	"elderwall/internal/clock"
 )
 
 // Dials bounds the connections that are begun in a time.
--- a/internal/upstream/questions_test.go
+++ b/internal/upstream/questions_test.go
@@ -1,15 +1,14 @@
 package upstream_test
 
 import (
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/upstream"
 	"fmt"
 	"io"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
-
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/upstream"
 )
 
 // A host answers requests but no questions: its connection closes with nothing out once it keeps as many stopped ids as it may.
--- a/internal/upstream/stages_test.go
+++ b/internal/upstream/stages_test.go
@@ -1,16 +1,15 @@
 package upstream_test
 
 import (
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/upstream"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/upstream"
 )
 
 const large = 16 << 20 // bytes; more than the system takes in for a peer that doesn't read
@@ -24,7 +23,8 @@
 		{"none", "", upstream.PartlyWritten},
 		{"half a head", "a HIT -", upstream.PartlyWritten},
 		{"half a body", "a HIT - 10\r\n12345", upstream.AnswerBegun},
-		{"a whole one", standin.Hit("a", ""), upstream.Answered}} {
+		{"a whole one", standin.Hit("a", ""), upstream.Answered},
+	} {
 		t.Run(tt.name, func(t *testing.T) {
 			l, o := need.Listener(t), options(t)
 			h := upstream.New(l.Addr().String(), o, 0)
@@ -73,8 +73,10 @@
 			for id, done := range ends {
 				got[id] = (<-done).Stage
 			}
-			assert.Equal(t, map[string]upstream.Stage{"begun": upstream.AnswerBegun, "written": upstream.WrittenWhole,
-				"partly": upstream.PartlyWritten, "queued": upstream.NotWritten}, got)
+			assert.Equal(t, map[string]upstream.Stage{
+				"begun": upstream.AnswerBegun, "written": upstream.WrittenWhole,
+				"partly": upstream.PartlyWritten, "queued": upstream.NotWritten,
+			}, got)
 			assert.WithinRange(t, time.Now(), began.Add(upstream.WholeIn), began.Add(4*upstream.WholeIn))
 		})
 	}
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -4,6 +4,9 @@
 
 import (
 	"context"
+	"elderwall/internal/counters"
+	"elderwall/internal/hostproto"
+	"elderwall/internal/memquota"
 	"errors"
 	"fmt"
 	"net"
@@ -14,10 +17,6 @@
 
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
-
-	"elderwall/internal/counters"
-	"elderwall/internal/hostproto"
-	"elderwall/internal/memquota"
 )
 
 const (
@@ -47,7 +46,7 @@
 type Result struct {
 	Stage  Stage
 	Answer hostproto.Answer // when answered
-	Err    error        // when not
+	Err    error            // when not
 }
 
 // What breaks a forward off besides the errors of the network.
@@ -70,8 +69,8 @@
 	Until    time.Time // its client's time: its first byte goes out before that or not at all; the zero time for none
 	// Overtaken is asked before its first byte goes out, for whether there is news that might forbid it; nil for never. It must not block.
 	Overtaken func() bool
-	Before    time.Time    // the same for as long as hosts know a repeat; the zero time for none
-	Alone     bool         // nothing of it goes out before the STOPs of the forwards before it have
+	Before    time.Time        // the same for as long as hosts know a repeat; the zero time for none
+	Alone     bool             // nothing of it goes out before the STOPs of the forwards before it have
 	Proofs    hostproto.Proofs // of its answer, once Done is called
 
 	stopping atomic.Bool          // its STOP is queued, and has not gone out
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -1,6 +1,11 @@
 package upstream_test
 
 import (
+	"elderwall/internal/hostproto"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/rig"
+	"elderwall/internal/upstream"
 	"errors"
 	"fmt"
 	"net"
@@ -12,12 +17,6 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
-
-	"elderwall/internal/hostproto"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/rig"
-	"elderwall/internal/upstream"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -56,8 +55,10 @@
 
 func forward(id, body string) (*upstream.Forward, chan upstream.Result) {
 	done := make(chan upstream.Result, 2)
-	return &upstream.Forward{Request: hostproto.Request{ID: id, Service: "s", Object: "o", Part: "0", Budget: 1, Body: []byte(body)},
-		Done: func(r upstream.Result) { done <- r }}, done
+	return &upstream.Forward{
+		Request: hostproto.Request{ID: id, Service: "s", Object: "o", Part: "0", Budget: 1, Body: []byte(body)},
+		Done:    func(r upstream.Result) { done <- r },
+	}, done
 }
 
 // sent is a forward that a host has taken.
@@ -96,8 +97,11 @@
 		{"half a head before the end", closing("a HIT -"), upstream.WrittenWhole, nil},
 		{"half a body before the end", closing("a HIT - 10\r\n12345"), upstream.AnswerBegun, nil},
 		{"a malformed answer", func(standin.Ask) string { return "a WHAT - 0\r\n\r\n" }, upstream.WrittenWhole, nil},
-		{"a body with no room", func(a standin.Ask) string { return standin.Hit(a.ID, strings.Repeat("x", 2000)) },
-			upstream.AnswerBegun, upstream.ErrRoom}} {
+		{
+			"a body with no room", func(a standin.Ask) string { return standin.Hit(a.ID, strings.Repeat("x", 2000)) },
+			upstream.AnswerBegun, upstream.ErrRoom,
+		},
+	} {
 		t.Run(tt.name, func(t *testing.T) {
 			o := options(t)
 			o.Room.Take(1<<24 - 1000)
@@ -125,7 +129,8 @@
 	}{
 		{"a refused connection", closed.Address, "", time.Minute, upstream.NotConnected},
 		{"a connection that is not up in time", deaf.Addr().String(), "", time.Nanosecond, upstream.NotConnected},
-		{"a request of which only a part was written", deaf.Addr().String(), strings.Repeat("x", 64<<20), time.Minute, upstream.PartlyWritten}} {
+		{"a request of which only a part was written", deaf.Addr().String(), strings.Repeat("x", 64<<20), time.Minute, upstream.PartlyWritten},
+	} {
 		t.Run(tt.name, func(t *testing.T) {
 			o := options(t)
 			o.Dialer.Timeout = tt.timeout
@@ -186,7 +191,8 @@
 func TestAConnectionThatBreaksEndsItsForwardsAlone(t *testing.T) {
 	for name, spoilt := range map[string]string{
 		"noise": "\xd3:\xec\r\n", "a line with no end": "a HIT -", "a body that stops": "a HIT - 10\r\n12345",
-		"a length that is too long": "a HIT - 10\r\n12345\r\n", "3 GB": "a HIT - 3000000000\r\n12345"} {
+		"a length that is too long": "a HIT - 10\r\n12345\r\n", "3 GB": "a HIT - 3000000000\r\n12345",
+	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			release := make(chan bool)
@@ -230,7 +236,8 @@
 	}{
 		{"while hosts keep them", 40 * time.Second, false, false},
 		{"before hosts close them", 46 * time.Second, false, true},
-		{"at once when their host is gone", 0, true, true}} {
+		{"at once when their host is gone", 0, true, true},
+	} {
 		t.Run(tt.name, func(t *testing.T) {
 			h := host(t, options(t), standin.Hits(""))
 			f, done := sent(t, h, "a")
@@ -338,9 +345,22 @@
 	for _, tt := range []struct {
 		err error
 		own bool
-	}{{syscall.EMFILE, true}, {syscall.ENFILE, true}, {syscall.ENOBUFS, true}, {syscall.ENOMEM, true}, {syscall.EADDRNOTAVAIL, true}, {syscall.EAGAIN, true},
-		{syscall.ENETUNREACH, true}, {syscall.ENETDOWN, true}, {syscall.EPERM, true}, {syscall.EINTR, true},
-		{syscall.ECONNREFUSED, false}, {syscall.EHOSTUNREACH, false}, {syscall.ETIMEDOUT, false}, {syscall.ECONNRESET, false}} {
+	}{
+		{syscall.EMFILE, true},
+		{syscall.ENFILE, true},
+		{syscall.ENOBUFS, true},
+		{syscall.ENOMEM, true},
+		{syscall.EADDRNOTAVAIL, true},
+		{syscall.EAGAIN, true},
+		{syscall.ENETUNREACH, true},
+		{syscall.ENETDOWN, true},
+		{syscall.EPERM, true},
+		{syscall.EINTR, true},
+		{syscall.ECONNREFUSED, false},
+		{syscall.EHOSTUNREACH, false},
+		{syscall.ETIMEDOUT, false},
+		{syscall.ECONNRESET, false},
+	} {
 		hosts, o := fleet(t, 1, 4, silent)
 		o.Dialer.Control = func(string, string, syscall.RawConn) error { return tt.err }
 		_, done := sent(t, hosts[0], "a")
--- a/internal/variantfilter/bench_test.go
+++ b/internal/variantfilter/bench_test.go
@@ -1,6 +1,12 @@
 package variantfilter_test
 
 import (
+	"elderwall/core/routing"
+	"elderwall/internal/dispatcher"
+	"elderwall/internal/hostproto"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/variantfilter"
 	"errors"
 	"fmt"
 	"math"
@@ -11,13 +17,7 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sync/errgroup"
 
-	"elderwall/core/routing"
 	pure "elderwall/core/cluster/variant"
-	"elderwall/internal/hostproto"
-	"elderwall/internal/dispatcher"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/variantfilter"
 )
 
 // known is a stage that knows two classes of objects as one, and a GET of one of them on its whole way through it: a key, a field, the
--- a/internal/variantfilter/variants.go
+++ b/internal/variantfilter/variants.go
@@ -3,17 +3,16 @@
 package variantfilter
 
 import (
+	"elderwall/core/cluster/variant"
+	"elderwall/core/routing"
+	"elderwall/internal/dispatcher"
+	"elderwall/internal/hostproto"
 	"fmt"
 	"slices"
 	"sync"
 	"sync/atomic"
 
 	"github.com/cespare/xxhash/v2"
-
-	"elderwall/core/routing"
-	"elderwall/core/cluster/variant"
-	"elderwall/internal/hostproto"
-	"elderwall/internal/dispatcher"
 )
 
 const nameSlots = 1 << 13 // names of objects by class that are at hand; others are made anew, 16 bytes each
@@ -215,8 +214,10 @@
 
 // answer is evidence as the module takes it.
 func answer(in *routing.GET, v dispatcher.Variant, e dispatcher.Evidence) variant.Answer {
-	return variant.Answer{Object: object(in, v.Number), Class: int(e.Asked), Beside: int(e.Beside), Host: e.Host, Proof: e.Proof,
-		Generation: variant.Generation{Purge: e.Told, Version: e.Version}, Known: e.Known}
+	return variant.Answer{
+		Object: object(in, v.Number), Class: int(e.Asked), Beside: int(e.Beside), Host: e.Host, Proof: e.Proof,
+		Generation: variant.Generation{Purge: e.Told, Version: e.Version}, Known: e.Known,
+	}
 }
 
 // Answered is node.Variants.
--- a/internal/variantfilter/way_test.go
+++ b/internal/variantfilter/way_test.go
@@ -1,6 +1,15 @@
 package variantfilter_test
 
 import (
+	"elderwall/core/routing"
+	"elderwall/internal/changelog"
+	"elderwall/internal/clock"
+	"elderwall/internal/dispatcher"
+	"elderwall/internal/downstream"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/rig"
+	"elderwall/internal/variantfilter"
 	"fmt"
 	"hash/fnv"
 	"math"
@@ -15,16 +24,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"elderwall/core/routing"
 	pure "elderwall/core/cluster/variant"
-	"elderwall/internal/changelog"
-	"elderwall/internal/clock"
-	"elderwall/internal/downstream"
-	"elderwall/internal/dispatcher"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/rig"
-	"elderwall/internal/variantfilter"
 )
 
 var (
@@ -60,9 +60,11 @@
 func (l *later) Key(now float64, in *routing.GET, device string) (dispatcher.Variant, string, bool) {
 	return l.Stage.Key(now+float64(l.by.Load()), in, device)
 }
+
 func (l *later) Answered(now float64, in *routing.GET, v dispatcher.Variant, e dispatcher.Evidence) bool {
 	return l.Stage.Answered(now+float64(l.by.Load()), in, v, e)
 }
+
 func (l *later) Fits(now float64, in *routing.GET, v dispatcher.Variant, e dispatcher.Evidence) bool {
 	return l.Stage.Fits(now+float64(l.by.Load()), in, v, e)
 }
@@ -96,8 +98,10 @@
 	l := need.Listener(t)
 	w.address = l.Addr().String()
 	named := downstream.Device{Classes: map[string]string{"tv": "tv", "phone": "phone", "car": "car"}}
-	server := &downstream.Server{Handler: w.Node, Log: zerolog.Nop(), Counts: o.Counts, Room: o.Room, Most: 100,
-		Devices: downstream.Devices{Fields: []string{"device"}, By: map[string]downstream.Device{"segment": named, "order": named}}}
+	server := &downstream.Server{
+		Handler: w.Node, Log: zerolog.Nop(), Counts: o.Counts, Room: o.Room, Most: 100,
+		Devices: downstream.Devices{Fields: []string{"device"}, By: map[string]downstream.Device{"segment": named, "order": named}},
+	}
 	o.Group.Go(func() error { return w.Node.Run(o.Context) })
 	o.Group.Go(func() error { return server.Serve(o.Context, l) })
 	return w
