--- a/cmd/benchlink/link.go
+++ b/cmd/benchlink/link.go
@@ -10,7 +10,7 @@
 
 // instance is one dispatcher with what the wire needs to reach it.
 type instance struct {
-	*routing.Dispatcher
+	*routing.Router
 	clock   benchwire.Clock
 	service int // how many delivery services it knows
 }
@@ -59,7 +59,7 @@
 			continue
 		}
 		done[who] = true
-		if err := l.guarded(who, func() error { in.Settle(in.clock.Seconds(moment)); return nil }); err != nil {
+		if err := l.guarded(who, func() error { in.RunRetries(in.clock.Seconds(moment)); return nil }); err != nil {
 			l.complain(err)
 		}
 	}
@@ -111,37 +111,37 @@
 	case "backendsChanged":
 		form, entries, err := m.Hosts(in.clock)
 		if err == nil {
-			in.Hosts(now, form, entries)
+			in.UpdateEndpoints(now, form, entries)
 		}
 		return err
 	case "demand":
 		return in.get(now, m)
 	case "answer":
 		a, err := m.Answer()
-		if err == nil && !in.Answer(now, a) {
-			err = fmt.Errorf("answer: no forward %d of GET %d is out", a.Forward, a.GET)
+		if err == nil && !in.HandleResult(now, a) {
+			err = fmt.Errorf("answer: no forward %d of GET %d is out", a.Attempt, a.RequestID)
 		}
 		return err
 	case "underWay":
 		get, forward, err := m.Streaming()
 		if err == nil {
-			in.Streaming(now, get, forward)
+			in.HandleStreaming(now, get, forward)
 		}
 		return err
 	case "clientGone":
 		get, err := m.Left()
 		if err == nil {
-			in.Left(now, get)
+			in.HandleClientGone(now, get)
 		}
 		return err
 	case "invalidated":
 		object, group, age, err := m.Purged()
 		if err == nil {
-			in.Purged(now, object, group, age)
+			in.HandlePurge(now, object, group, age)
 		}
 		return err
 	case "wakeup":
-		in.Timer(now)
+		in.HandleTimer(now)
 		return nil
 	case "whisper", "health":
 		return nil // the module asks for neither
@@ -157,6 +157,6 @@
 	if g.Service < 0 || g.Service >= in.service {
 		return fmt.Errorf("demand: unknown delivery service %d", g.Service)
 	}
-	in.GET(now, g)
+	in.HandleRequest(now, g)
 	return nil
 }
--- a/core/routing/before_test.go
+++ b/core/routing/before_test.go
@@ -12,24 +12,24 @@
 // drop unheard what comes later.
 func TestWhenARepeatMustBeOut(t *testing.T) {
 	for name, tt := range map[string]struct {
-		effect  Effect
+		effect  Idempotency
 		first   Outcome
 		want    float64 // of the second forward
 		forward int
 	}{
-		"a tokened one that may have run":           {Tokened, HostError, 1 + 2 - tick, 2},
-		"a tokened one that was broken off":         {Tokened, Dropped, 1 + 2 - tick, 2},
-		"a tokened one that never ran":              {Tokened, Unreached, math.Inf(1), 2},
-		"an idempotent one":                         {Idempotent, HostError, math.Inf(1), 2},
-		"one that must not run twice, and has not":  {NonIdempotent, Unreached, math.Inf(1), 2},
-		"one that must not run twice, and may have": {NonIdempotent, Dropped, math.Inf(1), 1},
+		"a tokened one that may have run":           {IdempotencyKeyed, HostFailed, 1 + 2 - tick, 2},
+		"a tokened one that was broken off":         {IdempotencyKeyed, ConnectionLost, 1 + 2 - tick, 2},
+		"a tokened one that never ran":              {IdempotencyKeyed, Unreachable, math.Inf(1), 2},
+		"an idempotent one":                         {Idempotent, HostFailed, math.Inf(1), 2},
+		"one that must not run twice, and has not":  {NonIdempotent, Unreachable, math.Inf(1), 2},
+		"one that must not run twice, and may have": {NonIdempotent, ConnectionLost, math.Inf(1), 1},
 	} {
-		d, r := fleet(func(s *Settings) { s.Services[0].Effect = tt.effect })
+		d, r := fleet(func(s *Settings) { s.Services[0].Idempotency = tt.effect })
 		ask(d, 1, 1, "o")
 		answer(d, 1.5, 1, 0, tt.first, NoNote)
 		require.Len(t, r.forwards, tt.forward, name)
-		givenUp := r.forwards[0].Before
+		givenUp := r.forwards[0].SendBy
 		assert.InDelta(t, 1+d.Services[0].ViewerTimeout-lastMoment, givenUp, 1e-9, name)
-		assert.InDelta(t, math.Min(tt.want, givenUp), r.last().Before, 1e-9, name)
+		assert.InDelta(t, math.Min(tt.want, givenUp), r.last().SendBy, 1e-9, name)
 	}
 }
--- a/core/routing/bench_test.go
+++ b/core/routing/bench_test.go
@@ -10,11 +10,11 @@
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			r := &recorder{}
-			d, hosts := New(settings(), 0, r), []HostEntry{entry(1<<30, 1, Ready), entry(1<<30+1, 2, Ready)}
+			d, hosts := New(settings(), 0, r), []Endpoint{entry(1<<30, 1, Ready), entry(1<<30+1, 2, Ready)}
 			for i := range n {
 				hosts = append(hosts, entry(uint32(i+1)*7919, 0, Ready))
 			}
-			d.Hosts(0, Complete, hosts)
+			d.UpdateEndpoints(0, ListComplete, hosts)
 			objects := make([]string, 5000)
 			for i := range objects {
 				objects[i] = fmt.Sprintf("%016x", i*7919)
@@ -22,10 +22,10 @@
 			one := func(i int) {
 				now := float64(i) * 1e-4
 				if i%100 == 0 {
-					d.Timer(now)
+					d.HandleTimer(now)
 				}
 				ask(d, now, uint32(i+1), objects[i%len(objects)])
-				answer(d, now, uint32(i+1), 0, Returned, Hit)
+				answer(d, now, uint32(i+1), 0, Succeeded, CacheHit)
 				r.forwards = r.forwards[:0]
 			}
 			first := min(10000, 2_000_000/n) // objects are known then, for the smaller fleets all of them twice
@@ -44,7 +44,7 @@
 // BenchmarkList is what a list costs: a whole one of so many hosts, and a step of 64 changes to it.
 func BenchmarkList(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
-		hosts := []HostEntry{entry(1<<30, 1, Ready), entry(1<<30+1, 2, Ready)}
+		hosts := []Endpoint{entry(1<<30, 1, Ready), entry(1<<30+1, 2, Ready)}
 		for i := range n {
 			e := entry(uint32(i+1)*7919, 0, Ready)
 			e.Cell = i / 20
@@ -53,33 +53,33 @@
 		b.Run(fmt.Sprint(n, "/whole"), func(b *testing.B) {
 			d := New(settings(), 0, &recorder{})
 			for i := range b.N {
-				d.Hosts(float64(i), Complete, hosts)
+				d.UpdateEndpoints(float64(i), ListComplete, hosts)
 			}
 		})
 		b.Run(fmt.Sprint(n, "/step"), func(b *testing.B) {
 			d := New(settings(), 0, &recorder{})
-			d.Hosts(0, Complete, hosts)
+			d.UpdateEndpoints(0, ListComplete, hosts)
 			for i := range b.N {
-				step := make([]HostEntry, 64)
+				step := make([]Endpoint, 64)
 				for k := range step {
 					step[k] = hosts[2+(i*64+k)%n]
 					step[k].Phase = Phase(1 + (i*64/n)%2)
 				}
-				d.Hosts(float64(i), Changes, step)
+				d.UpdateEndpoints(float64(i), ListChanges, step)
 			}
 		})
 		b.Run(fmt.Sprint(n, "/step that replaces"), func(b *testing.B) {
 			d := New(settings(), 0, &recorder{})
-			d.Hosts(0, Complete, hosts)
+			d.UpdateEndpoints(0, ListComplete, hosts)
 			for i := range b.N {
-				step := make([]HostEntry, 64)
+				step := make([]Endpoint, 64)
 				for k := range step { // half of them go, half come, and the other way round the next time
 					step[k] = entry(1<<29+uint32(k), 0, Ready)
 					if (k%2 == 0) == (i%2 == 0) {
-						step[k].Phase = Gone
+						step[k].Phase = Removed
 					}
 				}
-				d.Hosts(float64(i), Changes, step)
+				d.UpdateEndpoints(float64(i), ListChanges, step)
 			}
 		})
 	}
--- a/core/routing/choose.go
+++ b/core/routing/choose.go
@@ -7,7 +7,7 @@
 )
 
 // copies is the number of caches that the object's byte rate gives it: one more by each even share.
-func (d *Dispatcher) copies(g *get, ready int) int {
+func (d *Router) copies(g *get, ready int) int {
 	rate := g.item.demand.add(d.now, 0)
 	if rate < fewestCounts*g.size() {
 		return 1
@@ -16,8 +16,8 @@
 }
 
 // admit ends a GET that has no time or forward left, or that may have run and must not run again.
-func (d *Dispatcher) admit(g *get) verdict {
-	spent := g.sent() >= d.MaxForwards || d.now >= g.last
+func (d *Router) admit(g *get) verdict {
+	spent := g.sent() >= d.MaxAttempts || d.now >= g.last
 	if d.now >= g.repeatableUntil()-tick || spent || g.failed() && !d.retries.Spend(d.now) {
 		return d.giveUp(g)
 	}
@@ -25,8 +25,8 @@
 }
 
 // finish ends a GET that was answered, and sends on one that was not.
-func (d *Dispatcher) finish(g *get, f *forward) verdict {
-	if f.answer.Last || f.answer.Outcome == Returned {
+func (d *Router) finish(g *get, f *forward) verdict {
+	if f.answer.Final || f.answer.Outcome == Succeeded {
 		d.cancel(g)
 		return d.end(g)
 	}
@@ -37,16 +37,16 @@
 }
 
 // giveUp answers a GET at once: shed where a repeat is harmless, errored elsewhere.
-func (d *Dispatcher) giveUp(g *get) verdict {
+func (d *Router) giveUp(g *get) verdict {
 	if g.over {
 		return ended
 	}
 	ran := g.firstRan()
 	d.cancel(g)
-	if g.ds.Effect == Idempotent || ran == nil || g.ds.Effect == Tokened && g.ds.Scope == AllHosts {
+	if g.ds.Idempotency == Idempotent || ran == nil || g.ds.Idempotency == IdempotencyKeyed && g.ds.DedupScope == AllHosts {
 		d.wire.Shed(g.ID, math.Min(d.MaxRetryAfter, g.ds.Objective*comeBack))
 	} else {
-		d.wire.Error(g.ID)
+		d.wire.Fail(g.ID)
 	}
 	return d.end(g)
 }
@@ -54,15 +54,15 @@
 // grouped tells whether a host drops repeats of what may have run already.
 func (g *get) grouped(h *host) bool {
 	ran := g.firstRan()
-	if ran == nil || g.ds.Effect == Idempotent || g.ds.Scope == AllHosts {
+	if ran == nil || g.ds.Idempotency == Idempotent || g.ds.DedupScope == AllHosts {
 		return true
 	}
-	return h.Zone == ran.host.Zone && (g.ds.Scope == SameZone || h.Cell == ran.host.Cell)
+	return h.Zone == ran.host.Zone && (g.ds.DedupScope == SameZone || h.Cell == ran.host.Cell)
 }
 
 // choose takes the least makespan among the object's caches: as many as its demand gives it, along the order
 // that all routers share. It goes further along it only while all those are over the latency objective.
-func (d *Dispatcher) choose(g *get) verdict {
+func (d *Router) choose(g *get) verdict {
 	n, objective, work, favour := d.copies(g, d.ready), d.objective(g), d.weigh(g), d.favour(g)
 	room, some, seen, best, from := d.all.room(work/favour), false, 0, (*host)(nil), 0
 	if n > sample { // the best of so many of them is hardly worse, and a look at all would grow with the fleet
@@ -92,38 +92,38 @@
 }
 
 // straight passes the caches by when none can be used, unless one is just full.
-func (d *Dispatcher) straight(g *get, full bool) verdict {
-	if g.host = d.parent(g); !d.Straight || full || g.host == nil || !g.grouped(g.host) {
+func (d *Router) straight(g *get, full bool) verdict {
+	if g.host = d.parent(g); !d.BypassCaches || full || g.host == nil || !g.grouped(g.host) {
 		return d.giveUp(g)
 	}
 	return pass
 }
 
-func (d *Dispatcher) objective(g *get) float64 {
+func (d *Router) objective(g *get) float64 {
 	sending := cmp.Or(d.sending(g), d.expected(g), d.weigh(g))
 	return math.Min(g.ds.Objective+g.ds.Stretch*sending, g.ds.ViewerTimeout)
 }
 
 // weigh is what a GET counts for in a budget: its delivery service's mean sending time.
-func (d *Dispatcher) weigh(g *get) float64 {
+func (d *Router) weigh(g *get) float64 {
 	return cmp.Or(g.ds.sending.mean, g.ds.Objective*unknownSend)
 }
 
 // span is the design's makespan, drained by the clock; departing from it, what is answered is not waited for,
 // and it is one learned time at least: a host that others crowd is slow with nothing of ours out at it.
-func (d *Dispatcher) span(g *get, h *host) float64 {
+func (d *Router) span(g *get, h *host) float64 {
 	span, one := math.Max(0, h.makespan-(d.now-h.updated)), d.serving(h)
 	if h.bandwidth(d) > 0 {
 		return math.Max(span, float64(h.out)*one)
 	}
-	alone := cmp.Or(d.expected(g)*d.paces.Slow(d.now, &h.pace), one)
+	alone := cmp.Or(d.expected(g)*d.paces.Slowdown(d.now, &h.pace), one)
 	return math.Max(math.Min(span, float64(h.out)*one), alone)
 }
 
 // serving is the learned time that one GET adds to a makespan; unheard caches count as average.
-func (d *Dispatcher) serving(h *host) float64 {
+func (d *Router) serving(h *host) float64 {
 	if h.serving.n > 0 {
-		return h.belief.Shrink(d.now, h.serving.mean, h.serving.n, d.average)
+		return h.belief.ShrinkServingTime(d.now, h.serving.mean, h.serving.n, d.average)
 	}
 	return d.average
 }
--- a/core/routing/cold_test.go
+++ b/core/routing/cold_test.go
@@ -50,7 +50,7 @@
 // coldEvent is what falls due in a coldDay.
 type coldEvent struct {
 	process int
-	answer  Answer
+	answer  AttemptResult
 	life    int
 }
 
@@ -58,13 +58,13 @@
 type coldRun struct {
 	coldDay
 	random    *rand.Rand
-	processes []*Dispatcher
+	processes []*Router
 	wires     []*recorder
 	lives     []int
 	numbers   []map[uint32]int
 	since     []map[uint32]float64 // of the fault that is put in
 	due       map[int][]coldEvent
-	hosts     []HostEntry
+	hosts     []Endpoint
 	sends     map[uint32][]float64
 	seed      uint64
 	id        uint32
@@ -75,12 +75,12 @@
 
 func (c *coldRun) start(i int, now float64) {
 	s := settings()
-	s.Index, s.Dispatchers, s.Seats, s.Seed, s.WeightsTold = i, c.toldOf(), []int{c.toldOf()}, c.seed*1e6+uint64(i)+uint64(c.lives[i])*1e4, c.told
+	s.Index, s.Dispatchers, s.DispatchersByZone, s.Seed, s.WeightsKnown = i, c.toldOf(), []int{c.toldOf()}, c.seed*1e6+uint64(i)+uint64(c.lives[i])*1e4, c.told
 	s.Services[0].Objective = 1
 	c.wires[i] = &recorder{}
 	c.processes[i] = New(s, 0, c.wires[i])
 	c.numbers[i], c.since[i] = map[uint32]int{}, map[uint32]float64{}
-	c.processes[i].Hosts(now-c.birth(i, now), Cached, c.seen(i, now))
+	c.processes[i].UpdateEndpoints(now-c.birth(i, now), ListCached, c.seen(i, now))
 }
 
 // birth is when a process started; its clock starts there.
@@ -94,7 +94,7 @@
 func (c *coldRun) restart(i int) float64 { return coldTold + 0.5*float64(1+i%10) }
 
 // seen is the list on the clock of a process.
-func (c *coldRun) seen(i int, now float64) []HostEntry {
+func (c *coldRun) seen(i int, now float64) []Endpoint {
 	hosts := slices.Clone(c.hosts)
 	for j := range hosts {
 		hosts[j].OnlineSince -= c.birth(i, now)
@@ -105,7 +105,7 @@
 func playCold(day coldDay, seed uint64) *coldRun {
 	c := &coldRun{
 		coldDay: day, random: rand.New(rand.NewPCG(seed, 1)), seed: seed, due: map[int][]coldEvent{}, sends: map[uint32][]float64{},
-		processes: make([]*Dispatcher, day.processes), wires: make([]*recorder, day.processes), lives: make([]int, day.processes),
+		processes: make([]*Router, day.processes), wires: make([]*recorder, day.processes), lives: make([]int, day.processes),
 		numbers: make([]map[uint32]int, day.processes), since: make([]map[uint32]float64, day.processes),
 	}
 	for i := range coldHosts {
@@ -160,8 +160,8 @@
 		}
 		for _, e := range c.due[step] {
 			if d := c.processes[e.process]; e.life == c.lives[e.process] {
-				d.Answer(now-c.birth(e.process, now), e.answer)
-				d.Settle(now - c.birth(e.process, now))
+				d.HandleResult(now-c.birth(e.process, now), e.answer)
+				d.RunRetries(now - c.birth(e.process, now))
 				c.drain(e.process, now)
 			}
 		}
@@ -172,13 +172,13 @@
 
 // list tells all processes of the cold hosts at their start.
 func (c *coldRun) list(step int, now float64) {
-	var changed []HostEntry
+	var changed []Endpoint
 	if c.leaves > 0 && step == int((coldTold+c.leaves)/coldStep) {
 		for i := c.cold; i < coldHosts; i++ {
 			c.hosts[i].Phase = Draining
 		}
 		for i, d := range c.processes {
-			d.Hosts(now-c.birth(i, now), Changes, c.seen(i, now))
+			d.UpdateEndpoints(now-c.birth(i, now), ListChanges, c.seen(i, now))
 		}
 	}
 	if step != int(coldTold/coldStep) {
@@ -186,12 +186,12 @@
 	}
 	for i := range c.hosts {
 		if h := &c.hosts[i]; h.Kind == 0 && i < c.cold || h.Kind == 1 && i-coldHosts < c.parents {
-			h.OnlineSince, h.OnlineSinceIsTold = now, true
+			h.OnlineSince, h.OnlineSinceKnown = now, true
 			changed = append(changed, *h)
 		}
 	}
 	for _, d := range c.processes {
-		d.Hosts(now, Changes, changed)
+		d.UpdateEndpoints(now, ListChanges, changed)
 	}
 }
 
@@ -200,9 +200,9 @@
 	r := c.wires[i]
 	for ; len(r.forwards) > 0; r.forwards = r.forwards[1:] {
 		f := r.forwards[0]
-		number := c.numbers[i][f.GET]
-		c.numbers[i][f.GET]++
-		note, id := Hit, f.Host
+		number := c.numbers[i][f.RequestID]
+		c.numbers[i][f.RequestID]++
+		note, id := CacheHit, f.Host
 		if c.parents > 0 {
 			note, id = Filled, f.Source
 		}
@@ -215,7 +215,7 @@
 			continue
 		}
 		at := int((now + took) / coldStep)
-		c.due[at] = append(c.due[at], coldEvent{i, Answer{GET: f.GET, Forward: number, Outcome: Returned, Note: note, Elapsed: took, Last: true}, c.lives[i]})
+		c.due[at] = append(c.due[at], coldEvent{i, AttemptResult{RequestID: f.RequestID, Attempt: number, Outcome: Succeeded, Note: note, Elapsed: took, Final: true}, c.lives[i]})
 	}
 	r.cancelled, r.shed, r.errored, r.calls = nil, nil, nil, nil
 }
@@ -433,12 +433,12 @@
 
 // Where the settings name no time in which a cold host falls, it is sent something all the same, by however many.
 func TestAColdHostWithNoTimeToFallInIsNotShutOut(t *testing.T) {
-	d, r := fleet(func(s *Settings) { s.Fall, s.Seats, s.WeightsTold = 0, []int{300}, true })
+	d, r := fleet(func(s *Settings) { s.OverloadWindow, s.DispatchersByZone, s.WeightsKnown = 0, []int{300}, true })
 	d.now = 1
 	h := d.caches[0]
 	h.cold, h.OnlineSince, h.Weight = true, 1, 3000
 	sent := 0
-	for now := 1.0; now < 1+d.RampTime-1; now += 0.05 {
+	for now := 1.0; now < 1+d.SlowStartRamp-1; now += 0.05 {
 		d.now = now
 		if d.open(h, 0.1) {
 			h.credit -= 0.1
--- a/core/routing/congestion/paces.go
+++ b/core/routing/congestion/paces.go
@@ -27,28 +27,28 @@
 
 // Crowded is the multiple of the usual pace from which on a link has more transfers than it carries in time: as many
 // again as at full pace. Latency objectives leave room for about so much.
-const Crowded = 2.0
+const CongestedSlowdown = 2.0
 
-// Blame is what a late fill is laid on.
-type Blame int
+// Cause is what a late fill is laid on.
+type Cause int
 
 // What it can be. Unknown is the zero value.
 const (
-	Unknown Blame = iota
-	Source        // it alone is slow
-	WayIn         // fills are, whichever source they come from
+	CauseUnknown Cause = iota
+	CauseSource        // it alone is slow
+	CauseIngress       // fills are, whichever source they come from
 )
 
-// Pace is what is known of one host. The zero value is a host of which nothing is known.
-type Pace struct {
+// Link is what is known of one host. The zero value is a host of which nothing is known.
+type Link struct {
 	over float64 // how much slower than usual it is, 0 for as usual, as of at
 	n    float64 // answers that tell it, as of at
 	at   float64
 	far  bool // it was a source last
 }
 
-// Paces is what is known of all. The zero value knows nothing.
-type Paces struct {
+// Tracker is what is known of all. The zero value knows nothing.
+type Tracker struct {
 	usual float64 // s a KB
 	fills [recent]told
 	next  int // place in fills
@@ -57,14 +57,14 @@
 // told is how much slower than usual a fill was, as of a moment.
 type told struct{ over, at float64 }
 
-// Expected is the time in seconds that so many KB take at the usual pace, 0 as long as that is not known.
-func (p *Paces) Expected(kb float64) float64 { return p.usual * kb }
+// ExpectedTime is the time in seconds that so many KB take at the usual pace, 0 as long as that is not known.
+func (p *Tracker) ExpectedTime(kb float64) float64 { return p.usual * kb }
 
-// Slow is how many times as slow as usual a host is, 1 at least; 1 where nothing is known.
-func (p *Paces) Slow(now float64, of *Pace) float64 { return 1 + of.rest(now) }
+// Slowdown is how many times as slow as usual a host is, 1 at least; 1 where nothing is known.
+func (p *Tracker) Slowdown(now float64, of *Link) float64 { return 1 + of.rest(now) }
 
-// Hit takes in that a host returned so many KB of its own in so many seconds.
-func (p *Paces) Hit(now float64, of *Pace, kb, took float64) {
+// ObserveHit takes in that a host returned so many KB of its own in so many seconds.
+func (p *Tracker) ObserveHit(now float64, of *Link, kb, took float64) {
 	if kb < leastKB || took < leastFor {
 		return
 	}
@@ -78,28 +78,28 @@
 	of.learn(now, took/kb/p.usual)
 }
 
-// Fill takes in that a host returned so many KB that it got from a source meanwhile, so many seconds after the first
+// ObserveFill takes in that a host returned so many KB that it got from a source meanwhile, so many seconds after the first
 // of them. What the host's own pace does not explain is its source's.
-func (p *Paces) Fill(now float64, of, source *Pace, kb, took float64) {
+func (p *Tracker) ObserveFill(now float64, of, source *Link, kb, took float64) {
 	if kb < leastKB || took < leastFor || p.usual == 0 {
 		return
 	}
-	slow := took / kb / p.usual / p.Slow(now, of)
+	slow := took / kb / p.usual / p.Slowdown(now, of)
 	p.fills[p.next] = told{math.Min(most, math.Max(1, slow)) - 1, now}
 	p.next = (p.next + 1) % recent
 	source.far = true
-	source.learn(now, slow/p.In(now))
+	source.learn(now, slow/p.IngressSlowdown(now))
 }
 
-// Unfinished takes in that a fill of so many KB, as far as known, has not come in so many seconds.
-func (p *Paces) Unfinished(now float64, of, source *Pace, kb, took float64) {
-	if p.usual > 0 && took > kb*p.usual*math.Max(p.In(now), p.Slow(now, source)) {
-		p.Fill(now, of, source, kb, took)
+// ObserveUnfinishedFill takes in that a fill of so many KB, as far as known, has not come in so many seconds.
+func (p *Tracker) ObserveUnfinishedFill(now float64, of, source *Link, kb, took float64) {
+	if p.usual > 0 && took > kb*p.usual*math.Max(p.IngressSlowdown(now), p.Slowdown(now, source)) {
+		p.ObserveFill(now, of, source, kb, took)
 	}
 }
 
-// In is how many times as slow as usual the way in is, 1 at least: the median of the last fills, each faded.
-func (p *Paces) In(now float64) float64 {
+// IngressSlowdown is how many times as slow as usual the way in is, 1 at least: the median of the last fills, each faded.
+func (p *Tracker) IngressSlowdown(now float64) float64 {
 	var overs [recent]float64
 	for i, f := range p.fills {
 		if f.over > 0 { // most fills are as usual, and each GET asks
@@ -110,20 +110,20 @@
 	return 1 + overs[recent/2]
 }
 
-// Refused takes in that a source turned a fill away.
-func (p *Paces) Refused(now float64, source *Pace) {
+// ObserveRejection takes in that a source turned a fill away.
+func (p *Tracker) ObserveRejection(now float64, source *Link) {
 	source.far = true
 	source.learn(now, refused)
 }
 
-func (c *Pace) learn(now, slow float64) {
+func (c *Link) learn(now, slow float64) {
 	over, rest := math.Min(most, math.Max(1, slow))-1, c.rest(now)
 	c.n = 1 + c.n*c.kept(now)
 	c.over, c.at = rest+(over-rest)*math.Max(learn, 1/c.n), now
 }
 
 // rest is what has not faded.
-func (c *Pace) rest(now float64) float64 {
+func (c *Link) rest(now float64) float64 {
 	if c.over == 0 {
 		return 0
 	}
@@ -131,7 +131,7 @@
 }
 
 // kept is the share of what is known that has not faded.
-func (c *Pace) kept(now float64) float64 {
+func (c *Link) kept(now float64) float64 {
 	hold := holds
 	if c.far {
 		hold = holdsFar
@@ -139,26 +139,30 @@
 	return math.Exp2(-math.Max(0, now-c.at) / hold)
 }
 
-// Blame tells what a late fill from a source is laid on.
-func (p *Paces) Blame(now float64, source *Pace) Blame {
+// LateCause tells what a late fill from a source is laid on.
+func (p *Tracker) LateCause(now float64, source *Link) Cause {
 	switch {
-	case p.In(now) > Crowded: // first: what came slowly before that was known stands with the sources
-		return WayIn
-	case p.Slow(now, source) > Crowded:
-		return Source
+	case p.IngressSlowdown(now) > CongestedSlowdown: // first: what came slowly before that was known stands with the sources
+		return CauseIngress
+	case p.Slowdown(now, source) > CongestedSlowdown:
+		return CauseSource
 	}
-	return Unknown
+	return CauseUnknown
 }
 
-// Excess is the share of what fills at a time that is more than the way in carries in time.
-func (p *Paces) Excess(now float64) float64 { return math.Max(0, 1-Crowded/p.In(now)) }
+// IngressExcess is the share of what fills at a time that is more than the way in carries in time.
+func (p *Tracker) IngressExcess(now float64) float64 {
+	return math.Max(0, 1-CongestedSlowdown/p.IngressSlowdown(now))
+}
 
-// Share is the share of misses that may fill while the way in is crowded, 1 while it is not. Guards against many
+// FillShare is the share of misses that may fill while the way in is crowded, 1 while it is not. Guards against many
 // dispatchers that each keep to the least limit, and together fill the way in with what comes late.
-func (p *Paces) Share(now float64) float64 {
-	part := math.Min(1, Crowded/p.In(now))
+func (p *Tracker) FillShare(now float64) float64 {
+	part := math.Min(1, CongestedSlowdown/p.IngressSlowdown(now))
 	return part * part
 }
 
-// Spare tells whether the way in is known to carry more; where answers tell no bytes nothing is known.
-func (p *Paces) Spare(now float64) bool { return p.usual > 0 && p.In(now) < (1+Crowded)/2 }
+// IngressHasSpare tells whether the way in is known to carry more; where answers tell no bytes nothing is known.
+func (p *Tracker) IngressHasSpare(now float64) bool {
+	return p.usual > 0 && p.IngressSlowdown(now) < (1+CongestedSlowdown)/2
+}
--- a/core/routing/congestion/paces_test.go
+++ b/core/routing/congestion/paces_test.go
@@ -10,10 +10,10 @@
 )
 
 // used is what a dispatcher knows after hits of many sizes at the usual pace of 0.2 s a KB.
-func used() (p congestion.Paces, cache congestion.Pace) {
+func used() (p congestion.Tracker, cache congestion.Link) {
 	for i := range 50 {
 		kb := float64(1 + i%7)
-		p.Hit(float64(i)*0.1, &cache, kb, 0.2*kb)
+		p.ObserveHit(float64(i)*0.1, &cache, kb, 0.2*kb)
 	}
 	return p, cache
 }
@@ -22,59 +22,59 @@
 func TestOneAnswerTellsThatAHostIsCrowded(t *testing.T) {
 	for _, kb := range []float64{0.3, 3, 200} {
 		p, _ := used()
-		var host, other congestion.Pace
-		assert.InDelta(t, 0.2*kb, p.Expected(kb), 0.02*kb)
-		assert.Equal(t, 1.0, p.Slow(5, &host), "nothing is known")
-		p.Hit(5, &other, kb, 0.2*kb)
-		assert.InDelta(t, 1, p.Slow(5, &other), 0.1)
-		p.Hit(5, &host, kb, 0.2*kb*4)
-		assert.InDelta(t, 4, p.Slow(5, &host), 0.4)
-		p.Hit(5.1, &host, kb, 0.2*kb)
-		assert.Less(t, p.Slow(5.1, &host), 2.7, "another that was as usual halves it")
-		assert.Less(t, p.Slow(30, &host), 1.1, "and it fades")
+		var host, other congestion.Link
+		assert.InDelta(t, 0.2*kb, p.ExpectedTime(kb), 0.02*kb)
+		assert.Equal(t, 1.0, p.Slowdown(5, &host), "nothing is known")
+		p.ObserveHit(5, &other, kb, 0.2*kb)
+		assert.InDelta(t, 1, p.Slowdown(5, &other), 0.1)
+		p.ObserveHit(5, &host, kb, 0.2*kb*4)
+		assert.InDelta(t, 4, p.Slowdown(5, &host), 0.4)
+		p.ObserveHit(5.1, &host, kb, 0.2*kb)
+		assert.Less(t, p.Slowdown(5.1, &host), 2.7, "another that was as usual halves it")
+		assert.Less(t, p.Slowdown(30, &host), 1.1, "and it fades")
 	}
 }
 
 func TestLateFillsAreLaidOnWhatIsSlow(t *testing.T) {
-	const u, s, w = congestion.Unknown, congestion.Source, congestion.WayIn
+	const u, s, w = congestion.CauseUnknown, congestion.CauseSource, congestion.CauseIngress
 	for _, tt := range []struct {
 		name  string
 		slow  [4]float64 // of each source; 0 for fills that do not come, negative for refusals
-		blame [4]congestion.Blame
+		blame [4]congestion.Cause
 		in    float64
 	}{
-		{"nothing", [4]float64{1, 1, 1, 1}, [4]congestion.Blame{u, u, u, u}, 1},
-		{"one source of four", [4]float64{5, 1, 1, 1}, [4]congestion.Blame{s, u, u, u}, 1},
-		{"a source that refuses", [4]float64{1, -1, 1, 1}, [4]congestion.Blame{u, s, u, u}, 1},
-		{"the way in", [4]float64{8, 8, 8, 8}, [4]congestion.Blame{w, w, w, w}, 8},
-		{"fills that do not come", [4]float64{}, [4]congestion.Blame{w, w, w, w}, 8}, // only quick ones would tell else
+		{"nothing", [4]float64{1, 1, 1, 1}, [4]congestion.Cause{u, u, u, u}, 1},
+		{"one source of four", [4]float64{5, 1, 1, 1}, [4]congestion.Cause{s, u, u, u}, 1},
+		{"a source that refuses", [4]float64{1, -1, 1, 1}, [4]congestion.Cause{u, s, u, u}, 1},
+		{"the way in", [4]float64{8, 8, 8, 8}, [4]congestion.Cause{w, w, w, w}, 8},
+		{"fills that do not come", [4]float64{}, [4]congestion.Cause{w, w, w, w}, 8}, // only quick ones would tell else
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			p, cache := used()
-			assert.Equal(t, 1.0, p.Share(5))
-			assert.Zero(t, p.Excess(5))
-			var sources [4]congestion.Pace
+			assert.Equal(t, 1.0, p.FillShare(5))
+			assert.Zero(t, p.IngressExcess(5))
+			var sources [4]congestion.Link
 			now := 5.0
 			for i := range 40 {
 				now += 0.5
 				switch slow, source := tt.slow[i%4], &sources[i%4]; {
 				case slow < 0:
-					p.Refused(now, source)
+					p.ObserveRejection(now, source)
 				case slow == 0:
-					p.Unfinished(now, &cache, source, 3, 0.5) // which is not late yet
-					p.Unfinished(now, &cache, source, 3, 0.6*8)
+					p.ObserveUnfinishedFill(now, &cache, source, 3, 0.5) // which is not late yet
+					p.ObserveUnfinishedFill(now, &cache, source, 3, 0.6*8)
 				default:
-					p.Fill(now, &cache, source, 3, 0.6*slow)
+					p.ObserveFill(now, &cache, source, 3, 0.6*slow)
 				}
 			}
 			for i := range sources {
-				assert.Equal(t, tt.blame[i], p.Blame(now, &sources[i]), "source %d", i)
+				assert.Equal(t, tt.blame[i], p.LateCause(now, &sources[i]), "source %d", i)
 			}
-			assert.InDelta(t, tt.in, p.In(now), tt.in/4)
-			assert.InDelta(t, math.Min(1, 4/tt.in/tt.in), p.Share(now), 0.05)
-			assert.InDelta(t, math.Max(0, 1-2/tt.in), p.Excess(now), 0.1)
-			assert.Equal(t, tt.in == 1, p.Spare(now))
-			assert.Equal(t, 1.0, p.Share(now+20), "with no fill to tell of it, it fades")
+			assert.InDelta(t, tt.in, p.IngressSlowdown(now), tt.in/4)
+			assert.InDelta(t, math.Min(1, 4/tt.in/tt.in), p.FillShare(now), 0.05)
+			assert.InDelta(t, math.Max(0, 1-2/tt.in), p.IngressExcess(now), 0.1)
+			assert.Equal(t, tt.in == 1, p.IngressHasSpare(now))
+			assert.Equal(t, 1.0, p.FillShare(now+20), "with no fill to tell of it, it fades")
 		})
 	}
 }
@@ -82,20 +82,20 @@
 // Whatever answers tell, times, shares and multiples stay finite and in their ranges.
 func TestRangesHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var p congestion.Paces
-		hosts, now := make([]congestion.Pace, 3), 0.0
+		var p congestion.Tracker
+		hosts, now := make([]congestion.Link, 3), 0.0
 		for range rapid.IntRange(1, 60).Draw(t, "answers") {
 			now += rapid.Float64Range(-1, 30).Draw(t, "later")
 			kb, took := rapid.Float64Range(0, 240).Draw(t, "kb"), rapid.Float64Range(-1, 100).Draw(t, "took")
 			host, source := &hosts[rapid.IntRange(0, 2).Draw(t, "host")], &hosts[rapid.IntRange(0, 2).Draw(t, "source")]
 			[]func(){
-				func() { p.Hit(now, host, kb, took) }, func() { p.Fill(now, host, source, kb, took) },
-				func() { p.Unfinished(now, host, source, kb, took) }, func() { p.Refused(now, source) },
+				func() { p.ObserveHit(now, host, kb, took) }, func() { p.ObserveFill(now, host, source, kb, took) },
+				func() { p.ObserveUnfinishedFill(now, host, source, kb, took) }, func() { p.ObserveRejection(now, source) },
 			}[rapid.IntRange(0, 3).Draw(t, "kind")]()
-			slow, in, share, excess := p.Slow(now, host), p.In(now), p.Share(now), p.Excess(now)
+			slow, in, share, excess := p.Slowdown(now, host), p.IngressSlowdown(now), p.FillShare(now), p.IngressExcess(now)
 			if !(slow >= 1 && slow <= 33 && in >= 1 && in <= 33 && share > 0 && share <= 1 && excess >= 0 && excess < 1) ||
-				math.IsInf(p.Expected(kb), 0) {
-				t.Fatalf("%g and %g times as slow, share %g, excess %g, expected %g", slow, in, share, excess, p.Expected(kb))
+				math.IsInf(p.ExpectedTime(kb), 0) {
+				t.Fatalf("%g and %g times as slow, share %g, excess %g, expected %g", slow, in, share, excess, p.ExpectedTime(kb))
 			}
 		}
 	})
--- a/core/routing/control.go
+++ b/core/routing/control.go
@@ -56,17 +56,17 @@
 	newcomer     = 0.5     // multiple of it open to objects not asked for before
 )
 
-// Hosts takes in a list of hosts or changes to it.
-func (d *Dispatcher) Hosts(now float64, form ListForm, entries []HostEntry) {
+// UpdateEndpoints takes in a list of hosts or changes to it.
+func (d *Router) UpdateEndpoints(now float64, form ListKind, entries []Endpoint) {
 	d.now = now
-	if form == FailedCall {
+	if form == ListFailed {
 		// Only who asks for lists is told of this.
-		d.due.Add(now+leaveFor, event{do: func(d *Dispatcher, _ *get, _ *forward) { d.wire.Subscribe() }})
+		d.due.Add(now+leaveFor, event{do: func(d *Router, _ *get, _ *forward) { d.wire.PollEndpoints() }})
 		return
 	}
-	if form != Changes {
+	if form != ListChanges {
 		for _, h := range d.hosts {
-			h.Phase = Gone
+			h.Phase = Removed
 		}
 	}
 	for _, e := range entries {
@@ -80,20 +80,20 @@
 	}
 }
 
-func (d *Dispatcher) list(e HostEntry) {
+func (d *Router) list(e Endpoint) {
 	h := d.hosts[e.ID]
 	if h == nil {
 		h = &host{
-			HostEntry: HostEntry{ID: e.ID, OnlineSince: math.Inf(-1)}, heard: d.now,
+			Endpoint: Endpoint{ID: e.ID, OnlineSince: math.Inf(-1)}, heard: d.now,
 			under: allowance{name: HostLimit, host: e.ID, most: math.Inf(1)},
 		}
 		d.hosts[e.ID], d.fresh = h, append(d.fresh, h)
 	}
-	if h.Phase = e.Phase; e.Phase == Gone {
+	if h.Phase = e.Phase; e.Phase == Removed {
 		return
 	}
 	since := h.OnlineSince
-	if h.HostEntry = e; !e.OnlineSinceIsTold || e.OnlineSince <= since {
+	if h.Endpoint = e; !e.OnlineSinceKnown || e.OnlineSince <= since {
 		h.OnlineSince = since
 		return
 	}
@@ -101,7 +101,7 @@
 }
 
 // regroup tells which of the listed hosts may be used: the own zone's caches, all parents, a ready origin.
-func (d *Dispatcher) regroup() {
+func (d *Router) regroup() {
 	before := d.caches
 	d.caches, d.parents, d.origin, d.ready = nil, nil, nil, 0
 	for _, h := range d.listed() {
@@ -120,42 +120,42 @@
 	d.place(before)
 }
 
-// GET takes a client's GET; it is answered through the wire, now or later, exactly once.
-func (d *Dispatcher) GET(now float64, in GET) {
+// HandleRequest takes a client's GET; it is answered through the wire, now or later, exactly once.
+func (d *Router) HandleRequest(now float64, in Request) {
 	d.now = now
-	g := &get{GET: in, ds: d.services[in.Service]}
+	g := &get{Request: in, ds: d.services[in.Service]}
 	d.gets[in.ID] = g
-	g.last = g.ViewerTimeout - math.Min(lastMoment, lastShare*(g.ViewerTimeout-now))
-	d.due.Put(&g.timeout, g.last, event{func(d *Dispatcher, g *get, _ *forward) { d.giveUp(g) }, g, nil})
-	d.beliefs.GET(now)
+	g.last = g.Deadline - math.Min(lastMoment, lastShare*(g.Deadline-now))
+	d.due.Put(&g.timeout, g.last, event{func(d *Router, g *get, _ *forward) { d.giveUp(g) }, g, nil})
+	d.beliefs.CountRequest(now)
 	d.count(g)
 	d.run(g)
 }
 
-// Answer takes the end of a forward; false means that no such forward is out.
-func (d *Dispatcher) Answer(now float64, a Answer) bool {
+// HandleResult takes the end of a forward; false means that no such forward is out.
+func (d *Router) HandleResult(now float64, a AttemptResult) bool {
 	d.now = now
-	g := d.gets[a.GET]
-	if g == nil || a.Forward < 0 || a.Forward >= len(g.forwards) || g.forwards[a.Forward].back {
+	g := d.gets[a.RequestID]
+	if g == nil || a.Attempt < 0 || a.Attempt >= len(g.forwards) || g.forwards[a.Attempt].back {
 		return false
 	}
-	f := g.forwards[a.Forward]
+	f := g.forwards[a.Attempt]
 	f.answer, f.back = a, true
 	for i := len(d.chain) - 1; i >= 0 && d.chain[i].back(g, f) == pass; i-- {
 	}
 	return true
 }
 
-// Streaming takes word that the answer to a forward has started: the client owns the GET from now on.
-func (d *Dispatcher) Streaming(now float64, id uint32, number int) {
+// HandleStreaming takes word that the answer to a forward has started: the client owns the GET from now on.
+func (d *Router) HandleStreaming(now float64, id uint32, number int) {
 	d.now = now
 	if g := d.gets[id]; g != nil && number >= 0 && number < len(g.forwards) {
 		g.forwards[number].moot = d.end(g) == ended
 	}
 }
 
-// Left takes word that a client has gone; its GET is over.
-func (d *Dispatcher) Left(now float64, id uint32) {
+// HandleClientGone takes word that a client has gone; its GET is over.
+func (d *Router) HandleClientGone(now float64, id uint32) {
 	d.now = now
 	if g := d.gets[id]; g != nil && !g.over {
 		d.cancel(g)
@@ -163,20 +163,20 @@
 	}
 }
 
-// Purged takes word of a purge of an object, or of a whole group where object is empty.
-func (d *Dispatcher) Purged(now float64, object string, group int, age float64) {
+// HandlePurge takes word of a purge of an object, or of a whole group where object is empty.
+func (d *Router) HandlePurge(now float64, object string, group int, age float64) {
 	d.now = now
 	name, at := purgeName(object, group), now-age
 	d.purges[name] = math.Max(at, cmp.Or(d.purges[name], at))
-	d.due.Add(at+d.OldCopies+tick, event{do: func(d *Dispatcher, _ *get, _ *forward) {
+	d.due.Add(at+d.PurgeGrace+tick, event{do: func(d *Router, _ *get, _ *forward) {
 		if d.purges[name] <= at {
 			delete(d.purges, name)
 		}
 	}})
 }
 
-// Timer takes the periodic timer.
-func (d *Dispatcher) Timer(now float64) {
+// HandleTimer takes the periodic timer.
+func (d *Router) HandleTimer(now float64) {
 	d.now = now
 	d.wire.Schedule(tick, "tick")
 	for e, ok := d.due.Pop(now); ok; e, ok = d.due.Pop(now) {
@@ -188,8 +188,8 @@
 	}
 }
 
-// Settle serves the line of further forwards, after all first ones of the moment.
-func (d *Dispatcher) Settle(now float64) {
+// RunRetries serves the line of further forwards, after all first ones of the moment.
+func (d *Router) RunRetries(now float64) {
 	d.now = now
 	for _, g := range d.line() {
 		if g.lined = false; !g.over {
@@ -199,7 +199,7 @@
 }
 
 // send hands the GET to its host and counts it there.
-func (d *Dispatcher) send(g *get) verdict {
+func (d *Router) send(g *get) verdict {
 	h, s := g.host, g.source
 	if !d.spend(h, d.weigh(g)) || s != h && !d.spend(s, d.weigh(g)) {
 		return d.again(g)
@@ -221,14 +221,14 @@
 	if f.miss {
 		f.under, f.judges = append(f.under, &d.fills), f.fill
 	}
-	if f.heldOnly = g.heldOnly; f.miss && d.Detail == Full && !f.heldOnly || d.needs(f) {
+	if f.heldOnly = g.heldOnly; f.miss && d.NoteDetail == FillNotes && !f.heldOnly || d.needs(f) {
 		f.under = append(f.under, &d.origins)
 		f.judges = f.under[len(f.under)-1:]
 	}
 	for _, l := range f.under {
 		l.add(f.work)
 	}
-	d.due.Put(&f.objectiveIn, d.now+f.objective, event{(*Dispatcher).passed, g, f})
+	d.due.Put(&f.objectiveIn, d.now+f.objective, event{(*Router).passed, g, f})
 	g.out++
 	if h.out == 0 {
 		h.hear(d.now)
@@ -240,17 +240,17 @@
 	h.makespan, h.updated = math.Max(0, h.makespan-(d.now-h.updated))+added, d.now
 	h.out++
 	h.credit -= f.work
-	d.due.Put(&f.limit, d.now+d.overdue(g), event{(*Dispatcher).late, g, f})
-	d.wire.Forward(Forward{
-		GET: g.ID, Host: h.ID, Source: s.ID, MaxAge: d.maxAge(g), Join: d.Joins,
-		Rank: map[bool]int{false: 1, true: 2}[g.item.again], Renew: g.ds.FreshFor > 0, HeldOnly: f.heldOnly,
-		Before: before,
+	d.due.Put(&f.limit, d.now+d.overdue(g), event{(*Router).late, g, f})
+	d.wire.Forward(Attempt{
+		RequestID: g.ID, Host: h.ID, Source: s.ID, MaxAge: d.maxAge(g), Coalesce: d.CoalesceFills,
+		CachePriority: map[bool]int{false: 1, true: 2}[g.item.again], Revalidate: g.ds.TTL > 0, CachedOnly: f.heldOnly,
+		SendBy: before,
 	})
 	return kept
 }
 
 // maxAge is the oldest copy that will do after the purges of the object and its group; 0 for any fresh one.
-func (d *Dispatcher) maxAge(g *get) float64 {
+func (d *Router) maxAge(g *get) float64 {
 	age := 0.0
 	if len(d.purges) == 0 {
 		return age
@@ -264,16 +264,16 @@
 }
 
 // release takes a forward that came back off what its host and source hold.
-func (d *Dispatcher) release(g *get, f *forward) verdict {
+func (d *Router) release(g *get, f *forward) verdict {
 	d.due.Remove(&f.limit)
 	d.due.Remove(&f.objectiveIn)
-	f.ran = f.answer.Outcome < NotTaken
+	f.ran = f.answer.Outcome < Rejected
 	g.out--
 	f.host.out--
 	for _, l := range f.under {
 		l.drop(f.work)
 	}
-	if o := f.answer.Outcome; o != Revoked && o != Unused && o != Expired && o != Recalled {
+	if o := f.answer.Outcome; o != Canceled && o != ArrivedLate && o != TimedOut && o != Withdrawn {
 		f.host.hear(d.now)
 	}
 	if f.source != f.host {
--- a/core/routing/control_test.go
+++ b/core/routing/control_test.go
@@ -15,13 +15,13 @@
 
 // recorder is a Wire that keeps what went out.
 type recorder struct {
-	forwards         []Forward
+	forwards         []Attempt
 	shed, errored    []uint32
 	comeBack         float64
 	cancelled, calls []string
 }
 
-func (r *recorder) Forward(f Forward) { r.forwards = append(r.forwards, f) }
+func (r *recorder) Forward(f Attempt) { r.forwards = append(r.forwards, f) }
 func (r *recorder) Cancel(get uint32, forward int) {
 	r.cancelled = append(r.cancelled, fmt.Sprint(get, "/", forward))
 }
@@ -29,36 +29,36 @@
 func (r *recorder) Shed(get uint32, comeBack float64) {
 	r.shed, r.comeBack = append(r.shed, get), comeBack
 }
-func (r *recorder) Error(get uint32)         { r.errored = append(r.errored, get) }
+func (r *recorder) Fail(get uint32)          { r.errored = append(r.errored, get) }
 func (r *recorder) Schedule(float64, string) {}
-func (r *recorder) Subscribe()               { r.calls = append(r.calls, "subscribe") }
+func (r *recorder) PollEndpoints()           { r.calls = append(r.calls, "subscribe") }
 func (r *recorder) Log(text string)          { r.calls = append(r.calls, text) }
-func (r *recorder) last() Forward            { return r.forwards[len(r.forwards)-1] }
+func (r *recorder) last() Attempt            { return r.forwards[len(r.forwards)-1] }
 
 func settings() Settings {
 	return Settings{
-		Dispatchers: 2, Seats: []int{1}, ParentKind: 1, OriginKind: 2, Detail: Full,
+		Dispatchers: 2, DispatchersByZone: []int{1}, ParentKind: 1, OriginKind: 2, NoteDetail: FillNotes,
 		Services: []DeliveryService{{
-			Objective: 0.5, Stretch: 1, ViewerTimeout: 5, Revenue: 1,
-			Effect: Idempotent, Scope: AllHosts, RepeatWindow: 2,
-		}}, MaxForwards: 6, MayCancel: true, SecondCopies: true, OldCopies: 6,
-		ColdFrom: 0.2, RampTime: 10, TipMultiple: 2, Fall: 1, ParentColdFrom: 0.1, ParentRamp: 20, ParentTip: 2,
+			Objective: 0.5, Stretch: 1, ViewerTimeout: 5, PriorityWeight: 1,
+			Idempotency: Idempotent, DedupScope: AllHosts, DedupWindow: 2,
+		}}, MaxAttempts: 6, CanCancel: true, Hedging: true, PurgeGrace: 6,
+		SlowStartInitial: 0.2, SlowStartRamp: 10, OverloadMultiple: 2, OverloadWindow: 1, ParentSlowStartInitial: 0.1, ParentSlowStartRamp: 20, ParentOverloadMultiple: 2,
 	}
 }
 
-func entry(id uint32, kind int, phase Phase) HostEntry {
-	return HostEntry{ID: id, Kind: kind, Cell: int(id), Phase: phase, Weight: 1}
+func entry(id uint32, kind int, phase Phase) Endpoint {
+	return Endpoint{ID: id, Kind: kind, Cell: int(id), Phase: phase, Weight: 1}
 }
 
 // fleet starts a dispatcher that knows three caches, two parents and the origin.
-func fleet(change func(*Settings)) (*Dispatcher, *recorder) {
+func fleet(change func(*Settings)) (*Router, *recorder) {
 	s := settings()
 	if change != nil {
 		change(&s)
 	}
 	r := &recorder{}
 	d := New(s, 0, r)
-	d.Hosts(0, Cached, []HostEntry{
+	d.UpdateEndpoints(0, ListCached, []Endpoint{
 		entry(cacheA, 0, Ready), entry(cacheB, 0, Ready), entry(cacheC, 0, Ready),
 		entry(parentA, 1, Ready), entry(parentB, 1, Ready), entry(origin, 2, Ready),
 	})
@@ -66,21 +66,21 @@
 }
 
 // ask hands in a GET and settles the moment.
-func ask(d *Dispatcher, now float64, id uint32, object string) {
-	d.GET(now, GET{ID: id, Object: object, ViewerTimeout: now + 5})
-	d.Settle(now)
+func ask(d *Router, now float64, id uint32, object string) {
+	d.HandleRequest(now, Request{ID: id, Object: object, Deadline: now + 5})
+	d.RunRetries(now)
 }
 
-func answer(d *Dispatcher, now float64, id uint32, forward int, outcome Outcome, note Note) {
-	d.Answer(now, Answer{GET: id, Forward: forward, Outcome: outcome, Note: note, Elapsed: 0.1, Last: outcome == Returned})
-	d.Settle(now)
+func answer(d *Router, now float64, id uint32, forward int, outcome Outcome, note Note) {
+	d.HandleResult(now, AttemptResult{RequestID: id, Attempt: forward, Outcome: outcome, Note: note, Elapsed: 0.1, Final: outcome == Succeeded})
+	d.RunRetries(now)
 }
 
 // turn has a timer come, and settles the moment.
-func turn(d *Dispatcher, now float64) { d.Timer(now); d.Settle(now) }
+func turn(d *Router, now float64) { d.HandleTimer(now); d.RunRetries(now) }
 
 // tickTo plays the periodic timer from one instant to another.
-func tickTo(d *Dispatcher, from, to float64) {
+func tickTo(d *Router, from, to float64) {
 	for now := from; now <= to; now += 0.01 {
 		turn(d, now)
 	}
@@ -88,51 +88,51 @@
 
 const noAnswer = Outcome(-1)
 
-func hit(uint32, Forward) (Outcome, Note) { return Returned, Hit }
+func hit(uint32, Attempt) (Outcome, Note) { return Succeeded, CacheHit }
 
 // play asks a GET at each step and answers all forwards as told; those with no answer are revoked in the end.
-func play(d *Dispatcher, r *recorder, from, to, step float64, first uint32, reply func(uint32, Forward) (Outcome, Note)) {
-	done, number, open := len(r.forwards), map[uint32]int{}, []Answer(nil)
+func play(d *Router, r *recorder, from, to, step float64, first uint32, reply func(uint32, Attempt) (Outcome, Note)) {
+	done, number, open := len(r.forwards), map[uint32]int{}, []AttemptResult(nil)
 	for i := uint32(0); from+float64(i)*step < to; i++ {
 		now := from + float64(i)*step
 		ask(d, now, first+i, fmt.Sprint("o", i%60))
 		for ; done < len(r.forwards); done++ {
 			f := r.forwards[done]
 			if outcome, note := reply(i, f); outcome != noAnswer {
-				answer(d, now+0.01, f.GET, number[f.GET], outcome, note)
+				answer(d, now+0.01, f.RequestID, number[f.RequestID], outcome, note)
 			} else {
-				open = append(open, Answer{GET: f.GET, Forward: number[f.GET], Outcome: Revoked})
+				open = append(open, AttemptResult{RequestID: f.RequestID, Attempt: number[f.RequestID], Outcome: Canceled})
 			}
-			number[f.GET]++
+			number[f.RequestID]++
 		}
 		tickTo(d, now+0.01, now+step-0.01)
 	}
 	for _, a := range open {
-		d.Answer(to, a)
+		d.HandleResult(to, a)
 	}
 }
 
 func TestAfterAFailedForward(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
-		effect  Effect
-		scope   Scope
+		effect  Idempotency
+		scope   DedupScope
 		outcome Outcome
 		after   float64
 		want    string
 	}{
-		{"idempotent is sent on", Idempotent, AllHosts, HostError, 0.1, "forward"},
-		{"non-idempotent that may have run is errored", NonIdempotent, AllHosts, HostError, 0.1, "error"},
-		{"non-idempotent that was not taken is sent on", NonIdempotent, AllHosts, Unreached, 0.1, "forward"},
-		{"tokened is sent on within its window", Tokened, AllHosts, Dropped, 0.1, "forward"},
-		{"tokened past its window may be shed where all drop repeats", Tokened, AllHosts, Dropped, 2.5, "shed"},
-		{"tokened past its window is errored in a zone", Tokened, SameZone, Dropped, 2.5, "error"},
-		{"tokened stays in its zone", Tokened, SameZone, Dropped, 0.1, "forward"},
-		{"tokened alone in its cell is errored", Tokened, SameCell, Dropped, 0.1, "error"},
-		{"tokened that was not taken is free of its cell", Tokened, SameCell, Unreached, 0.1, "forward"},
+		{"idempotent is sent on", Idempotent, AllHosts, HostFailed, 0.1, "forward"},
+		{"non-idempotent that may have run is errored", NonIdempotent, AllHosts, HostFailed, 0.1, "error"},
+		{"non-idempotent that was not taken is sent on", NonIdempotent, AllHosts, Unreachable, 0.1, "forward"},
+		{"tokened is sent on within its window", IdempotencyKeyed, AllHosts, ConnectionLost, 0.1, "forward"},
+		{"tokened past its window may be shed where all drop repeats", IdempotencyKeyed, AllHosts, ConnectionLost, 2.5, "shed"},
+		{"tokened past its window is errored in a zone", IdempotencyKeyed, SameZone, ConnectionLost, 2.5, "error"},
+		{"tokened stays in its zone", IdempotencyKeyed, SameZone, ConnectionLost, 0.1, "forward"},
+		{"tokened alone in its cell is errored", IdempotencyKeyed, SameCell, ConnectionLost, 0.1, "error"},
+		{"tokened that was not taken is free of its cell", IdempotencyKeyed, SameCell, Unreachable, 0.1, "forward"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			d, r := fleet(func(s *Settings) { s.Services[0].Effect, s.Services[0].Scope = tt.effect, tt.scope })
+			d, r := fleet(func(s *Settings) { s.Services[0].Idempotency, s.Services[0].DedupScope = tt.effect, tt.scope })
 			ask(d, 1, 7, "a")
 			require.Len(t, r.forwards, 1)
 			answer(d, 1+tt.after, 7, 0, tt.outcome, NoNote)
@@ -150,14 +150,14 @@
 func TestOneFinalAnswer(t *testing.T) {
 	for _, tt := range []struct {
 		name          string
-		effect        Effect
+		effect        Idempotency
 		shed, errored int
 	}{
 		{"idempotent is shed at its viewer timeout", Idempotent, 1, 0},
 		{"non-idempotent still out is errored at it", NonIdempotent, 0, 1},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			d, r := fleet(func(s *Settings) { s.Services[0].Effect = tt.effect })
+			d, r := fleet(func(s *Settings) { s.Services[0].Idempotency = tt.effect })
 			ask(d, 1, 7, "a")
 			tickTo(d, 1, 5.93)
 			assert.Empty(t, append(r.shed, r.errored...))
@@ -165,13 +165,13 @@
 			assert.Equal(t, []int{tt.shed, tt.errored}, []int{len(r.shed), len(r.errored)})
 			forwards := len(r.forwards)
 			for i := range r.forwards {
-				answer(d, 6.1, 7, i, Revoked, NoNote)
+				answer(d, 6.1, 7, i, Canceled, NoNote)
 			}
 			tickTo(d, 6.1, 8)
 			assert.Len(t, r.forwards, forwards, "nothing is sent after the final answer")
 			assert.Equal(t, 1, len(r.shed)+len(r.errored))
 			assert.Empty(t, d.gets)
-			assert.False(t, d.Answer(8, Answer{GET: 7}), "the GET is forgotten")
+			assert.False(t, d.HandleResult(8, AttemptResult{RequestID: 7}), "the GET is forgotten")
 		})
 	}
 }
@@ -179,7 +179,7 @@
 func TestGivesUpAtOnceAndNamesATime(t *testing.T) {
 	for honoured, want := range map[float64]float64{0: 0, 0.1: 0.1, 3: 0.125} {
 		d, r := fleet(func(s *Settings) { s.MaxRetryAfter = honoured })
-		d.Hosts(1, Changes, []HostEntry{entry(cacheA, 0, Gone), entry(cacheB, 0, Draining), entry(cacheC, 0, Gone)})
+		d.UpdateEndpoints(1, ListChanges, []Endpoint{entry(cacheA, 0, Removed), entry(cacheB, 0, Draining), entry(cacheC, 0, Removed)})
 		ask(d, 1, 7, "a")
 		assert.Equal(t, []uint32{7}, r.shed)
 		assert.Equal(t, want, r.comeBack)
@@ -190,7 +190,7 @@
 func TestAGETWithLittleTimeKeepsMostOfIt(t *testing.T) {
 	for budget, last := range map[float64]float64{5: 4.95, 0.2: 0.15, 0.1: 0.075} {
 		d, r := fleet(nil)
-		d.GET(1, GET{ID: 7, Object: "a", ViewerTimeout: 1 + budget})
+		d.HandleRequest(1, Request{ID: 7, Object: "a", Deadline: 1 + budget})
 		tickTo(d, 1, 1+last-0.001)
 		assert.Empty(t, r.shed, "%v s", budget)
 		tickTo(d, 1+last, 1+last+tick)
@@ -201,27 +201,27 @@
 func TestDrainsAreKept(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
-		form    ListForm
-		entries []HostEntry
+		form    ListKind
+		entries []Endpoint
 		gone    []uint32
 	}{
-		{"draining cache", Changes, []HostEntry{entry(cacheA, 0, Draining)}, []uint32{cacheA}},
-		{"parent that is gone", Changes, []HostEntry{entry(parentA, 1, Gone)}, []uint32{parentA}},
+		{"draining cache", ListChanges, []Endpoint{entry(cacheA, 0, Draining)}, []uint32{cacheA}},
+		{"parent that is gone", ListChanges, []Endpoint{entry(parentA, 1, Removed)}, []uint32{parentA}},
 		{
-			"draining parents leave the origin", Changes,
-			[]HostEntry{entry(parentA, 1, Draining), entry(parentB, 1, Draining)},
+			"draining parents leave the origin", ListChanges,
+			[]Endpoint{entry(parentA, 1, Draining), entry(parentB, 1, Draining)},
 			[]uint32{parentA, parentB},
 		},
 		{
-			"absent from a complete list", Complete,
-			[]HostEntry{entry(cacheB, 0, Ready), entry(parentB, 1, Ready)},
+			"absent from a complete list", ListComplete,
+			[]Endpoint{entry(cacheB, 0, Ready), entry(parentB, 1, Ready)},
 			[]uint32{cacheA, cacheC, parentA, origin},
 		},
-		{"a failed call changes nothing", FailedCall, nil, nil},
+		{"a failed call changes nothing", ListFailed, nil, nil},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			d, r := fleet(nil)
-			d.Hosts(1, tt.form, tt.entries)
+			d.UpdateEndpoints(1, tt.form, tt.entries)
 			used := map[uint32]bool{}
 			for i := range uint32(40) {
 				ask(d, 1, i, fmt.Sprint("object", i))
@@ -262,13 +262,13 @@
 			sent := 0
 			for index := range tt.alike {
 				d, r := fleet(func(s *Settings) {
-					s.WeightsTold, s.Index, s.Dispatchers = tt.told, index, tt.alike
-					s.Seats = []int{max(1, tt.alike*(1-tt.kind))}
+					s.WeightsKnown, s.Index, s.Dispatchers = tt.told, index, tt.alike
+					s.DispatchersByZone = []int{max(1, tt.alike*(1-tt.kind))}
 				})
 				play(d, r, 0, 20, 0.1, 0, hit) // the warm rate: ten GETs a second over three caches
 				cold := entry(tt.id, tt.kind, Ready)
-				cold.Weight, cold.OnlineSince, cold.OnlineSinceIsTold = 4, tt.since, true
-				d.Hosts(20, Changes, []HostEntry{cold})
+				cold.Weight, cold.OnlineSince, cold.OnlineSinceKnown = 4, tt.since, true
+				d.UpdateEndpoints(20, ListChanges, []Endpoint{cold})
 				before := len(r.forwards)
 				for i := range uint32(200) {
 					ask(d, 20+float64(i)/100, 1000+i, fmt.Sprint("o", i))
@@ -299,10 +299,10 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			d, r := fleet(nil)
-			d.Purged(2, tt.object, tt.group, 0.5)
-			d.Purged(2, tt.object, tt.group, 1) // an older one, told later, does not loosen
+			d.HandlePurge(2, tt.object, tt.group, 0.5)
+			d.HandlePurge(2, tt.object, tt.group, 1) // an older one, told later, does not loosen
 			tickTo(d, 2, tt.at)
-			d.GET(tt.at, GET{ID: 7, Object: "a", Group: 4, ViewerTimeout: 20})
+			d.HandleRequest(tt.at, Request{ID: 7, Object: "a", Group: 4, Deadline: 20})
 			assert.InDelta(t, tt.want, r.last().MaxAge, 1e-9)
 		})
 	}
@@ -344,7 +344,7 @@
 					object = "hot"
 				}
 				ask(d, float64(i)/20, i, object)
-				answer(d, float64(i)/20+0.01, i, 0, Returned, Hit)
+				answer(d, float64(i)/20+0.01, i, 0, Succeeded, CacheHit)
 			}
 			ask(d, 5+tt.after, 1000, "hot")
 			assert.Equal(t, tt.want, d.copies(d.gets[1000], 3))
@@ -353,10 +353,10 @@
 }
 
 func TestSources(t *testing.T) {
-	for note, next := range map[Note]bool{SourceRefused: true, SourceFailed: true, NoFillPlace: false} {
+	for note, next := range map[Note]bool{SourceRejected: true, SourceFailed: true, FillsExhausted: false} {
 		d, r := fleet(nil)
 		ask(d, 1, 7, "a")
-		answer(d, 1.1, 7, 0, NotTaken, note)
+		answer(d, 1.1, 7, 0, Rejected, note)
 		require.Len(t, r.forwards, 2)
 		assert.Equal(t, next, r.forwards[0].Source != r.forwards[1].Source, "a source at fault is passed over")
 		assert.Equal(t, next, r.forwards[0].Host == r.forwards[1].Host, "a cache at fault is passed over")
@@ -369,9 +369,9 @@
 		ask(d, 1, i, "hot")
 	}
 	for i := range uint32(50) {
-		d.Answer(5, Answer{GET: i, Outcome: Returned, Note: Hit, Elapsed: 4, Last: true})
+		d.HandleResult(5, AttemptResult{RequestID: i, Outcome: Succeeded, Note: CacheHit, Elapsed: 4, Final: true})
 	}
-	d.GET(5, GET{ID: 99, Object: "hot", ViewerTimeout: 10})
+	d.HandleRequest(5, Request{ID: 99, Object: "hot", Deadline: 10})
 	assert.LessOrEqual(t, d.objective(d.gets[99]), 1.0)
 }
 
@@ -380,7 +380,7 @@
 	for i := range uint32(4) { // parents speak, the origin behind them fails fast
 		ask(d, 1, i, fmt.Sprint("o", i))
 		for f := 0; len(r.shed) <= int(i) && f < 6; f++ {
-			answer(d, 1.01, i, f, HostError, OriginFailed)
+			answer(d, 1.01, i, f, HostFailed, OriginFailed)
 		}
 	}
 	require.True(t, d.origin.left)
@@ -388,13 +388,13 @@
 		assert.False(t, parent.left)
 	}
 	ask(d, 1.2, 10, "p")
-	assert.True(t, r.last().HeldOnly, "parents give what they hold")
+	assert.True(t, r.last().CachedOnly, "parents give what they hold")
 	for i := range uint32(3) {
 		ask(d, 10+float64(i), 20+i, fmt.Sprint("q", i))
-		assert.False(t, r.last().HeldOnly, "a trial")
+		assert.False(t, r.last().CachedOnly, "a trial")
 		ask(d, 10+float64(i), 30+i, fmt.Sprint("r", i))
-		assert.True(t, r.last().HeldOnly, "one at a time")
-		answer(d, 10.1+float64(i), 20+i, 0, Returned, FilledByOrigin)
+		assert.True(t, r.last().CachedOnly, "one at a time")
+		answer(d, 10.1+float64(i), 20+i, 0, Succeeded, FilledByOrigin)
 	}
 	assert.False(t, d.origin.left)
 }
@@ -435,21 +435,21 @@
 	left := func(id uint32) string { return fmt.Sprintf("host %d left: it fails or is silent", id) }
 	for _, tt := range []struct {
 		name string
-		fail func(uint32, Forward) (Outcome, Note)
+		fail func(uint32, Attempt) (Outcome, Note)
 		host uint32
 	}{
-		{"a cache that errs", func(_ uint32, f Forward) (Outcome, Note) {
-			return map[bool]Outcome{true: HostError}[f.Host == cacheA], map[bool]Note{false: Hit}[f.Host == cacheA]
+		{"a cache that errs", func(_ uint32, f Attempt) (Outcome, Note) {
+			return map[bool]Outcome{true: HostFailed}[f.Host == cacheA], map[bool]Note{false: CacheHit}[f.Host == cacheA]
 		}, cacheA},
-		{"a cache that answers nothing", func(_ uint32, f Forward) (Outcome, Note) {
-			return map[bool]Outcome{true: noAnswer}[f.Host == cacheA], Hit
+		{"a cache that answers nothing", func(_ uint32, f Attempt) (Outcome, Note) {
+			return map[bool]Outcome{true: noAnswer}[f.Host == cacheA], CacheHit
 		}, cacheA},
-		{"a parent that fails", func(_ uint32, f Forward) (Outcome, Note) {
+		{"a parent that fails", func(_ uint32, f Attempt) (Outcome, Note) {
 			bad := f.Source == parentA
-			return map[bool]Outcome{true: HostError}[bad], map[bool]Note{true: SourceFailed, false: Filled}[bad]
+			return map[bool]Outcome{true: HostFailed}[bad], map[bool]Note{true: SourceFailed, false: Filled}[bad]
 		}, parentA},
-		{"a parent that answers nothing, while hits and the other's fills come back", func(i uint32, f Forward) (Outcome, Note) {
-			return map[bool]Outcome{true: noAnswer}[i%4 > 0 && f.Source == parentA], map[bool]Note{true: Hit, false: Filled}[i%4 == 0]
+		{"a parent that answers nothing, while hits and the other's fills come back", func(i uint32, f Attempt) (Outcome, Note) {
+			return map[bool]Outcome{true: noAnswer}[i%4 > 0 && f.Source == parentA], map[bool]Note{true: CacheHit, false: Filled}[i%4 == 0]
 		}, parentA},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -462,7 +462,7 @@
 			for _, o := range append(d.caches, d.parents...) {
 				assert.Equal(t, o.ID == tt.host, slices.Contains(r.calls, left(o.ID)), "host %d", o.ID)
 			}
-			play(d, r, 6, 30, 0.1, 1000, func(uint32, Forward) (Outcome, Note) { return Returned, Filled })
+			play(d, r, 6, 30, 0.1, 1000, func(uint32, Attempt) (Outcome, Note) { return Succeeded, Filled })
 			assert.Contains(t, r.calls, fmt.Sprintf("host %d trusted again", tt.host))
 		})
 	}
@@ -471,23 +471,23 @@
 func TestWhatIsNoSignOfIllHealth(t *testing.T) {
 	for _, tt := range []struct {
 		name string
-		one  func(d *Dispatcher, r *recorder, now float64, id uint32)
+		one  func(d *Router, r *recorder, now float64, id uint32)
 	}{
-		{"GETs that no host can use", func(d *Dispatcher, r *recorder, now float64, id uint32) {
+		{"GETs that no host can use", func(d *Router, r *recorder, now float64, id uint32) {
 			for number := 0; len(r.shed) < int(id); number++ {
-				answer(d, now, id, number, HostError, NoNote)
+				answer(d, now, id, number, HostFailed, NoNote)
 			}
 		}},
-		{"GETs taken back at once by their clients", func(d *Dispatcher, _ *recorder, now float64, id uint32) {
-			d.Left(now, id)
-			d.Answer(now, Answer{GET: id, Outcome: Revoked, Elapsed: 0.001, Last: true})
+		{"GETs taken back at once by their clients", func(d *Router, _ *recorder, now float64, id uint32) {
+			d.HandleClientGone(now, id)
+			d.HandleResult(now, AttemptResult{RequestID: id, Outcome: Canceled, Elapsed: 0.001, Final: true})
 		}},
-		{"a connection that breaks now and then", func(d *Dispatcher, r *recorder, now float64, id uint32) {
+		{"a connection that breaks now and then", func(d *Router, r *recorder, now float64, id uint32) {
 			if host := r.last().Host; id%6 == 0 {
-				answer(d, now, id, 0, Dropped, NoNote)
+				answer(d, now, id, 0, ConnectionLost, NoNote)
 				assert.Equal(t, host, r.last().Host, "the GET goes there once more")
 			}
-			answer(d, now, id, len(d.gets[id].forwards)-1, Returned, Hit)
+			answer(d, now, id, len(d.gets[id].forwards)-1, Succeeded, CacheHit)
 		}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -509,19 +509,19 @@
 	d, r := fleet(nil)
 	ask(d, 1, 7, "a")
 	for id := uint32(100); id < 200; id++ {
-		d.Hosts(2, Changes, []HostEntry{entry(id, 0, Ready)})
-		d.Hosts(2, Changes, []HostEntry{entry(id, 0, Gone), entry(r.last().Host, 0, Gone)})
+		d.UpdateEndpoints(2, ListChanges, []Endpoint{entry(id, 0, Ready)})
+		d.UpdateEndpoints(2, ListChanges, []Endpoint{entry(id, 0, Removed), entry(r.last().Host, 0, Removed)})
 	}
 	assert.Len(t, d.hosts, 6, "that which a GET is out at stays")
-	answer(d, 3, 7, 0, Returned, Hit)
-	d.Hosts(3, Changes, nil)
+	answer(d, 3, 7, 0, Succeeded, CacheHit)
+	d.UpdateEndpoints(3, ListChanges, nil)
 	assert.Len(t, d.hosts, 5)
 }
 
 func TestALoneForwardIsNoSilence(t *testing.T) {
 	for forwards, left := range map[int]bool{1: false, 2: true, 4: true} {
-		for _, detail := range []Detail{Silent, Full} {
-			d, r := fleet(func(s *Settings) { s.Detail = detail })
+		for _, detail := range []NoteDetail{NoNotes, FillNotes} {
+			d, r := fleet(func(s *Settings) { s.NoteDetail = detail })
 			for i := range forwards {
 				ask(d, 1+float64(i)/10, uint32(i), "a")
 			}
@@ -533,7 +533,7 @@
 
 func TestTheWayInOpensWithItsShareOfTheZone(t *testing.T) {
 	for _, alike := range []int{1, 12} {
-		d, r := fleet(func(s *Settings) { s.Seats = []int{alike} })
+		d, r := fleet(func(s *Settings) { s.DispatchersByZone = []int{alike} })
 		for i := range uint32(200) { // nothing has come back yet
 			ask(d, 1, i, fmt.Sprint("o", i))
 		}
@@ -545,13 +545,13 @@
 
 func TestSecondCopiesOnlyWhereAllowed(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
-		d, r := fleet(func(s *Settings) { s.SecondCopies = allowed })
+		d, r := fleet(func(s *Settings) { s.Hedging = allowed })
 		ask(d, 1, 7, "a")
 		d.leave(d.hosts[r.last().Host])
 		tickTo(d, 1, 3)
 		assert.Len(t, r.cancelled, 1)
 		assert.Equal(t, allowed, len(r.forwards) > 1)
-		answer(d, 3.1, 7, 0, Revoked, NoNote)
+		answer(d, 3.1, 7, 0, Canceled, NoNote)
 		assert.Len(t, r.forwards, 2, "once the first is back the GET goes on in any case")
 	}
 }
@@ -564,10 +564,10 @@
 		note    Note
 		looks   bool
 	}{
-		{"fills in time keep their limit open", 0.1, Returned, Filled, false},
-		{"late fills close it", 2, Returned, Filled, true},
-		{"refused fills close it", 0.1, NotTaken, NoFillPlace, true},
-		{"late hits do not, but close that on all caches", 2, Returned, Hit, false},
+		{"fills in time keep their limit open", 0.1, Succeeded, Filled, false},
+		{"late fills close it", 2, Succeeded, Filled, true},
+		{"refused fills close it", 0.1, Rejected, FillsExhausted, true},
+		{"late hits do not, but close that on all caches", 2, Succeeded, CacheHit, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			d, r := fleet(nil)
@@ -576,11 +576,11 @@
 					ask(d, now, uint32(now)*10+id, fmt.Sprint("o", now, id))
 				}
 				for id := range uint32(10) {
-					d.Answer(now+tt.elapsed, Answer{GET: uint32(now)*10 + id, Outcome: tt.outcome, Elapsed: tt.elapsed, Last: tt.outcome == Returned, Note: tt.note})
+					d.HandleResult(now+tt.elapsed, AttemptResult{RequestID: uint32(now)*10 + id, Outcome: tt.outcome, Elapsed: tt.elapsed, Final: tt.outcome == Succeeded, Note: tt.note})
 				}
 				tickTo(d, now+tt.elapsed, now+2.9)
 			}
-			assert.Equal(t, tt.looks, slices.ContainsFunc(r.forwards, func(f Forward) bool { return f.Source == f.Host }))
+			assert.Equal(t, tt.looks, slices.ContainsFunc(r.forwards, func(f Attempt) bool { return f.Source == f.Host }))
 			assert.Equal(t, tt.note != Filled, !math.IsInf(d.all.most, 1), "the limit on all caches")
 		})
 	}
@@ -592,8 +592,8 @@
 		l := map[bool]*allowance{false: &d.fills, true: &d.origins}[held]
 		l.most, l.held = 0.1, 1
 		ask(d, 1, 7, "a")
-		require.Equal(t, []bool{held, held}, []bool{r.last().Host != r.last().Source, r.last().HeldOnly})
-		answer(d, 1.01, 7, 0, Empty, map[bool]Note{true: SourceLacks}[held])
+		require.Equal(t, []bool{held, held}, []bool{r.last().Host != r.last().Source, r.last().CachedOnly})
+		answer(d, 1.01, 7, 0, NotCached, map[bool]Note{true: SourceNotCached}[held])
 		assert.Equal(t, []uint32{7}, r.shed)
 	}
 }
@@ -611,10 +611,10 @@
 		{"own cache crowded by others alone", false, 3, 0.1, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			d, r := fleet(func(s *Settings) { s.WeightsTold, s.FlowKB = tt.told, 100 })
+			d, r := fleet(func(s *Settings) { s.WeightsKnown, s.TransferRateKB = tt.told, 100 })
 			ask(d, 1, 7, "a")
 			own := r.last().Host
-			answer(d, 1, 7, 0, Returned, Hit)
+			answer(d, 1, 7, 0, Succeeded, CacheHit)
 			for _, h := range d.caches {
 				h.makespan = map[bool]float64{true: tt.own, false: tt.other}[h.ID == own]
 				h.updated, h.serving = 1, learned{h.makespan, 1}
@@ -645,19 +645,19 @@
 		held[objects] = heldBy(func() any {
 			r := &recorder{}
 			d := New(settings(), 0, r)
-			d.Hosts(0, Complete, []HostEntry{entry(1<<30, 1, Ready), entry(1<<30+1, 2, Ready)})
+			d.UpdateEndpoints(0, ListComplete, []Endpoint{entry(1<<30, 1, Ready), entry(1<<30+1, 2, Ready)})
 			for i := range 20 {
-				d.Hosts(0, Changes, []HostEntry{entry(uint32(i+1)*7919, 0, Ready)})
+				d.UpdateEndpoints(0, ListChanges, []Endpoint{entry(uint32(i+1)*7919, 0, Ready)})
 			}
 			for i := range objects {
 				now := float64(i) * 0.05
 				if i%720 == 0 {
 					k := i / 720
-					d.Hosts(now, Changes, []HostEntry{entry(uint32(k+1)*7919, 0, Gone), entry(uint32(k+21)*7919, 0, Ready)})
+					d.UpdateEndpoints(now, ListChanges, []Endpoint{entry(uint32(k+1)*7919, 0, Removed), entry(uint32(k+21)*7919, 0, Ready)})
 				}
-				d.Timer(now)
+				d.HandleTimer(now)
 				ask(d, now, uint32(i+1), fmt.Sprintf("%016x", i*7919))
-				answer(d, now, uint32(i+1), 0, Returned, Hit)
+				answer(d, now, uint32(i+1), 0, Succeeded, CacheHit)
 				r.forwards, r.shed, r.calls = r.forwards[:0], nil, nil
 			}
 			assert.Equal(t, min(objects, tableSize), d.items.byUse.Len()+d.items.rest.Len(), "as many are remembered as before")
@@ -674,21 +674,21 @@
 func TestAnItemThatRestedIsKnownAgain(t *testing.T) {
 	d, r := fleet(nil)
 	ask(d, 0, 1, "a")
-	d.Answer(0.1, Answer{GET: 1, Outcome: Returned, Note: Hit, Elapsed: 0.1, SizeKB: 12, Last: true})
+	d.HandleResult(0.1, AttemptResult{RequestID: 1, Outcome: Succeeded, Note: CacheHit, Elapsed: 0.1, SizeKB: 12, Final: true})
 	ask(d, 40, 2, "b")
 	require.Equal(t, 1, d.items.byUse.Len(), "a rests")
 	require.Equal(t, 1, d.items.rest.Len())
 	ask(d, 41, 3, "a")
-	assert.Equal(t, 2, r.last().Rank, "asked for before")
+	assert.Equal(t, 2, r.last().CachePriority, "asked for before")
 	assert.Equal(t, 12.0, d.gets[3].item.kb)
 	assert.Zero(t, d.items.rest.Len())
 	for i := range tableSize {
 		now := 100 + float64(i)*0.01
 		ask(d, now, uint32(10+i), fmt.Sprint("c", i))
-		answer(d, now, uint32(10+i), 0, Returned, Hit)
+		answer(d, now, uint32(10+i), 0, Succeeded, CacheHit)
 	}
 	ask(d, 1000, 4, "a")
-	assert.Equal(t, 1, r.last().Rank, "forgotten")
+	assert.Equal(t, 1, r.last().CachePriority, "forgotten")
 }
 
 // A bound of the fleet holds also where the own limit lets one go, and at 0; without one nothing changes.
@@ -699,13 +699,13 @@
 		room           bool
 		turned, origin int
 	}{{false, 0, 0, true, 0, 0}, {false, 0, 9, true, 0, 9}, {true, 0, 0, false, 1, 0}, {true, 2, 1, true, 0, 1}, {true, 2, 2, false, 1, 2}} {
-		d := &Dispatcher{origins: allowance{most: math.Inf(1), held: tt.held}}
+		d := &Router{origins: allowance{most: math.Inf(1), held: tt.held}}
 		if tt.bounded {
-			d.Bound(0, tt.bound)
-			d.Bound(7, tt.bound) // a host that is not known
+			d.SetQuota(0, tt.bound)
+			d.SetQuota(7, tt.bound) // a host that is not known
 		}
 		assert.Equal(t, tt.room, d.origins.room(1), "%+v", tt)
-		held, turned := d.Bounded(0)
+		held, turned := d.QuotaUsage(0)
 		assert.Equal(t, []int{tt.origin, tt.turned}, []int{held, turned}, "%+v", tt)
 	}
 }
--- a/core/routing/fills.go
+++ b/core/routing/fills.go
@@ -8,7 +8,7 @@
 
 // fill names the source of a miss: the object's parent, the next one, or the origin. While fills are at their
 // limit a GET only looks whether the cache holds the object, and is shed if not.
-func (d *Dispatcher) fill(g *get) verdict {
+func (d *Router) fill(g *get) verdict {
 	g.source, g.heldOnly = g.host, false
 	if g.host == d.origin && !d.origins.allowed() {
 		return d.giveUp(g)
@@ -16,7 +16,7 @@
 	if g.host == d.origin || g.host.Kind == d.ParentKind {
 		return pass
 	}
-	work, share := d.weigh(g)/d.favour(g), d.paces.Share(d.now)
+	work, share := d.weigh(g)/d.favour(g), d.paces.FillShare(d.now)
 	source, spare := d.parent(g), d.origins.room(work)
 	if o := d.origin; o != nil && o.left { // it is tried by one GET at a time, itself or behind a parent
 		spare = d.now >= o.until && d.origins.held == 0 && d.origins.allowed()
@@ -33,10 +33,10 @@
 }
 
 // favour is the multiple of a limit open to a GET: by its revenue for its sending time, and if known before.
-func (d *Dispatcher) favour(g *get) float64 {
+func (d *Router) favour(g *get) float64 {
 	share := 1.0
 	for _, ds := range d.services {
-		if ds.Revenue*d.weigh(g) < g.ds.Revenue*ds.sending.mean {
+		if ds.PriorityWeight*d.weigh(g) < g.ds.PriorityWeight*ds.sending.mean {
 			share = favoured
 		}
 	}
@@ -48,16 +48,16 @@
 
 // parent is the first usable one in the object's order over all listed parents, the next if it fails or holds
 // its learned limit while the next bears clearly more, and the origin when none is up.
-func (d *Dispatcher) parent(g *get) *host {
+func (d *Router) parent(g *get) *host {
 	home, other, work, slow := (*host)(nil), (*host)(nil), d.weigh(g), 0.0
 	d.parentOrder.Walk(g.item.objectHash, &g.item.parents, 0, func(h *host) bool {
 		switch {
 		case slices.Contains(g.bad, h) || !d.open(h, work) || !h.under.allowed():
 		case home == nil:
-			home, slow = h, d.paces.Slow(d.now, &h.pace)
-			return !h.under.room(work) || slow > congestion.Crowded
+			home, slow = h, d.paces.Slowdown(d.now, &h.pace)
+			return !h.under.room(work) || slow > congestion.CongestedSlowdown
 		case h.under.room(work) && (h.under.most > clearlyMore*home.under.most ||
-			slow > congestion.Crowded && d.paces.Slow(d.now, &h.pace) < slow*spareUnder):
+			slow > congestion.CongestedSlowdown && d.paces.Slowdown(d.now, &h.pace) < slow*spareUnder):
 			other = h
 			return false
 		}
@@ -68,34 +68,34 @@
 
 // judgeFill learns how sound the source of a fill is, and what the way in bears. An origin that fails behind
 // parents is left like any host: many dispatchers' fast failures, which no limit bounds, would keep it down.
-func (d *Dispatcher) judgeFill(g *get, f *forward) verdict {
+func (d *Router) judgeFill(g *get, f *forward) verdict {
 	a, n, o := f.answer, f.answer.Note, f.answer.Outcome
 	d.paced(g, f) // first: what is late is laid on what this answer tells of, too
 	if f.source == f.host {
-		if a.Outcome == Empty && !g.over {
+		if a.Outcome == NotCached && !g.over {
 			g.looked = true
 			return d.again(g)
 		}
 		return pass
 	}
-	g.lacked, g.looked = f.heldOnly && a.Outcome == Empty, g.looked || sourceFault(n)
+	g.lacked, g.looked = f.heldOnly && a.Outcome == NotCached, g.looked || sourceFault(n)
 	// Its client took it back early, or one of many hosts was silent: no sign of slow fills.
-	early := a.Outcome == Revoked && (g.over && a.Elapsed <= f.objective || f.host.left && f.host.belief != nil)
-	if !early && f.told() && (n == Filled || n == FilledByOrigin || o == Revoked && f.miss ||
-		n >= SourceRefused && n != SourceLacks || d.Detail != Full && (f.miss && n != Hit || o == NotTaken)) {
+	early := a.Outcome == Canceled && (g.over && a.Elapsed <= f.objective || f.host.left && f.host.belief != nil)
+	if !early && f.told() && (n == Filled || n == FilledByOrigin || o == Canceled && f.miss ||
+		n >= SourceRejected && n != SourceNotCached || d.NoteDetail != FillNotes && (f.miss && n != CacheHit || o == Rejected)) {
 		limits := f.judgedBy()
 		if n == FilledByOrigin || n == OriginFailed {
 			limits = []*allowance{&d.origins}
 		} else if n == SourceFailed {
 			limits = f.fill[:1] // tells of the source alone
 		}
-		late := a.Outcome != Returned || a.Elapsed > f.objective || a.Crowding > crowded
+		late := a.Outcome != Succeeded || a.Elapsed > f.objective || a.IngressLoad > crowded
 		d.judge(f, late, d.blamed(f, late, limits))
 	}
 	switch {
-	case a.Outcome == Returned && n != Hit && n != Joined && n != Aged:
+	case a.Outcome == Succeeded && n != CacheHit && n != FillCoalesced && n != StaleHit:
 		f.source.taken.add(d.now, f.work)
-		if f.source.hear(d.now); d.Detail == Full || f.miss {
+		if f.source.hear(d.now); d.NoteDetail == FillNotes || f.miss {
 			d.sound(f.source)
 		}
 	case n == SourceFailed:
@@ -109,7 +109,7 @@
 			d.fault(d.origin, learnFault)
 		}
 	}
-	if n == FilledByOrigin && a.Outcome == Returned && d.origin != nil && f.source != d.origin {
+	if n == FilledByOrigin && a.Outcome == Succeeded && d.origin != nil && f.source != d.origin {
 		d.sound(d.origin)
 	}
 	return pass
@@ -117,5 +117,5 @@
 
 // sourceFault tells whether a note lays a failure on the source of a fill, not on the host that tells of it.
 func sourceFault(n Note) bool {
-	return n == SourceRefused || n == SourceFailed || n == SourceLacks || n == OriginFailed
+	return n == SourceRejected || n == SourceFailed || n == SourceNotCached || n == OriginFailed
 }
--- a/core/routing/fleet_test.go
+++ b/core/routing/fleet_test.go
@@ -12,18 +12,18 @@
 // end is how a forward ends at a moment.
 type end struct {
 	at float64
-	a  Answer
+	a  AttemptResult
 }
 
 // large is a dispatcher with racks of caches, and what they do.
 type large struct {
 	*testing.T
-	d     *Dispatcher
+	d     *Router
 	r     *recorder
 	now   float64
 	id    uint32
 	gone  map[uint32]bool
-	hosts []HostEntry
+	hosts []Endpoint
 	lost  int
 
 	number map[uint32]int // forwards of each GET
@@ -35,13 +35,13 @@
 	s := settings()
 	s.Services[0].Objective = 0.2
 	l.d = New(s, 0, l.r)
-	l.hosts = []HostEntry{entry(1<<30, 1, Ready), entry(1<<30+1, 1, Ready), entry(1<<30+2, 2, Ready)}
+	l.hosts = []Endpoint{entry(1<<30, 1, Ready), entry(1<<30+1, 1, Ready), entry(1<<30+2, 2, Ready)}
 	for i := range racks * each {
 		e := entry(uint32(i+1)*7919, 0, Ready)
 		e.Cell = i / each
 		l.hosts = append(l.hosts, e)
 	}
-	l.d.Hosts(0, Complete, l.hosts)
+	l.d.UpdateEndpoints(0, ListComplete, l.hosts)
 	return l
 }
 
@@ -67,19 +67,19 @@
 		for len(l.r.forwards) > 0 {
 			f := l.r.forwards[0]
 			l.r.forwards = l.r.forwards[1:]
-			number := l.number[f.GET]
-			l.number[f.GET]++
+			number := l.number[f.RequestID]
+			l.number[f.RequestID]++
 			if l.gone[f.Host] {
 				l.lost++
-				l.open = append(l.open, end{l.now + 0.1, Answer{GET: f.GET, Forward: number, Outcome: Unreached, Elapsed: 0.1}})
+				l.open = append(l.open, end{l.now + 0.1, AttemptResult{RequestID: f.RequestID, Attempt: number, Outcome: Unreachable, Elapsed: 0.1}})
 				continue
 			}
 			returned++
-			answer(l.d, l.now, f.GET, number, Returned, Hit)
+			answer(l.d, l.now, f.RequestID, number, Succeeded, CacheHit)
 		}
 		for len(l.open) > 0 && l.open[0].at <= l.now {
-			l.d.Answer(l.now, l.open[0].a)
-			l.d.Settle(l.now)
+			l.d.HandleResult(l.now, l.open[0].a)
+			l.d.RunRetries(l.now)
 			l.open = l.open[1:]
 		}
 	}
@@ -107,7 +107,7 @@
 	assert.Zero(t, l.lost)
 	left := 0
 	for _, h := range l.d.caches {
-		if h.left || h.belief.Doubted() {
+		if h.left || h.belief.Suspected() {
 			left++
 		}
 	}
@@ -182,15 +182,15 @@
 		ask(l.d, l.now, l.id, chosen[int(l.id)%len(chosen)])
 		for ; len(l.r.forwards) > 0; l.r.forwards = l.r.forwards[1:] {
 			f := l.r.forwards[0]
-			number := l.number[f.GET]
-			l.number[f.GET]++
+			number := l.number[f.RequestID]
+			l.number[f.RequestID]++
 			to[f.Host]++
 			free[f.Host] = max(free[f.Host], l.now) + takes
 			took := free[f.Host] - l.now
 			if took > 0.2 {
 				late++
 			}
-			l.open = append(l.open, end{free[f.Host], Answer{GET: f.GET, Forward: number, Outcome: Returned, Note: Hit, Elapsed: took, Last: true}})
+			l.open = append(l.open, end{free[f.Host], AttemptResult{RequestID: f.RequestID, Attempt: number, Outcome: Succeeded, Note: CacheHit, Elapsed: took, Final: true}})
 		}
 		if l.id%10 == 0 {
 			turn(l.d, l.now)
@@ -199,8 +199,8 @@
 			if e.at > l.now {
 				return false
 			}
-			l.d.Answer(l.now, e.a)
-			l.d.Settle(l.now)
+			l.d.HandleResult(l.now, e.a)
+			l.d.RunRetries(l.now)
 			return true
 		})
 	}
@@ -216,7 +216,7 @@
 	for range 50 {
 		l.id++
 		ask(l.d, l.now, l.id, fmt.Sprint("p", l.id))
-		l.d.Timer(l.now)
+		l.d.HandleTimer(l.now)
 	}
 	open := len(l.d.gets)
 	turn(l.d, l.now-5)
@@ -226,7 +226,7 @@
 	assert.Equal(t, 50, len(l.r.shed)+len(l.r.errored), "those under way are over at once")
 	for id := l.id - 49; id <= l.id; id++ {
 		for number := range l.number[id] + 1 {
-			l.d.Answer(l.now, Answer{GET: id, Forward: number, Outcome: Revoked})
+			l.d.HandleResult(l.now, AttemptResult{RequestID: id, Attempt: number, Outcome: Canceled})
 		}
 	}
 	assert.Empty(t, l.d.gets)
@@ -242,21 +242,21 @@
 		return id
 	}
 	id := first()
-	e, other := l.d.hosts[id].HostEntry, l.d.hosts[id]
-	e.Phase = Gone
-	l.d.Hosts(1, Changes, []HostEntry{e})
+	e, other := l.d.hosts[id].Endpoint, l.d.hosts[id]
+	e.Phase = Removed
+	l.d.UpdateEndpoints(1, ListChanges, []Endpoint{e})
 	assert.NotEqual(t, id, first())
 	assert.Nil(t, other.belief)
 	assert.Len(t, l.d.caches, 299)
 	e.Phase, e.Cell = Ready, 77
-	l.d.Hosts(2, Changes, []HostEntry{e, e})
+	l.d.UpdateEndpoints(2, ListChanges, []Endpoint{e, e})
 	assert.Equal(t, id, first())
 	assert.Len(t, l.d.caches, 300, "named twice, it is there once")
 	assert.True(t, l.d.hosts[id].belief.In(grouphealth.Group{Cell: 77}))
 	e.Cell = 78
-	l.d.Hosts(3, Changes, []HostEntry{e})
+	l.d.UpdateEndpoints(3, ListChanges, []Endpoint{e})
 	assert.True(t, l.d.hosts[id].belief.In(grouphealth.Group{Cell: 78}))
-	l.d.Hosts(4, Complete, l.hosts[:3+grouphealth.Few-1])
+	l.d.UpdateEndpoints(4, ListComplete, l.hosts[:3+grouphealth.MinHosts-1])
 	for _, h := range l.d.caches {
 		assert.Nil(t, h.belief, "they are few now")
 	}
--- a/core/routing/grouphealth/beliefs.go
+++ b/core/routing/grouphealth/beliefs.go
@@ -13,7 +13,7 @@
 import "math"
 
 const (
-	Few = 64 // hosts; fewer are heard of often enough to speak for themselves
+	MinHosts = 64 // hosts; fewer are heard of often enough to speak for themselves
 
 	span       = 2.0   // s; a turn of what a group's hosts said: the last two count
 	silent     = 3     // hosts of a group that were lost in that time: fewer may be chance
@@ -34,8 +34,8 @@
 // Group names hosts that may fail together.
 type Group struct{ Kind, Zone, Cell int }
 
-// Beliefs is all of it. The zero value is empty and ready to use.
-type Beliefs struct {
+// Tracker is all of it. The zero value is empty and ready to use.
+type Tracker struct {
 	size    int
 	groups  map[Group]*group
 	whole   group // all of them
@@ -47,7 +47,7 @@
 
 // Member is a host of many. A nil one has no opinion, so that few hosts cost nothing.
 type Member struct {
-	all   *Beliefs
+	all   *Tracker
 	group *group
 	word  word
 	turn  int     // in which it said so
@@ -73,8 +73,8 @@
 	up     float64 // when it was believed again
 }
 
-// Join takes one more host among many.
-func (b *Beliefs) Join(name Group) *Member {
+// Add takes one more host among many.
+func (b *Tracker) Add(name Group) *Member {
 	g := b.group(name)
 	if g.size++; g.silent {
 		b.doubted++
@@ -83,8 +83,8 @@
 	return &Member{all: b, group: g, heard: -1}
 }
 
-// Part lets a host go; nil is passed over.
-func (b *Beliefs) Part(m *Member) {
+// Remove lets a host go; nil is passed over.
+func (b *Tracker) Remove(m *Member) {
 	if m == nil {
 		return
 	}
@@ -100,7 +100,7 @@
 // In tells whether a host is in a group still.
 func (m *Member) In(name Group) bool { return m != nil && m.group.name == name }
 
-func (b *Beliefs) group(name Group) *group {
+func (b *Tracker) group(name Group) *group {
 	if b.groups == nil {
 		b.groups = map[Group]*group{}
 	}
@@ -112,8 +112,8 @@
 	return g
 }
 
-// GET counts one that came, of which trials are a share.
-func (b *Beliefs) GET(now float64) {
+// CountRequest counts one that came, of which trials are a share.
+func (b *Tracker) CountRequest(now float64) {
 	if b.size == 0 {
 		return
 	}
@@ -121,7 +121,7 @@
 }
 
 // fill lets trials come by time and by GETs. Time that goes back allows none, and a jump no more than are kept.
-func (b *Beliefs) fill(now, more float64) {
+func (b *Tracker) fill(now, more float64) {
 	more += trialFloor * math.Max(0, now-b.filled)
 	b.filled, b.now = now, now
 	if b.trials < trialsKept {
@@ -129,8 +129,8 @@
 	}
 }
 
-// Heard takes word that a host answered.
-func (m *Member) Heard(now float64) {
+// ObserveSuccess takes word that a host answered.
+func (m *Member) ObserveSuccess(now float64) {
 	if m == nil {
 		return
 	}
@@ -146,8 +146,8 @@
 	}
 }
 
-// Lost takes word that a host was out of reach, or silent.
-func (m *Member) Lost(now float64) {
+// ObserveLoss takes word that a host was out of reach, or silent.
+func (m *Member) ObserveLoss(now float64) {
 	if m == nil {
 		return
 	}
@@ -191,39 +191,39 @@
 	return gone > most*(gone+float64(g.count(good)))
 }
 
-// Doubted tells whether a host is doubted for its group: it has not answered since that fell silent.
-func (m *Member) Doubted() bool { return m != nil && m.doubted() }
+// Suspected tells whether a host is doubted for its group: it has not answered since that fell silent.
+func (m *Member) Suspected() bool { return m != nil && m.doubted() }
 
 func (m *Member) doubted() bool {
 	return m.group.silent && m.heard < m.group.fell && float64(m.all.doubted) <= atMost*float64(m.all.size)
 }
 
-// MayTry tells whether a host that is doubted, or was left, may get a GET as a trial.
-func (m *Member) MayTry() bool { return m == nil || m.all.trials >= 1 }
+// ProbeAllowed tells whether a host that is doubted, or was left, may get a GET as a trial.
+func (m *Member) ProbeAllowed() bool { return m == nil || m.all.trials >= 1 }
 
-// Tried takes a trial out of what may go.
-func (m *Member) Tried() {
+// SpendProbe takes a trial out of what may go.
+func (m *Member) SpendProbe() {
 	if m != nil {
 		m.all.trials--
 	}
 }
 
-// Vouched tells whether a host that was left at a moment is believed again after one answer: its group had fallen silent
+// RecoveredSince tells whether a host that was left at a moment is believed again after one answer: its group had fallen silent
 // with it, and is believed again since.
-func (m *Member) Vouched(left float64) bool { return m != nil && m.group.up >= left }
+func (m *Member) RecoveredSince(left float64) bool { return m != nil && m.group.up >= left }
 
-// Loss books a host that was out of reach, and is what that counts for in its fault rate: one of many is left at once, as
+// LossWeight books a host that was out of reach, and is what that counts for in its fault rate: one of many is left at once, as
 // the next GET that would confirm it comes seconds later and is lost too.
-func (m *Member) Loss(now, own, leaves float64) float64 {
-	if m.Lost(now); !m.alone() {
+func (m *Member) LossWeight(now, own, leaves float64) float64 {
+	if m.ObserveLoss(now); !m.alone() {
 		return own
 	}
 	return math.Max(own, leaves)
 }
 
-// Silent books a host that lets a GET wait, and tells whether that one is enough to leave it.
-func (m *Member) Silent(now float64) bool {
-	m.Lost(now)
+// ObserveSilence books a host that lets a GET wait, and tells whether that one is enough to leave it.
+func (m *Member) ObserveSilence(now float64) bool {
+	m.ObserveLoss(now)
 	return m.alone()
 }
 
@@ -235,11 +235,11 @@
 	}
 	w := &m.all.whole
 	gone := float64(w.count(lost))
-	return m.Doubted() || gone <= general*(gone+float64(w.count(good))) || gone <= silent
+	return m.Suspected() || gone <= general*(gone+float64(w.count(good))) || gone <= silent
 }
 
-// Shrink is a host's learned time, as far as it has enough of its own: what all have stands in for the rest.
-func (m *Member) Shrink(now, own float64, n int, all float64) float64 {
+// ShrinkServingTime is a host's learned time, as far as it has enough of its own: what all have stands in for the rest.
+func (m *Member) ShrinkServingTime(now, own float64, n int, all float64) float64 {
 	if m == nil || all == 0 {
 		return own
 	}
--- a/core/routing/grouphealth/beliefs_test.go
+++ b/core/routing/grouphealth/beliefs_test.go
@@ -12,10 +12,10 @@
 )
 
 // racks is so many hosts in each of some racks.
-func racks(n, each int) (b *Beliefs, members []*Member) {
-	b = &Beliefs{}
+func racks(n, each int) (b *Tracker, members []*Member) {
+	b = &Tracker{}
 	for i := range n * each {
-		members = append(members, b.Join(Group{Cell: i / each}))
+		members = append(members, b.Add(Group{Cell: i / each}))
 	}
 	return b, members
 }
@@ -23,7 +23,7 @@
 // believed counts the members that are not doubted.
 func believed(members []*Member) (n int) {
 	for _, m := range members {
-		if !m.Doubted() {
+		if !m.Suspected() {
 			n++
 		}
 	}
@@ -37,19 +37,19 @@
 	}
 }
 
-var lose, hear = (*Member).Lost, (*Member).Heard
+var lose, hear = (*Member).ObserveLoss, (*Member).ObserveSuccess
 
 func TestFewHostsSpeakForThemselves(t *testing.T) {
-	b := &Beliefs{}
+	b := &Tracker{}
 	var m *Member
-	b.Part(m)
-	m.Heard(1)
-	m.Lost(1)
-	m.Tried()
-	b.GET(1)
+	b.Remove(m)
+	m.ObserveSuccess(1)
+	m.ObserveLoss(1)
+	m.SpendProbe()
+	b.CountRequest(1)
 	assert.Equal(t, []any{false, true, false, 0.4, 7.0, false},
-		[]any{m.Doubted(), m.MayTry(), m.Vouched(0), m.Loss(1, 0.4, 0.5), m.Shrink(1, 7, 1, 3), m.Silent(1)})
-	assert.Zero(t, testing.AllocsPerRun(100, func() { m.Heard(1); b.GET(1); m.Loss(1, 0.4, 0.5) }))
+		[]any{m.Suspected(), m.ProbeAllowed(), m.RecoveredSince(0), m.LossWeight(1, 0.4, 0.5), m.ShrinkServingTime(1, 7, 1, 3), m.ObserveSilence(1)})
+	assert.Zero(t, testing.AllocsPerRun(100, func() { m.ObserveSuccess(1); b.CountRequest(1); m.LossWeight(1, 0.4, 0.5) }))
 }
 
 func TestARackThatFallsSilentIsSeenAsOne(t *testing.T) {
@@ -57,18 +57,18 @@
 	each(hear, 1, m...)
 	each(lose, 5, m[:2]...)
 	assert.Equal(t, 200, believed(m), "two may be chance")
-	m[2].Lost(5.1)
+	m[2].ObserveLoss(5.1)
 	assert.Equal(t, 180, believed(m), "all of the rack, also those not asked")
-	m[19].Heard(5.2)
-	assert.False(t, m[19].Doubted(), "its own word goes before that of its rack")
-	assert.True(t, m[18].Doubted())
+	m[19].ObserveSuccess(5.2)
+	assert.False(t, m[19].Suspected(), "its own word goes before that of its rack")
+	assert.True(t, m[18].Suspected())
 	each(hear, 9, m[3:5]...)
-	assert.True(t, m[18].Doubted(), "two that answer may be the part that stays")
-	m[5].Heard(9)
+	assert.True(t, m[18].Suspected(), "two that answer may be the part that stays")
+	m[5].ObserveSuccess(9)
 	assert.Equal(t, 200, believed(m), "believed again by trials")
-	assert.True(t, m[0].Vouched(5))
-	assert.False(t, m[0].Vouched(10), "left after that")
-	assert.False(t, m[100].Vouched(5))
+	assert.True(t, m[0].RecoveredSince(5))
+	assert.False(t, m[0].RecoveredSince(10), "left after that")
+	assert.False(t, m[100].RecoveredSince(5))
 }
 
 func TestARackOfWhichSomeAreLostStays(t *testing.T) {
@@ -86,101 +86,101 @@
 	assert.Equal(t, 100, believed(m))
 	each(lose, 1, m[5*20:5*20+silent]...)
 	assert.Equal(t, 200, believed(m), "more than half: none is doubted for its rack")
-	assert.Equal(t, 0.4, m[7].Loss(1, 0.4, 0.5), "and one loss says less of its host")
-	assert.False(t, m[8].Silent(1))
+	assert.Equal(t, 0.4, m[7].LossWeight(1, 0.4, 0.5), "and one loss says less of its host")
+	assert.False(t, m[8].ObserveSilence(1))
 }
 
 func TestOneOfManyIsLeftAtOnce(t *testing.T) {
 	_, m := racks(10, 20)
-	assert.Equal(t, 0.5, m[7].Loss(1, 0.4, 0.5))
-	assert.True(t, m[8].Silent(1))
+	assert.Equal(t, 0.5, m[7].LossWeight(1, 0.4, 0.5))
+	assert.True(t, m[8].ObserveSilence(1))
 	each(lose, 1, m[:150]...)
 	each(hear, 1, m[150:]...)
-	assert.False(t, m[160].Silent(1), "where all are slow, one that is says little")
+	assert.False(t, m[160].ObserveSilence(1), "where all are slow, one that is says little")
 }
 
 func TestTrialsAreRationed(t *testing.T) {
 	b, m := racks(10, 20)
 	tried := func() (n int) {
-		for m[0].MayTry() {
-			m[0].Tried()
+		for m[0].ProbeAllowed() {
+			m[0].SpendProbe()
 			n++
 		}
 		return n
 	}
-	b.GET(1)
+	b.CountRequest(1)
 	tried()
 	for i := range 1000 {
-		b.GET(1 + float64(i)*1e-6)
-		m[0].MayTry()
+		b.CountRequest(1 + float64(i)*1e-6)
+		m[0].ProbeAllowed()
 	}
 	assert.Equal(t, int(trialsKept), tried(), "no more are saved up")
-	b.GET(1e6)
+	b.CountRequest(1e6)
 	assert.Equal(t, int(trialsKept), tried(), "nor by a jump of time")
-	b.GET(5)
+	b.CountRequest(5)
 	assert.Zero(t, tried(), "time that goes back gives none")
 	each(lose, 6, m[:silent]...)
-	assert.True(t, m[10].Doubted())
-	m[10].Heard(7)
+	assert.True(t, m[10].Suspected())
+	m[10].ObserveSuccess(7)
 	assert.Equal(t, int(passedOn), tried(), "one that is answered allows more")
-	m[10].Heard(7.1)
+	m[10].ObserveSuccess(7.1)
 	assert.Zero(t, tried(), "once")
 }
 
 func TestShrink(t *testing.T) {
 	_, m := racks(10, 20)
-	m[0].Heard(10)
-	assert.InDelta(t, 1.0, m[0].Shrink(10, 1, 0, 1), 1e-9)
-	few, some := m[0].Shrink(10, 3, 1, 1), m[0].Shrink(10, 3, 100, 1)
+	m[0].ObserveSuccess(10)
+	assert.InDelta(t, 1.0, m[0].ShrinkServingTime(10, 1, 0, 1), 1e-9)
+	few, some := m[0].ShrinkServingTime(10, 3, 1, 1), m[0].ShrinkServingTime(10, 3, 100, 1)
 	assert.True(t, 1 < few && few < some && some < 3, "%g %g", few, some)
-	assert.InDelta(t, 1.0, m[0].Shrink(1000, 3, 100, 1), 1e-3, "what it said long ago says nothing")
-	assert.Equal(t, 3.0, m[0].Shrink(10, 3, 100, 0), "nothing is known of all")
+	assert.InDelta(t, 1.0, m[0].ShrinkServingTime(1000, 3, 100, 1), 1e-3, "what it said long ago says nothing")
+	assert.Equal(t, 3.0, m[0].ShrinkServingTime(10, 3, 100, 0), "nothing is known of all")
 }
 
 // Whatever is heard, lost, listed and tried, at whatever times: no host is doubted that has answered since, no more than
 // half are, the books of groups are those of their members, and trials stay within their share.
 func TestWhatHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := &Beliefs{}
+		b := &Tracker{}
 		cells := rapid.IntRange(1, 6).Draw(t, "cells")
 		var m []*Member
-		for i := range rapid.IntRange(Few, 100).Draw(t, "hosts") {
-			m = append(m, b.Join(Group{Cell: i % cells}))
+		for i := range rapid.IntRange(MinHosts, 100).Draw(t, "hosts") {
+			m = append(m, b.Add(Group{Cell: i % cells}))
 		}
 		now, gets, tried, passed, start := 10.0, 0.0, 0.0, 0.0, 10.0
 		lately := map[*Member]float64{}
-		b.GET(now)
+		b.CountRequest(now)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += rapid.SampledFrom([]float64{0, 0, 0.001, 0.1, 1, 5, 3600, -1}).Draw(t, "passes")
 			i := rapid.IntRange(0, len(m)-1).Draw(t, "host")
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				if m[i].Doubted() {
+				if m[i].Suspected() {
 					passed += passedOn
 				}
-				m[i].Heard(now)
+				m[i].ObserveSuccess(now)
 				lately[m[i]] = now
 			case 1, 2:
 				for k := range rapid.IntRange(1, 12).Draw(t, "lost") {
-					m[(i+k*cells)%len(m)].Lost(now)
+					m[(i+k*cells)%len(m)].ObserveLoss(now)
 				}
 			case 3:
-				b.GET(now)
+				b.CountRequest(now)
 				gets++
 			case 4:
-				if m[i].MayTry() {
-					m[i].Tried()
+				if m[i].ProbeAllowed() {
+					m[i].SpendProbe()
 					tried++
 				}
 			case 5:
-				b.Part(m[i])
-				if m = append(m[:i:i], m[i+1:]...); len(m) < Few {
-					m = append(m, b.Join(Group{Cell: cells}))
+				b.Remove(m[i])
+				if m = append(m[:i:i], m[i+1:]...); len(m) < MinHosts {
+					m = append(m, b.Add(Group{Cell: cells}))
 				}
 			}
 			groups := map[*group]int{}
 			for _, one := range m {
-				if groups[one.group]++; one.Doubted() && lately[one] >= one.group.fell && lately[one] > 0 {
+				if groups[one.group]++; one.Suspected() && lately[one] >= one.group.fell && lately[one] > 0 {
 					t.Fatalf("a host is doubted that has answered since")
 				}
 			}
@@ -212,9 +212,9 @@
 		all, m := racks(n/20, 20)
 		need.Bench(b, fmt.Sprint(n), func(i int) {
 			now := float64(i) * 1e-4
-			all.GET(now)
-			if m[i%n].Heard(now); i%100 == 0 {
-				m[i%n].Lost(now)
+			all.CountRequest(now)
+			if m[i%n].ObserveSuccess(now); i%100 == 0 {
+				m[i%n].ObserveLoss(now)
 			}
 		})
 	}
--- a/core/routing/limits.go
+++ b/core/routing/limits.go
@@ -14,7 +14,7 @@
 
 // judge moves the limit of what may be out to a cache, to all, or as fills: up when it comes back in time,
 // down when not. It guards against collapse whatever the cause; it could shed where fewer are not faster.
-func (d *Dispatcher) judge(f *forward, late bool, limits []*allowance) {
+func (d *Router) judge(f *forward, late bool, limits []*allowance) {
 	if f.judged == limits[0] {
 		return
 	}
@@ -27,7 +27,7 @@
 }
 
 // move counts one end of a forward into a limit, and at the end of a turn moves it.
-func (d *Dispatcher) move(l *allowance, work float64, late bool) {
+func (d *Router) move(l *allowance, work float64, late bool) {
 	if l.seen += work; late {
 		l.late += work
 	}
@@ -38,7 +38,7 @@
 	switch share := l.late / l.seen; {
 	case share > lateShare+l.bears:
 		d.cut(l, share)
-		d.tell(News{Host: l.host, Limit: l.name, Late: share})
+		d.tell(PeerUpdate{Host: l.host, Limit: l.name, LateShare: share})
 		return
 	case l.out > l.most*inUse || l.full && l.most <= few: // a limit at its least is never half in use
 		if l.most *= growth; l.known == 0 || l.most < l.known { // never cut, or borne before
@@ -49,7 +49,7 @@
 }
 
 // least is the sending time that a limit always leaves room for.
-func (d *Dispatcher) least() (least float64) {
+func (d *Router) least() (least float64) {
 	for _, ds := range d.services {
 		least = math.Max(least, leastUnder*ds.sending.mean)
 	}
@@ -57,14 +57,14 @@
 }
 
 // cut lets a limit fall by the share that came late, and begins a turn.
-func (d *Dispatcher) cut(l *allowance, share float64) {
+func (d *Router) cut(l *allowance, share float64) {
 	l.known = math.Max(l.known/growth, math.Min(l.most, l.peak)/regrowth)
 	l.most = math.Max(d.least(), math.Min(l.most, l.peak)*(1-lateCut*share))
 	d.turn(l)
 }
 
 // passed judges a forward whose latency objective has passed.
-func (d *Dispatcher) passed(g *get, f *forward) {
+func (d *Router) passed(g *get, f *forward) {
 	if f.miss {
 		d.unfinished(g, f)
 	}
@@ -78,18 +78,18 @@
 
 // blamed is the limits that a late fill counts against: that of a source alone which is known to be slow, or
 // that of the way in where all sources look slow, which falls at once: its turns take longer than a burst.
-func (d *Dispatcher) blamed(f *forward, late bool, limits []*allowance) []*allowance {
-	l, blame := &d.fills, d.paces.Blame(d.now, &f.source.pace)
+func (d *Router) blamed(f *forward, late bool, limits []*allowance) []*allowance {
+	l, blame := &d.fills, d.paces.LateCause(d.now, &f.source.pace)
 	switch {
 	case !f.miss:
-	case !late && l.full && d.paces.Spare(d.now): // it grows back as it fell, with each fill
+	case !late && l.full && d.paces.IngressHasSpare(d.now): // it grows back as it fell, with each fill
 		l.most += f.work * math.Min(1, l.known/l.most)
-	case blame == congestion.Source:
+	case blame == congestion.CauseSource:
 		return f.fill[:1]
-	case blame == congestion.WayIn && f.at >= l.turn:
-		d.cut(l, d.paces.Excess(d.now)/lateCut)
+	case blame == congestion.CauseIngress && f.at >= l.turn:
+		d.cut(l, d.paces.IngressExcess(d.now)/lateCut)
 		fallthrough
-	case blame == congestion.WayIn:
+	case blame == congestion.CauseIngress:
 		return f.fill[1:]
 	}
 	return limits
--- a/core/routing/paces_test.go
+++ b/core/routing/paces_test.go
@@ -14,17 +14,17 @@
 
 // crowd is one dispatcher of 300: it sees few GETs, whose answers tell their bytes.
 type crowd struct {
-	*Dispatcher
+	*Router
 	r    *recorder
 	now  float64
 	id   uint32
-	slow func(f Forward) float64    // times as slow as usual that a forward is; nil for once
-	end  func(f Forward, a *Answer) // what else is to be said of it; nil for nothing
+	slow func(f Attempt) float64           // times as slow as usual that a forward is; nil for once
+	end  func(f Attempt, a *AttemptResult) // what else is to be said of it; nil for nothing
 }
 
 func newCrowd() *crowd {
-	d, r := fleet(func(s *Settings) { s.Seats, s.Dispatchers = []int{10}, 300 })
-	c := &crowd{Dispatcher: d, r: r}
+	d, r := fleet(func(s *Settings) { s.DispatchersByZone, s.Dispatchers = []int{10}, 300 })
+	c := &crowd{Router: d, r: r}
 	c.play("known", 20, false)
 	c.play("known", 20, true)
 	return c
@@ -40,28 +40,28 @@
 }
 
 // get plays one GET, and gives its last forward. With hits its cache holds the object.
-func (c *crowd) get(object string, hits bool) Forward {
+func (c *crowd) get(object string, hits bool) Attempt {
 	c.now, c.id = c.now+0.5, c.id+1
 	sent, first := len(c.r.forwards), len(c.r.forwards)
-	c.GET(c.now, GET{ID: c.id, Object: object, ViewerTimeout: c.now + 5})
-	for c.Settle(c.now); sent < len(c.r.forwards); sent++ {
+	c.HandleRequest(c.now, Request{ID: c.id, Object: object, Deadline: c.now + 5})
+	for c.RunRetries(c.now); sent < len(c.r.forwards); sent++ {
 		f := c.r.forwards[sent]
-		a := Answer{GET: f.GET, Forward: sent - first, Outcome: Returned, Last: true, SizeKB: clip, Note: Hit, Elapsed: clip * pace}
+		a := AttemptResult{RequestID: f.RequestID, Attempt: sent - first, Outcome: Succeeded, Final: true, SizeKB: clip, Note: CacheHit, Elapsed: clip * pace}
 		if c.slow != nil {
 			a.Elapsed *= c.slow(f)
 		}
 		switch {
 		case !hits && f.Source == f.Host:
-			a = Answer{GET: f.GET, Forward: sent - first, Outcome: Empty}
+			a = AttemptResult{RequestID: f.RequestID, Attempt: sent - first, Outcome: NotCached}
 		case !hits:
 			a.Note = Filled
 		}
 		if c.end != nil {
 			c.end(f, &a)
 		}
-		c.Answer(c.now+a.Elapsed, a)
-		c.Settle(c.now + a.Elapsed)
-		c.Timer(c.now + a.Elapsed)
+		c.HandleResult(c.now+a.Elapsed, a)
+		c.RunRetries(c.now + a.Elapsed)
+		c.HandleTimer(c.now + a.Elapsed)
 	}
 	return c.r.last()
 }
@@ -69,7 +69,7 @@
 // Guards against a way in that 300 dispatchers keep full of fills that all come late, each within its least limit.
 func TestFewMissesFillWhileTheWayInIsCrowded(t *testing.T) {
 	c := newCrowd()
-	c.slow = func(f Forward) float64 { return map[bool]float64{true: 8, false: 1}[f.Source != f.Host] }
+	c.slow = func(f Attempt) float64 { return map[bool]float64{true: 8, false: 1}[f.Source != f.Host] }
 	c.play("late", 12, false)
 	most := c.fills.most
 	assert.Greater(t, c.play("new", 20, false), 8, "most misses are shed at once")
@@ -85,15 +85,15 @@
 func TestACrowdedHostIsPassedBy(t *testing.T) {
 	for name, tt := range map[string]struct {
 		hits bool
-		of   func(f Forward) uint32
+		of   func(f Attempt) uint32
 	}{
-		"a cache":  {true, func(f Forward) uint32 { return f.Host }},
-		"a parent": {false, func(f Forward) uint32 { return f.Source }},
+		"a cache":  {true, func(f Attempt) uint32 { return f.Host }},
+		"a parent": {false, func(f Attempt) uint32 { return f.Source }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newCrowd()
 			busy := tt.of(c.get("object", tt.hits))
-			c.slow = func(f Forward) float64 { return map[bool]float64{true: 9, false: 1}[tt.of(f) == busy] }
+			c.slow = func(f Attempt) float64 { return map[bool]float64{true: 9, false: 1}[tt.of(f) == busy] }
 			c.get("object", tt.hits)
 			c.get("object", tt.hits)
 			other := tt.of(c.get("object", tt.hits))
@@ -109,14 +109,14 @@
 
 // A source that turns fills away tells of itself, and an error of nothing: no limit on all fills falls, and the bytes of an error are no size.
 func TestRefusalsAndErrorsTellOfNothingElse(t *testing.T) {
-	for name, end := range map[string]func(f Forward, a *Answer){
-		"refused": func(_ Forward, a *Answer) { a.Outcome, a.Note, a.SizeKB = NotTaken, SourceRefused, 0 },
-		"errors":  func(_ Forward, a *Answer) { a.Outcome, a.Note, a.SizeKB = HostError, Filled, 200 },
+	for name, end := range map[string]func(f Attempt, a *AttemptResult){
+		"refused": func(_ Attempt, a *AttemptResult) { a.Outcome, a.Note, a.SizeKB = Rejected, SourceRejected, 0 },
+		"errors":  func(_ Attempt, a *AttemptResult) { a.Outcome, a.Note, a.SizeKB = HostFailed, Filled, 200 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newCrowd()
 			most, kb := c.fills.most, c.services[0].kb.mean
-			c.end = func(f Forward, a *Answer) { a.Last = false; end(f, a) }
+			c.end = func(f Attempt, a *AttemptResult) { a.Final = false; end(f, a) }
 			c.play(name, 30, false)
 			if name == "refused" {
 				assert.GreaterOrEqual(t, c.fills.most, most)
@@ -131,7 +131,7 @@
 func TestTheLimitOnFillsMovesBySingleFills(t *testing.T) {
 	c := newCrowd()
 	c.fills.most, c.fills.start = 20, 20
-	c.slow = func(Forward) float64 { return 8 }
+	c.slow = func(Attempt) float64 { return 8 }
 	c.play("late", 6, false)
 	assert.Less(t, c.fills.most, 4.0)
 	c.slow = nil
@@ -148,25 +148,25 @@
 // full refuse whatever the source, and no source is left for that.
 func TestASourceThatAloneIsRefusedIsLeft(t *testing.T) {
 	for name, tt := range map[string]struct {
-		refused func(f Forward) bool
+		refused func(f Attempt) bool
 		most    int // fills from parent A in 4 s that are refused
 		left    bool
 	}{
-		"one source":        {func(f Forward) bool { return f.Source == parentA }, 10, true},
-		"whatever it is":    {func(f Forward) bool { return f.Source != f.Host }, math.MaxInt, false},
-		"one cache":         {func(f Forward) bool { return f.Host == cacheA }, math.MaxInt, false},
-		"now and then only": {func(f Forward) bool { return f.Source == parentA && f.GET%8 == 0 }, math.MaxInt, false},
+		"one source":        {func(f Attempt) bool { return f.Source == parentA }, 10, true},
+		"whatever it is":    {func(f Attempt) bool { return f.Source != f.Host }, math.MaxInt, false},
+		"one cache":         {func(f Attempt) bool { return f.Host == cacheA }, math.MaxInt, false},
+		"now and then only": {func(f Attempt) bool { return f.Source == parentA && f.RequestID%8 == 0 }, math.MaxInt, false},
 	} {
-		d, r := fleet(func(s *Settings) { s.Detail = Silent })
+		d, r := fleet(func(s *Settings) { s.NoteDetail = NoNotes })
 		n := 0
-		play(d, r, 1, 5, 0.02, 1, func(_ uint32, f Forward) (Outcome, Note) {
+		play(d, r, 1, 5, 0.02, 1, func(_ uint32, f Attempt) (Outcome, Note) {
 			if !tt.refused(f) {
-				return Returned, NoNote
+				return Succeeded, NoNote
 			}
 			if f.Source == parentA {
 				n++
 			}
-			return NotTaken, NoNote
+			return Rejected, NoNote
 		})
 		assert.LessOrEqual(t, n, tt.most, name)
 		left := slices.ContainsFunc(r.calls, func(text string) bool { return strings.HasSuffix(text, "left: it fails or is silent") })
@@ -178,34 +178,34 @@
 // limit on fills that such ends close in calm, so that a burst, or hosts that start cold, find it shut.
 func TestTheLimitOnFillsStandsWhereNothingTellsOfFills(t *testing.T) {
 	for name, tt := range map[string]struct {
-		end  func(f Forward, a *Answer)
+		end  func(f Attempt, a *AttemptResult)
 		cuts bool
 	}{
-		"connections that do not come up": {end: func(f Forward, a *Answer) {
-			if f.GET%4 == 0 && a.Forward == 0 {
-				*a = Answer{GET: f.GET, Outcome: Unreached, Elapsed: 0.4}
+		"connections that do not come up": {end: func(f Attempt, a *AttemptResult) {
+			if f.RequestID%4 == 0 && a.Attempt == 0 {
+				*a = AttemptResult{RequestID: f.RequestID, Outcome: Unreachable, Elapsed: 0.4}
 			}
 		}},
-		"connections that break": {end: func(f Forward, a *Answer) {
-			if f.GET%4 == 0 && a.Forward == 0 {
-				*a = Answer{GET: f.GET, Outcome: Dropped, Elapsed: 0.1}
+		"connections that break": {end: func(f Attempt, a *AttemptResult) {
+			if f.RequestID%4 == 0 && a.Attempt == 0 {
+				*a = AttemptResult{RequestID: f.RequestID, Outcome: ConnectionLost, Elapsed: 0.1}
 			}
 		}},
-		"large objects": {end: func(f Forward, a *Answer) {
-			if (f.GET-1)%12 > 8 { // of the last object; quick at first, when no size is known
-				a.SizeKB, a.Elapsed = 8*clip, 8*clip*pace*map[bool]float64{true: 0.3, false: 1}[f.GET <= 24]
+		"large objects": {end: func(f Attempt, a *AttemptResult) {
+			if (f.RequestID-1)%12 > 8 { // of the last object; quick at first, when no size is known
+				a.SizeKB, a.Elapsed = 8*clip, 8*clip*pace*map[bool]float64{true: 0.3, false: 1}[f.RequestID <= 24]
 			}
 		}},
-		"fills that are slow": {cuts: true, end: func(f Forward, a *Answer) {
+		"fills that are slow": {cuts: true, end: func(f Attempt, a *AttemptResult) {
 			if f.Source != f.Host {
 				a.Elapsed *= 8
 			}
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d, r := fleet(func(s *Settings) { s.Detail, s.Services[0].Stretch = Silent, 2 })
-			c := &crowd{Dispatcher: d, r: r}
-			c.end = func(f Forward, a *Answer) {
+			d, r := fleet(func(s *Settings) { s.NoteDetail, s.Services[0].Stretch = NoNotes, 2 })
+			c := &crowd{Router: d, r: r}
+			c.end = func(f Attempt, a *AttemptResult) {
 				a.Note = NoNote
 				tt.end(f, a)
 			}
--- a/core/routing/peers_test.go
+++ b/core/routing/peers_test.go
@@ -12,29 +12,29 @@
 type others struct {
 	credit       float64
 	spent, trial bool // whether another was faster, whether this shard may try
-	told         []News
+	told         []PeerUpdate
 	asked        int
 }
 
-func (o *others) Credit(_ uint32, _, _, _, _ float64) float64 { return o.credit }
-func (o *others) Spend(uint32, float64) bool                  { o.asked++; return !o.spent }
-func (o *others) Trial(float64, uint32) bool                  { return o.trial }
-func (o *others) Tell(n News)                                 { o.told = append(o.told, n) }
+func (o *others) AccrueCredit(_ uint32, _, _, _, _ float64) float64 { return o.credit }
+func (o *others) SpendCredit(uint32, float64) bool                  { o.asked++; return !o.spent }
+func (o *others) ClaimProbe(float64, uint32) bool                   { return o.trial }
+func (o *others) Publish(n PeerUpdate)                              { o.told = append(o.told, n) }
 
-func shard(o *others) (*Dispatcher, *recorder) {
+func shard(o *others) (*Router, *recorder) {
 	return fleet(func(s *Settings) { s.Shards, s.Peers = 4, o })
 }
 
 // home is the host that an object goes to.
-func home(d *Dispatcher, r *recorder, now float64, id uint32, object string) uint32 {
+func home(d *Router, r *recorder, now float64, id uint32, object string) uint32 {
 	before := len(r.forwards)
-	d.Timer(now)
+	d.HandleTimer(now)
 	ask(d, now, id, object)
 	if len(r.forwards) == before {
 		return 0
 	}
 	host := r.last().Host
-	answer(d, now, id, 0, Returned, Hit)
+	answer(d, now, id, 0, Succeeded, CacheHit)
 	return host
 }
 
@@ -42,16 +42,16 @@
 	o := &others{}
 	d, r := shard(o)
 	first := home(d, r, 1, 1, "x")
-	d.Told(1, News{Host: first, Left: true, Until: 3, Wait: 1})
+	d.HandlePeerUpdate(1, PeerUpdate{Host: first, Ejected: true, Until: 3, Backoff: 1})
 	assert.NotEqual(t, first, home(d, r, 2, 2, "x"), "it is left")
 	assert.NotEqual(t, first, home(d, r, 3.1, 3, "x"), "another shard tries it")
 	o.trial = true
 	assert.Equal(t, first, home(d, r, 3.2, 4, "x"), "this one may")
-	d.Told(3.3, News{Host: first, Left: true, Until: 9, Wait: 2})
+	d.HandlePeerUpdate(3.3, PeerUpdate{Host: first, Ejected: true, Until: 9, Backoff: 2})
 	assert.NotEqual(t, first, home(d, r, 4, 5, "x"))
-	d.Told(4, News{Host: first})
+	d.HandlePeerUpdate(4, PeerUpdate{Host: first})
 	assert.Equal(t, first, home(d, r, 4.1, 6, "x"), "it is trusted again")
-	d.Told(4, News{Host: 99, Left: true, Until: 9}) // one that this shard does not know
+	d.HandlePeerUpdate(4, PeerUpdate{Host: 99, Ejected: true, Until: 9}) // one that this shard does not know
 	assert.Empty(t, o.told, "what is told is not passed on")
 }
 
@@ -64,28 +64,28 @@
 		d.fault(h, learnLost)
 	}
 	require.Len(t, o.told, 1, "while it is left it is not told again")
-	assert.Equal(t, News{Host: cacheA, Left: true, Until: h.until, Wait: 1}, o.told[0])
+	assert.Equal(t, PeerUpdate{Host: cacheA, Ejected: true, Until: h.until, Backoff: 1}, o.told[0])
 	for range trialsPassed {
 		d.sound(h)
 	}
-	assert.Equal(t, News{Host: cacheA}, o.told[1])
+	assert.Equal(t, PeerUpdate{Host: cacheA}, o.told[1])
 	d.all.add(4)
 	d.move(&d.all, 4, true)
 	require.Len(t, o.told, 3)
-	assert.Equal(t, News{Limit: AllLimit, Late: 1}, o.told[2])
+	assert.Equal(t, PeerUpdate{Limit: CacheLimit, LateShare: 1}, o.told[2])
 }
 
 func TestALimitThatFellElsewhereFallsHereOnce(t *testing.T) {
-	for _, n := range []Limit{HostLimit, AllLimit, FillLimit, OriginLimit} {
+	for _, n := range []LimitKind{HostLimit, CacheLimit, FillLimit, OriginLimit} {
 		o := &others{}
 		d, _ := shard(o)
-		l := map[Limit]*allowance{HostLimit: &d.hosts[cacheA].under, AllLimit: &d.all, FillLimit: &d.fills, OriginLimit: &d.origins}[n]
+		l := map[LimitKind]*allowance{HostLimit: &d.hosts[cacheA].under, CacheLimit: &d.all, FillLimit: &d.fills, OriginLimit: &d.origins}[n]
 		l.most = 100
-		d.Told(1, News{Host: cacheA, Limit: n, Late: 0.5})
+		d.HandlePeerUpdate(1, PeerUpdate{Host: cacheA, Limit: n, LateShare: 0.5})
 		assert.EqualValues(t, 100, l.most, "%d: with nothing under it, it says nothing", n)
 		l.add(40)
 		l.seen, l.late = 5, 5
-		d.Told(2, News{Host: cacheA, Limit: n, Late: 0.5})
+		d.HandlePeerUpdate(2, PeerUpdate{Host: cacheA, Limit: n, LateShare: 0.5})
 		assert.InDelta(t, 40*(1-lateCut*0.5), l.most, 1e-9, "%d", n)
 		assert.Equal(t, []float64{2, 0, 0}, []float64{l.turn, l.seen, l.late}, "%d: the same lateness is not counted twice", n)
 		assert.Empty(t, o.told)
@@ -100,14 +100,14 @@
 		object = fmt.Sprint("x", i)
 		cold = home(d, r, 1, uint32(100+i), object)
 	}
-	d.WeightsTold = true // so that its share is large enough to be drawn soon
+	d.WeightsKnown = true // so that its share is large enough to be drawn soon
 	e := entry(cold, 0, Ready)
-	e.OnlineSince, e.OnlineSinceIsTold = 2, true
-	d.Hosts(2, Changes, []HostEntry{e})
+	e.OnlineSince, e.OnlineSinceKnown = 2, true
+	d.UpdateEndpoints(2, ListChanges, []Endpoint{e})
 	now, id, before := 2.1, uint32(1000), len(r.forwards)
 	ask(d, now, id, object)
 	for ; o.asked == 0 && id < 1080; ask(d, now, id, object) { // until a look at it draws a GET
-		answer(d, now, id, 0, Returned, Hit)
+		answer(d, now, id, 0, Succeeded, CacheHit)
 		now, id, before = now+0.1, id+1, len(r.forwards)
 	}
 	for _, f := range r.forwards[before:] {
--- a/core/routing/rendezvous/order.go
+++ b/core/routing/rendezvous/order.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	Kept  = 6       // hosts of an order that are kept with an object: copies are few, and so are hosts that can't be used
-	small = 16      // hosts up to which the whole order is as cheap as looking it up
-	news  = 1 << 13 // changes that are remembered: those of a list of 10,000 hosts of which 1% change each second, for a minute
-	long  = 256     // orders that are kept further: those of the hottest objects, which have many copies
-	first = 32      // hosts of such an order that are kept at first
-	total = 1 << 18 // and of all of them together: 1 MB
-	catch = 8       // hosts a change: what is kept is found anew where it lags by so much that a look at all is as cheap
+	PrefixLength = 6       // hosts of an order that are kept with an object: copies are few, and so are hosts that can't be used
+	small        = 16      // hosts up to which the whole order is as cheap as looking it up
+	news         = 1 << 13 // changes that are remembered: those of a list of 10,000 hosts of which 1% change each second, for a minute
+	long         = 256     // orders that are kept further: those of the hottest objects, which have many copies
+	first        = 32      // hosts of such an order that are kept at first
+	total        = 1 << 18 // and of all of them together: 1 MB
+	catch        = 8       // hosts a change: what is kept is found anew where it lags by so much that a look at all is as cheap
 )
 
 // Index is a set of hosts, each with a value. The zero one is empty and ready to use.
@@ -55,10 +55,10 @@
 	list
 }
 
-// First is the beginning of an object's order.
-type First struct {
+// Prefix is the beginning of an object's order.
+type Prefix struct {
 	list
-	room [Kept]int32
+	room [PrefixLength]int32
 }
 
 // Set takes the hosts and their values. What is kept of orders catches up with the hosts that came or went.
@@ -172,18 +172,18 @@
 
 // Walk gives the hosts in the order of a hash, from one of its places on, until it is told to stop. What it finds of the beginning is kept,
 // nil where nothing is to be kept. A walk must have ended before the next one of the same index.
-func (x *Index[V]) Walk(hash uint64, kept **First, from int, yield func(host V) bool) {
+func (x *Index[V]) Walk(hash uint64, kept **Prefix, from int, yield func(host V) bool) {
 	if x.n <= small || kept == nil {
 		x.rest(hash, from, yield)
 		return
 	}
 	f := *kept
 	if f == nil {
-		f = &First{}
+		f = &Prefix{}
 		f.places = f.room[:0]
 		*kept = f
 	}
-	if !x.follow(hash, &f.list, Kept) {
+	if !x.follow(hash, &f.list, PrefixLength) {
 		x.find(hash, f)
 	}
 	for ; from < len(f.places); from++ {
@@ -236,7 +236,7 @@
 	if f.changes == to || len(f.places) == 0 {
 		return len(f.places) > 0
 	}
-	if f.changes < x.since || (to-f.changes)*catch*uint64(max(1, most/Kept)) > uint64(x.n) {
+	if f.changes < x.since || (to-f.changes)*catch*uint64(max(1, most/PrefixLength)) > uint64(x.n) {
 		return false
 	}
 	changes := x.changes[f.changes-x.since:]
@@ -276,16 +276,16 @@
 }
 
 // find keeps the first hosts of an order: one look at each host, and hardly more for those that are not among them.
-func (x *Index[V]) find(hash uint64, f *First) {
-	var best [Kept]scored
+func (x *Index[V]) find(hash uint64, f *Prefix) {
+	var best [PrefixLength]scored
 	n := 0
 	for place, key := range x.keys {
 		score := Mix(hash ^ key)
-		if n == Kept && score <= best[n-1].score || !x.used[place] {
+		if n == PrefixLength && score <= best[n-1].score || !x.used[place] {
 			continue
 		}
-		at := min(n, Kept-1)
-		n = min(n+1, Kept)
+		at := min(n, PrefixLength-1)
+		n = min(n+1, PrefixLength)
 		for ; at > 0 && best[at-1].score < score; at-- {
 			best[at] = best[at-1]
 		}
--- a/core/routing/rendezvous/order_test.go
+++ b/core/routing/rendezvous/order_test.go
@@ -48,11 +48,11 @@
 	x.Set(ids, count(len(ids)))
 }
 
-func walk(x *Index[int], hash uint64, first **First, most int) []int {
+func walk(x *Index[int], hash uint64, first **Prefix, most int) []int {
 	return walkFrom(x, hash, first, 0, most)
 }
 
-func walkFrom(x *Index[int], hash uint64, first **First, from, most int) (places []int) {
+func walkFrom(x *Index[int], hash uint64, first **Prefix, from, most int) (places []int) {
 	x.Walk(hash, first, from, func(place int) bool { places = append(places, place); return len(places) < most })
 	return places
 }
@@ -61,17 +61,17 @@
 func TestTheIndexGivesWhatAPlainSortGives(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var x Index[int]
-		first, hashes := map[uint64]**First{}, rapid.SliceOfN(rapid.Uint64(), 1, 5).Draw(t, "hashes")
+		first, hashes := map[uint64]**Prefix{}, rapid.SliceOfN(rapid.Uint64(), 1, 5).Draw(t, "hashes")
 		for range 5 {
 			ids := rapid.SliceOfNDistinct(rapid.Uint32Range(0, 200), 0, 60, rapid.ID[uint32]).Draw(t, "ids")
 			set(&x, ids)
 			for _, hash := range hashes {
 				if first[hash] == nil {
-					first[hash] = new(*First)
+					first[hash] = new(*Prefix)
 				}
 				most, want := rapid.IntRange(1, 70).Draw(t, "most"), plain(ids, hash)
 				want = want[:min(len(want), most)]
-				for _, keep := range []**First{first[hash], first[hash], nil} {
+				for _, keep := range []**Prefix{first[hash], first[hash], nil} {
 					got := walk(&x, hash, keep, most)
 					require.True(t, slices.Equal(got, want), "%d hosts, %d asked for: %v, a sort gives %v", len(ids), most, got, want)
 				}
@@ -91,7 +91,7 @@
 			ids = append(ids, next*7919)
 		}
 		set(&x, ids)
-		first := make([]*First, 3)
+		first := make([]*Prefix, 3)
 		for range 12 {
 			for range rapid.IntRange(0, 6).Draw(t, "go") {
 				if len(ids) > 1 {
@@ -130,7 +130,7 @@
 		var x Index[int]
 		ids := many(n)
 		set(&x, ids)
-		changed, firsts, places := slices.Clone(ids), make([]*First, 4096), make([]int, n)
+		changed, firsts, places := slices.Clone(ids), make([]*Prefix, 4096), make([]int, n)
 		for i := range n / 100 {
 			changed[i*100] = uint32(n+i) * 7919
 		}
@@ -141,7 +141,7 @@
 		need.Bench(b, fmt.Sprint(n, "/caught up"), func(i int) {
 			f := *firsts[i&4095]
 			f.places = slices.Clone(f.places)
-			x.follow(hashOf(i&4095), &f.list, Kept)
+			x.follow(hashOf(i&4095), &f.list, PrefixLength)
 		})
 		need.Bench(b, fmt.Sprint(n, "/list"), func(i int) { x.Set([][]uint32{ids, changed}[i%2], places) })
 	}
@@ -172,11 +172,11 @@
 func BenchmarkOrder(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		var x Index[int]
-		ids, firsts := many(n), make([]*First, 4096)
+		ids, firsts := many(n), make([]*Prefix, 4096)
 		set(&x, ids)
 		for name, do := range map[string]func(i int){
 			"known":       func(i int) { walk(&x, hashOf(i&4095), &firsts[i&4095], 1) },
-			"new":         func(i int) { var f *First; walk(&x, hashOf(i), &f, 1) },
+			"new":         func(i int) { var f *Prefix; walk(&x, hashOf(i), &f, 1) },
 			"100 of them": func(i int) { walk(&x, hashOf(i&31), &firsts[i&4095], 100) },
 			"sort":        func(i int) { plain(ids, hashOf(i)) },
 		} {
--- a/core/routing/size_test.go
+++ b/core/routing/size_test.go
@@ -24,13 +24,13 @@
 	note    Note
 	hurry   bool // put in: hosts end what takes three times the mean
 	wires   []*recorder
-	d       []*Dispatcher
+	d       []*Router
 	numbers map[uint32]int
 	kind    map[uint32]int // of each GET
 	first   uint32         // that is counted
 	free    map[uint32][]float64
 	out     map[string]bool
-	due     map[int][]Answer
+	due     map[int][]AttemptResult
 	asked   [3]float64
 	given   [3]float64
 }
@@ -42,9 +42,9 @@
 	const hosts, places, from, to = 6, 4, 10, 40
 	c := &sizeRun{
 		random: rand.New(rand.NewPCG(seed, 2)), first: math.MaxUint32, note: note, hurry: hurry, numbers: map[uint32]int{}, kind: map[uint32]int{}, free: map[uint32][]float64{},
-		out: map[string]bool{}, due: map[int][]Answer{},
+		out: map[string]bool{}, due: map[int][]AttemptResult{},
 	}
-	var entries []HostEntry
+	var entries []Endpoint
 	for i := range hosts {
 		entries = append(entries, entry(uint32(100+i), 0, Ready))
 		c.free[uint32(100+i)] = make([]float64, places)
@@ -52,10 +52,10 @@
 	entries = append(entries, entry(parentA, 1, Ready), entry(parentB, 1, Ready), entry(origin, 2, Ready))
 	for i := range processes {
 		s := settings()
-		s.Index, s.Dispatchers, s.Seats, s.Seed = i, processes, []int{processes}, seed*1000+uint64(i)
+		s.Index, s.Dispatchers, s.DispatchersByZone, s.Seed = i, processes, []int{processes}, seed*1000+uint64(i)
 		c.wires = append(c.wires, &recorder{})
 		c.d = append(c.d, New(s, 0, c.wires[i]))
-		c.d[i].Hosts(0, Cached, entries)
+		c.d[i].UpdateEndpoints(0, ListCached, entries)
 	}
 	id := uint32(0)
 	for step := 0; float64(step)*sizeStep < to+5; step++ {
@@ -65,14 +65,14 @@
 			c.drain(i, now)
 		}
 		for _, a := range c.due[step] {
-			i := int(a.GET) % processes
-			if name := fmt.Sprint(a.GET, "/", a.Forward); c.out[name] {
+			i := int(a.RequestID) % processes
+			if name := fmt.Sprint(a.RequestID, "/", a.Attempt); c.out[name] {
 				delete(c.out, name)
-				if a.Outcome == Returned && a.GET >= c.first {
-					c.given[c.kind[a.GET]]++
+				if a.Outcome == Succeeded && a.RequestID >= c.first {
+					c.given[c.kind[a.RequestID]]++
 				}
-				c.d[i].Answer(now, a)
-				c.d[i].Settle(now)
+				c.d[i].HandleResult(now, a)
+				c.d[i].RunRetries(now)
 				c.drain(i, now)
 			}
 		}
@@ -107,28 +107,28 @@
 		forwards, cancelled := r.forwards, r.cancelled
 		r.forwards, r.cancelled = nil, nil
 		for _, f := range forwards {
-			number := c.numbers[f.GET]
-			c.numbers[f.GET]++
-			work, outcome := sizes[c.kind[f.GET]].work, Returned
+			number := c.numbers[f.RequestID]
+			c.numbers[f.RequestID]++
+			work, outcome := sizes[c.kind[f.RequestID]].work, Succeeded
 			if c.hurry && work > 3*sizesMean {
-				work, outcome = 3*sizesMean, Expired
+				work, outcome = 3*sizesMean, TimedOut
 			}
 			places := c.free[f.Host]
 			place := slices.Index(places, slices.Min(places))
 			places[place] = max(places[place], now) + work
 			took := places[place] - now
-			c.out[fmt.Sprint(f.GET, "/", number)] = true
+			c.out[fmt.Sprint(f.RequestID, "/", number)] = true
 			at := int((now+took)/sizeStep) + 1
-			c.due[at] = append(c.due[at], Answer{GET: f.GET, Forward: number, Outcome: outcome, Note: c.note, Elapsed: took, SizeKB: work * 1000, Last: outcome == Returned})
+			c.due[at] = append(c.due[at], AttemptResult{RequestID: f.RequestID, Attempt: number, Outcome: outcome, Note: c.note, Elapsed: took, SizeKB: work * 1000, Final: outcome == Succeeded})
 		}
 		for _, name := range cancelled {
 			if c.out[name] {
 				delete(c.out, name)
-				var a Answer
-				_, _ = fmt.Sscanf(name, "%d/%d", &a.GET, &a.Forward)
-				a.Outcome, a.Elapsed = Revoked, 1
-				c.d[i].Answer(now, a)
-				c.d[i].Settle(now)
+				var a AttemptResult
+				_, _ = fmt.Sscanf(name, "%d/%d", &a.RequestID, &a.Attempt)
+				a.Outcome, a.Elapsed = Canceled, 1
+				c.d[i].HandleResult(now, a)
+				c.d[i].RunRetries(now)
 			}
 		}
 	}
@@ -139,7 +139,7 @@
 func TestLargeObjectsGetTheirShare(t *testing.T) {
 	for _, processes := range []int{3, 30, 300} {
 		for load, least := range map[float64]float64{0.5: 2.0 / 3, 1.3: 0.5, 2.5: 0.5} {
-			for _, note := range []Note{Hit, Filled} {
+			for _, note := range []Note{CacheHit, Filled} {
 				name := fmt.Sprintf("%d processes, load %.1f, note %d", processes, load, note)
 				shares, all := playSizes(processes, load, note, false, 1)
 				t.Logf("%s: answered %.3f, by size %.3f", name, all, shares)
@@ -152,6 +152,6 @@
 
 // The checker finds hosts that end what takes three times the mean.
 func TestLargeObjectsThatAreEndedEarlyAreFound(t *testing.T) {
-	shares, all := playSizes(3, 0.5, Hit, true, 1)
+	shares, all := playSizes(3, 0.5, CacheHit, true, 1)
 	assert.Less(t, shares[2], 2.0/3*all)
 }
--- a/core/routing/sketch/known.go
+++ b/core/routing/sketch/known.go
@@ -1,8 +1,8 @@
 package sketch
 
-// Known remembers things by their hash with a figure each, in some 50 bytes a thing; beyond its size those that were put
+// BoundedMap remembers things by their hash with a figure each, in some 50 bytes a thing; beyond its size those that were put
 // first are let go. Two things with one hash pass for one, which 64 bits make as good as never.
-type Known struct {
+type BoundedMap struct {
 	most  int
 	turn  uint32
 	held  map[uint64]known
@@ -23,14 +23,14 @@
 	slack = 64 // places of the queue that may be left behind before it is made anew
 )
 
-// NewKnown remembers so many.
-func NewKnown(most int) *Known { return &Known{most: most, held: map[uint64]known{}} }
+// NewBoundedMap remembers so many.
+func NewBoundedMap(most int) *BoundedMap { return &BoundedMap{most: most, held: map[uint64]known{}} }
 
 // Len is how many are remembered.
-func (k *Known) Len() int { return len(k.held) }
+func (k *BoundedMap) Len() int { return len(k.held) }
 
 // Put remembers a thing, as the last that was put.
-func (k *Known) Put(hash uint64, figure float64) {
+func (k *BoundedMap) Put(hash uint64, figure float64) {
 	k.turn++
 	k.held[hash] = known{figure, k.turn}
 	k.queue = append(k.queue, queued{hash, k.turn})
@@ -41,7 +41,7 @@
 }
 
 // Trim lets those go that were put first, until so many are left.
-func (k *Known) Trim(most int) {
+func (k *BoundedMap) Trim(most int) {
 	for len(k.held) > most {
 		first := k.queue[0]
 		k.queue = k.queue[1:]
@@ -52,7 +52,7 @@
 }
 
 // sweep takes out of the queue what has been taken, or put again since.
-func (k *Known) sweep() {
+func (k *BoundedMap) sweep() {
 	left := make([]queued, 0, len(k.held)+slack)
 	for _, q := range k.queue {
 		if k.held[q.hash].turn == q.turn {
@@ -63,7 +63,7 @@
 }
 
 // Take gives what is known of a thing, and forgets it.
-func (k *Known) Take(hash uint64) (figure float64, ok bool) {
+func (k *BoundedMap) Take(hash uint64) (figure float64, ok bool) {
 	e, ok := k.held[hash]
 	delete(k.held, hash)
 	return e.figure, ok
--- a/core/routing/sketch/popular.go
+++ b/core/routing/sketch/popular.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// Turns gives how often an object was asked for in each turn of the window, at the place of the turn's number by turns;
+// Buckets gives how often an object was asked for in each turn of the window, at the place of the turn's number by turns;
 // never less than it was, but for the most that a counter holds.
-func (s *Sketch) Turns(now float64, hash uint64, to []float64) (sum float64) {
+func (s *Sketch) Buckets(now float64, hash uint64, to []float64) (sum float64) {
 	s.pass(now)
 	for turn := range s.turns {
 		cells := s.cells[turn*rows*int(s.width):]
--- a/core/routing/sketch/popular_test.go
+++ b/core/routing/sketch/popular_test.go
@@ -33,7 +33,7 @@
 		}
 		var got [turns]float64
 		for o := range uint64(41) {
-			sum, want := s.Turns(now, rendezvous.Mix(o), got[:]), 0.0
+			sum, want := s.Buckets(now, rendezvous.Mix(o), got[:]), 0.0
 			for e := int(now / span); e > int(now/span)-turns && e >= 0; e-- {
 				one := min(most, exact[asked{o, e}])
 				want += one
@@ -50,13 +50,13 @@
 	for range 300 {
 		s.Add(1, 7)
 	}
-	assert.Equal(t, 255.0, s.Turns(1, 7, got[:]), "the most that a counter holds")
-	assert.Equal(t, 255.0, s.Turns(9.9, 7, got[:]))
-	assert.Zero(t, s.Turns(10, 7, got[:]), "out of the window")
+	assert.Equal(t, 255.0, s.Buckets(1, 7, got[:]), "the most that a counter holds")
+	assert.Equal(t, 255.0, s.Buckets(9.9, 7, got[:]))
+	assert.Zero(t, s.Buckets(10, 7, got[:]), "out of the window")
 	s.Add(10, 7)
 	s.Add(5, 7)
-	assert.Equal(t, 2.0, s.Turns(5, 7, got[:]), "time that goes back changes nothing")
-	assert.Zero(t, s.Turns(1e300, 7, got[:]))
+	assert.Equal(t, 2.0, s.Buckets(5, 7, got[:]), "time that goes back changes nothing")
+	assert.Zero(t, s.Buckets(1e300, 7, got[:]))
 	assert.LessOrEqual(t, New(turns, span, 1<<20).Bytes(), 1<<20)
 }
 
@@ -80,7 +80,7 @@
 	if e == nil {
 		one := &entry{hash: hash, epoch: epoch}
 		if t.memory != nil {
-			t.memory.Turns(now, hash, one.sums[:])
+			t.memory.Buckets(now, hash, one.sums[:])
 		}
 		e = t.byUse.PushFront(one)
 		if t.byName[hash] = e; t.byUse.Len() > t.most {
@@ -181,7 +181,7 @@
 func TestKnownIsAQueueOfSoMany(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const most = 8
-		k, names, figures := NewKnown(most), []uint64{}, map[uint64]float64{}
+		k, names, figures := NewBoundedMap(most), []uint64{}, map[uint64]float64{}
 		forget := func(hash uint64) {
 			names = slices.DeleteFunc(names, func(h uint64) bool { return h == hash })
 			delete(figures, hash)
--- a/core/routing/state.go
+++ b/core/routing/state.go
@@ -49,7 +49,7 @@
 	holder     *host   // the cache that returned it last
 	heldTo     float64 // and until when it is thought to hold it
 
-	caches, parents *rendezvous.First // the beginnings of its orders
+	caches, parents *rendezvous.Prefix // the beginnings of its orders
 }
 
 // itemKey names an item.
@@ -64,9 +64,9 @@
 type table struct {
 	byName map[itemKey]*item
 	byUse  *list.List
-	rests  float64        // s; without a GET for so long an item rests
-	rest   *sketch.Known  // the items that rest, with their sizes in KB
-	let    *sketch.Sketch // what it has let go; nil until it was full
+	rests  float64            // s; without a GET for so long an item rests
+	rest   *sketch.BoundedMap // the items that rest, with their sizes in KB
+	let    *sketch.Sketch     // what it has let go; nil until it was full
 }
 
 // newTable is empty. What was counted of an item is over a window after the last GET for it, and a holder a window after
@@ -76,7 +76,7 @@
 	for _, s := range services {
 		longest = math.Max(longest, s.ViewerTimeout)
 	}
-	return table{byName: map[itemKey]*item{}, byUse: list.New(), rests: (buckets+1)*bucketSpan + longest, rest: sketch.NewKnown(tableSize)}
+	return table{byName: map[itemKey]*item{}, byUse: list.New(), rests: (buckets+1)*bucketSpan + longest, rest: sketch.NewBoundedMap(tableSize)}
 }
 
 // settle has items rest, and lets the last of those go that are beyond the size.
@@ -125,7 +125,7 @@
 		return
 	}
 	var turns [buckets]float64
-	if it.again = t.let.Turns(now, it.hash, turns[:]) > 0; it.again {
+	if it.again = t.let.Buckets(now, it.hash, turns[:]) > 0; it.again {
 		it.demand.epoch = int(now / bucketSpan)
 		for i, n := range turns {
 			it.demand.sums[i] = n * size
@@ -173,7 +173,7 @@
 }
 
 type host struct {
-	HostEntry
+	Endpoint
 	out, fills  int     // forwards out to it, and forwards out that name it as source
 	makespan    float64 // s; the design's estimate, as of updated
 	updated     float64
@@ -192,7 +192,7 @@
 	until, wait float64
 	streak      int
 	cold        bool
-	pace        congestion.Pace
+	pace        congestion.Link
 	taken       counter // s; sending time returned by it or filled from it
 	under       allowance
 	credit      float64 // s; what may be sent to it while it is cold
@@ -201,7 +201,7 @@
 
 // allowance limits the sending time of what is under way, judged turn by turn.
 type allowance struct {
-	name       Limit
+	name       LimitKind
 	host       uint32  // of a host's limit
 	out, most  float64 // s
 	held       int     // forwards that out sums
@@ -234,18 +234,18 @@
 }
 
 // needs tells whether a forward may need the origin, where the fleet bounds those.
-func (d *Dispatcher) needs(f *forward) bool {
+func (d *Router) needs(f *forward) bool {
 	return d.origins.bounded && (f.host == d.origin || f.miss && !f.heldOnly)
 }
 
 // looksFirst tells whether a host that should have a copy is asked for that alone, where the fleet bounds what may need the origin: else it
 // would fill one that it has dropped, and that would count nowhere.
-func (d *Dispatcher) looksFirst(g *get, source *host) bool {
+func (d *Router) looksFirst(g *get, source *host) bool {
 	return (d.origins.bounded || source != nil && source.under.bounded) && !g.looked && g.item.holder == g.host && d.now < g.item.heldTo
 }
 
 // bounds is the allowance that a bound of the fleet is for: a host's, or for 0 that of what may need the origin; nil for none known.
-func (d *Dispatcher) bounds(host uint32) *allowance {
+func (d *Router) bounds(host uint32) *allowance {
 	if host == 0 {
 		return &d.origins
 	}
@@ -255,16 +255,16 @@
 	return nil
 }
 
-// Bound says how many forwards this dispatcher may have under way at a host, itself or as a source, or with 0 for the host of those that may
+// SetQuota says how many forwards this dispatcher may have under way at a host, itself or as a source, or with 0 for the host of those that may
 // need the origin, by what the fleet shares out.
-func (d *Dispatcher) Bound(host uint32, most int) {
+func (d *Router) SetQuota(host uint32, most int) {
 	if l := d.bounds(host); l != nil {
 		l.bound, l.bounded = most, true
 	}
 }
 
-// Bounded is how many of those are under way, and how many looks have found the bound reached.
-func (d *Dispatcher) Bounded(host uint32) (held, refused int) {
+// QuotaUsage is how many of those are under way, and how many looks have found the bound reached.
+func (d *Router) QuotaUsage(host uint32) (held, refused int) {
 	if l := d.bounds(host); l != nil {
 		return l.held, l.refused
 	}
@@ -287,7 +287,7 @@
 	judges       []*allowance            // that its lateness counts against
 	underOf      [5]*allowance           // the room of under
 	fillOf       [2]*allowance           // and of fill
-	answer       Answer
+	answer       AttemptResult
 	back         bool         // answered
 	moot         bool         // given up on
 	ran          bool         // may have run
@@ -300,13 +300,13 @@
 
 // event is what falls due: a function of the dispatcher, with what it is about. None is made anew for a GET.
 type event struct {
-	do func(d *Dispatcher, g *get, f *forward)
+	do func(d *Router, g *get, f *forward)
 	g  *get
 	f  *forward
 }
 
 type get struct {
-	GET
+	Request
 	ds           *service
 	item         *item
 	forwards     []*forward
@@ -324,10 +324,10 @@
 	looked       bool    // the host was asked and lacks the object
 }
 
-// Dispatcher decides for one instance.
-type Dispatcher struct {
+// Router decides for one instance.
+type Router struct {
 	Settings
-	wire     Wire
+	wire     Actions
 	now      float64
 	chain    []stage
 	services []*service
@@ -351,38 +351,38 @@
 	origins  allowance // of those that may need the origin
 
 	order, parentOrder      rendezvous.Index[*host]
-	beliefs                 grouphealth.Beliefs
+	beliefs                 grouphealth.Tracker
 	retries                 retrybudget.Budget
-	paces                   congestion.Paces
+	paces                   congestion.Tracker
 	sorted, fresh           []*host // all of hosts by id, and those that are not among them yet
 	listing                 int
 	warmCaches, warmParents float64 // s/s; what warm ones return to us, as of the last tick
 }
 
 // New makes a dispatcher that knows its settings alone.
-func New(s Settings, now float64, w Wire) *Dispatcher {
-	d := &Dispatcher{
+func New(s Settings, now float64, w Actions) *Router {
+	d := &Router{
 		Settings: s, wire: w, now: now, gets: map[uint32]*get{}, hosts: map[uint32]*host{},
 		items: newTable(s.Services), purges: map[string]float64{},
 		fills:   allowance{name: FillLimit, most: math.Inf(1)},
 		origins: allowance{name: OriginLimit, most: math.Inf(1)},
-		all:     allowance{name: AllLimit, most: math.Inf(1), bears: oneCrowded},
+		all:     allowance{name: CacheLimit, most: math.Inf(1), bears: oneCrowded},
 	}
 	d.retries = retrybudget.New(s.Retries, now)
 	for _, ds := range s.Services {
 		d.services = append(d.services, &service{DeliveryService: ds})
 	}
 	d.chain = []stage{{d.admit, d.finish}, {d.choose, d.judgeHost}, {d.fill, d.judgeFill}, {d.send, d.release}}
-	if s.OnRequest {
-		w.Subscribe()
+	if s.PollEndpoints {
+		w.PollEndpoints()
 	}
 	w.Schedule(tick, "tick")
 	return d
 }
 
-// GiveUpAll answers everything that is held, in the order in which it came, as giveUp answers one of them: for a process that is about to end,
+// FinishAll answers everything that is held, in the order in which it came, as giveUp answers one of them: for a process that is about to end,
 // after which no answer could be passed on.
-func (d *Dispatcher) GiveUpAll(now float64) {
+func (d *Router) FinishAll(now float64) {
 	d.now = now
 	for _, id := range slices.Sorted(maps.Keys(d.gets)) {
 		if g := d.gets[id]; g != nil {
@@ -392,7 +392,7 @@
 }
 
 // learnAll takes what all hosts have in common, now and then: no GET looks over all of them.
-func (d *Dispatcher) learnAll() {
+func (d *Router) learnAll() {
 	var all learned
 	for _, o := range d.caches {
 		if o.serving.n > 0 {
@@ -419,10 +419,10 @@
 func (g *get) repeatableUntil() float64 {
 	ran := g.firstRan()
 	switch {
-	case ran == nil || g.ds.Effect == Idempotent:
+	case ran == nil || g.ds.Idempotency == Idempotent:
 		return math.Inf(1)
-	case g.ds.Effect == Tokened:
-		return ran.at + g.ds.RepeatWindow
+	case g.ds.Idempotency == IdempotencyKeyed:
+		return ran.at + g.ds.DedupWindow
 	}
 	return math.Inf(-1)
 }
@@ -434,13 +434,13 @@
 	}
 	f := g.forwards[len(g.forwards)-1]
 	o := f.answer.Outcome
-	return f.moot || f.back && o != NotTaken && o != Empty && o != Unused && o != Recalled
+	return f.moot || f.back && o != Rejected && o != NotCached && o != ArrivedLate && o != Withdrawn
 }
 
 // sent is its forwards but those that were recalled.
 func (g *get) sent() (n int) {
 	for _, f := range g.forwards {
-		if !f.back || f.answer.Outcome != Recalled {
+		if !f.back || f.answer.Outcome != Withdrawn {
 			n++
 		}
 	}
@@ -481,7 +481,7 @@
 }
 
 // listed is the hosts that the list has not taken out, by id; those it has are forgotten once nothing is out.
-func (d *Dispatcher) listed() []*host {
+func (d *Router) listed() []*host {
 	if len(d.fresh) > 0 {
 		byID := func(a, b *host) int { return cmp.Compare(a.ID, b.ID) }
 		slices.SortFunc(d.fresh, byID)
@@ -489,7 +489,7 @@
 	}
 	hosts := make([]*host, 0, len(d.sorted))
 	d.sorted = slices.DeleteFunc(d.sorted, func(h *host) bool {
-		if h.Phase != Gone {
+		if h.Phase != Removed {
 			hosts = append(hosts, h)
 			return false
 		}
@@ -516,26 +516,26 @@
 }
 
 // sharers is the number of dispatchers, and of shards of them, that send into a zone.
-func (d *Dispatcher) sharers(zone int) float64 {
+func (d *Router) sharers(zone int) float64 {
 	shards := math.Max(1, float64(d.Shards))
-	if zone < len(d.Seats) && d.Seats[zone] > 0 {
-		return float64(d.Seats[zone]) * shards
+	if zone < len(d.DispatchersByZone) && d.DispatchersByZone[zone] > 0 {
+		return float64(d.DispatchersByZone[zone]) * shards
 	}
 	return math.Max(1, float64(d.Dispatchers)) * shards
 }
 
 // tell passes news on to the other shards of the process, if there are any.
-func (d *Dispatcher) tell(n News) {
+func (d *Router) tell(n PeerUpdate) {
 	if d.Peers != nil {
-		d.Peers.Tell(n)
+		d.Peers.Publish(n)
 	}
 }
 
 // credit books what may be sent to a cold host, up to most, and gives what there is: in one pot for all shards, as each with
 // its own could send a GET at once.
-func (d *Dispatcher) credit(h *host, first, add, most float64) float64 {
+func (d *Router) credit(h *host, first, add, most float64) float64 {
 	if d.Peers != nil {
-		h.credit = d.Peers.Credit(h.ID, h.OnlineSince, first, add, most)
+		h.credit = d.Peers.AccrueCredit(h.ID, h.OnlineSince, first, add, most)
 	} else {
 		h.credit = math.Min(h.credit+add, most)
 	}
@@ -543,13 +543,13 @@
 }
 
 // mayTry tells whether a trial is left for a host, and none of the other shards tries it.
-func (d *Dispatcher) mayTry(h *host) bool {
-	return h.belief.MayTry() && (d.Peers == nil || d.Peers.Trial(d.now, h.ID))
+func (d *Router) mayTry(h *host) bool {
+	return h.belief.ProbeAllowed() && (d.Peers == nil || d.Peers.ClaimProbe(d.now, h.ID))
 }
 
 // spend takes a GET out of what all shards may send to a cold host; false tells that another was faster.
-func (d *Dispatcher) spend(h *host, work float64) bool {
-	return d.Peers == nil || !h.cold || d.Peers.Spend(h.ID, work)
+func (d *Router) spend(h *host, work float64) bool {
+	return d.Peers == nil || !h.cold || d.Peers.SpendCredit(h.ID, work)
 }
 
 // newForward is the next one of a GET; the first needs no memory of its own.
@@ -566,7 +566,7 @@
 }
 
 // run passes a GET along the chain for as long as stages pass it on.
-func (d *Dispatcher) run(g *get) {
+func (d *Router) run(g *get) {
 	for _, s := range d.chain {
 		if s.out(g) != pass {
 			return
@@ -575,7 +575,7 @@
 }
 
 // again puts a GET into the line of further forwards.
-func (d *Dispatcher) again(g *get) verdict {
+func (d *Router) again(g *get) verdict {
 	if !g.over && !g.lined {
 		g.lined = true
 		d.further = append(d.further, g)
@@ -584,13 +584,13 @@
 }
 
 // line empties the line of further forwards, and gives what was in it.
-func (d *Dispatcher) line() (line []*get) {
+func (d *Router) line() (line []*get) {
 	line, d.further = d.further, nil
 	return line
 }
 
 // chance draws a number from 0 to 1.
-func (d *Dispatcher) chance(h *host) float64 {
+func (d *Router) chance(h *host) float64 {
 	d.chances++
 	sum := fnv.New64a()
 	_ = binary.Write(sum, binary.LittleEndian, []uint64{d.Seed, uint64(d.Index), uint64(h.ID), d.chances})
@@ -599,10 +599,10 @@
 
 // place takes caches and parents into the shared orders, and caches into what is believed of them by their groups; of
 // many those alone that came, went or are in another group now.
-func (d *Dispatcher) place(before []*host) {
+func (d *Router) place(before []*host) {
 	d.parentOrder.Set(idsOf(d.parents), d.parents)
 	d.listing++
-	many := len(d.caches) >= grouphealth.Few
+	many := len(d.caches) >= grouphealth.MinHosts
 	var came, went []*host
 	for _, h := range d.caches {
 		if h.listing == 0 || h.listing != d.listing-1 {
@@ -633,26 +633,26 @@
 }
 
 // believe has a cache in the group that it is in now, if it is one of many.
-func (d *Dispatcher) believe(h *host, many bool) {
+func (d *Router) believe(h *host, many bool) {
 	group := grouphealth.Group{Kind: h.Kind, Zone: h.Zone, Cell: h.Cell}
 	if many && h.belief.In(group) {
 		return
 	}
-	d.beliefs.Part(h.belief)
+	d.beliefs.Remove(h.belief)
 	if h.belief = nil; many {
-		h.belief = d.beliefs.Join(group)
+		h.belief = d.beliefs.Add(group)
 	}
 }
 
 // tried books a forward to a host that is doubted or was left.
 func (h *host) tried() {
-	if h.left || h.belief.Doubted() {
-		h.belief.Tried()
+	if h.left || h.belief.Suspected() {
+		h.belief.SpendProbe()
 	}
 }
 
 // MaxAge is the oldest copy in seconds that will do for a GET after the purges known by now; 0 for any.
-func (d *Dispatcher) MaxAge(now float64, id uint32) float64 {
+func (d *Router) MaxAge(now float64, id uint32) float64 {
 	d.now = now
 	if g := d.gets[id]; g != nil {
 		return d.maxAge(g)
@@ -661,7 +661,7 @@
 }
 
 // pick draws a number below n.
-func (d *Dispatcher) pick(n int) int {
+func (d *Router) pick(n int) int {
 	d.chances++
 	return int(rendezvous.Mix(d.Seed^rendezvous.Mix(uint64(d.Index)<<32+d.chances)) % uint64(n))
 }
@@ -670,7 +670,7 @@
 func (h *host) hear(now float64) { h.heard, h.silent = now, 0 }
 
 // end closes a GET's books; it is forgotten when its last forward is back.
-func (d *Dispatcher) end(g *get) verdict {
+func (d *Router) end(g *get) verdict {
 	g.over = true
 	d.due.Remove(&g.timeout)
 	d.forget(g)
@@ -678,18 +678,18 @@
 }
 
 // forget lets a GET go that is over and has nothing out.
-func (d *Dispatcher) forget(g *get) {
+func (d *Router) forget(g *get) {
 	if g.over && g.out == 0 {
 		delete(d.gets, g.ID)
 	}
 }
 
 // bandwidth is the KB a second that the host's link is told to carry, 0 where that is not told.
-func (h *host) bandwidth(d *Dispatcher) float64 {
-	if !d.WeightsTold {
+func (h *host) bandwidth(d *Router) float64 {
+	if !d.WeightsKnown {
 		return 0
 	}
-	return d.FlowKB * h.Weight
+	return d.TransferRateKB * h.Weight
 }
 
 // purgeName is the key of a purge: the object, or the group of all, which no object can be named like.
@@ -701,54 +701,54 @@
 }
 
 // sending is the GET's sending time by its size, 0 where that is not told.
-func (d *Dispatcher) sending(g *get) float64 {
-	if g.SizeKB <= 0 || d.FlowKB <= 0 {
+func (d *Router) sending(g *get) float64 {
+	if g.SizeKB <= 0 || d.TransferRateKB <= 0 {
 		return 0
 	}
-	return g.SizeKB / d.FlowKB
+	return g.SizeKB / d.TransferRateKB
 }
 
 // paced takes in what an answer tells of the object's size, and of the pace of its host, its source and the way in.
-func (d *Dispatcher) paced(g *get, f *forward) {
+func (d *Router) paced(g *get, f *forward) {
 	a := f.answer
-	if d.Detail != Full && f.source != f.host {
+	if d.NoteDetail != FillNotes && f.source != f.host {
 		d.contrast(g, f)
 	}
-	if a.Note == SourceRefused && f.source != f.host {
-		d.paces.Refused(d.now, &f.source.pace)
+	if a.Note == SourceRejected && f.source != f.host {
+		d.paces.ObserveRejection(d.now, &f.source.pace)
 	}
-	if f.miss && a.Outcome == Revoked {
+	if f.miss && a.Outcome == Canceled {
 		d.unfinished(g, f)
 	}
-	if a.SizeKB <= 0 || a.Outcome != Returned { // an error's bytes are not the object's
+	if a.SizeKB <= 0 || a.Outcome != Succeeded { // an error's bytes are not the object's
 		return
 	}
 	g.item.kb = a.SizeKB
 	g.ds.kb.add(a.SizeKB, learn)
-	if d.Detail == Silent && !f.miss { // as far as is known: else no size would tell what time a GET takes
-		a.Note = Hit
+	if d.NoteDetail == NoNotes && !f.miss { // as far as is known: else no size would tell what time a GET takes
+		a.Note = CacheHit
 	}
 	switch a.Note {
-	case Hit:
-		d.paces.Hit(d.now, &f.host.pace, a.SizeKB, a.Elapsed)
+	case CacheHit:
+		d.paces.ObserveHit(d.now, &f.host.pace, a.SizeKB, a.Elapsed)
 	case Filled, FilledByOrigin:
-		d.paces.Fill(d.now, &f.host.pace, &f.source.pace, a.SizeKB, a.Elapsed-a.Waited)
+		d.paces.ObserveFill(d.now, &f.host.pace, &f.source.pace, a.SizeKB, a.Elapsed-a.FillWait)
 	}
 }
 
 // contrast tells, where no note does, whether a fill was turned away for its source: several caches turn most fills from it away, while another
 // source gives. Guards against a source that is down before the list says so, whose refusals would pass for a crowded way in and shut all
 // fills off; caches that are full turn fills away whatever the source.
-func (d *Dispatcher) contrast(g *get, f *forward) {
+func (d *Router) contrast(g *get, f *forward) {
 	s := f.source
 	switch o := f.answer.Outcome; {
-	case o == Returned && f.miss:
+	case o == Succeeded && f.miss:
 		s.gave = d.now
 		if s.refuses *= 1 - learnFault; s.refuses < learnFault {
 			s.refusers = nil
 		}
 		return
-	case o != NotTaken:
+	case o != Rejected:
 		return
 	}
 	s.refuses += (1 - s.refuses) * learnFault
@@ -779,30 +779,30 @@
 }
 
 // expected is the time that a GET's answer takes at the usual pace, 0 as long as that is not known.
-func (d *Dispatcher) expected(g *get) float64 {
-	return d.paces.Expected(cmp.Or(g.item.kb, g.ds.kb.mean))
+func (d *Router) expected(g *get) float64 {
+	return d.paces.ExpectedTime(cmp.Or(g.item.kb, g.ds.kb.mean))
 }
 
 // told tells whether a forward came to its host and ended there, whatever the answer. Guards against connections that do not come up,
 // or break, passing for a crowded way in where no note tells of fills.
 func (f *forward) told() bool {
 	o := f.answer.Outcome
-	return o != Recalled && o != Unreached && o != Dropped && o != Unused
+	return o != Withdrawn && o != Unreachable && o != ConnectionLost && o != ArrivedLate
 }
 
 // unfinished takes in what a fill that has not come tells of its source and the way in; not where no note tells of those that came: the way
 // in would look as crowded as its latest fills.
-func (d *Dispatcher) unfinished(g *get, f *forward) {
-	if d.Detail == Silent {
+func (d *Router) unfinished(g *get, f *forward) {
+	if d.NoteDetail == NoNotes {
 		return
 	}
-	d.paces.Unfinished(d.now, &f.host.pace, &f.source.pace, cmp.Or(g.item.kb, g.ds.kb.mean), d.now-f.at)
+	d.paces.ObserveUnfinishedFill(d.now, &f.host.pace, &f.source.pace, cmp.Or(g.item.kb, g.ds.kb.mean), d.now-f.at)
 }
 
 // cancel ends the wait for all forwards that are still out.
-func (d *Dispatcher) cancel(g *get) {
+func (d *Router) cancel(g *get) {
 	for _, f := range g.forwards {
-		if !f.back && !f.moot && d.MayCancel {
+		if !f.back && !f.moot && d.CanCancel {
 			d.wire.Cancel(g.ID, f.number)
 		}
 		f.moot = true
@@ -810,7 +810,7 @@
 }
 
 // count bumps the object's count in the bounded, aged table.
-func (d *Dispatcher) count(g *get) {
+func (d *Router) count(g *get) {
 	g.item = d.items.touch(d.now, g.Object, g.Part, g.size())
 	if told := d.sending(g); told > 0 {
 		g.ds.sending.add(told, learnSize)
@@ -819,6 +819,6 @@
 	d.total.add(d.now, g.size())
 }
 
-func (d *Dispatcher) turn(l *allowance) {
+func (d *Router) turn(l *allowance) {
 	l.turn, l.start, l.seen, l.late, l.peak, l.full = d.now, l.out, 0, 0, l.out, false
 }
--- a/core/settings/settings.go
+++ b/core/settings/settings.go
@@ -63,35 +63,35 @@
 	s.Settings = routing.Settings{
 		Index: o.Index, Dispatchers: o.Balancers, Zone: o.Zone,
 		ParentKind: kind(x.ShieldKind), OriginKind: kind(x.SourceKind),
-		FlowKB: x.FlowKbPerS, WeightsTold: o.Weights == "nominal" || o.Weights == "rough",
-		Straight: x.Straight, Joins: x.SharesFills,
-		Detail: details[x.NoteLevel], OnRequest: o.MembershipMode == "on_request",
-		MaxForwards: o.Limits.MaxAttempts, MayCancel: o.Limits.MayCancel, SecondCopies: o.Limits.SecondCopies,
-		ColdFrom: o.Rules.ColdFrom, RampTime: seconds(o.Rules.RampTime), TipMultiple: o.Rules.TipMultiple,
-		Fall: seconds(o.Rules.Fall), ParentColdFrom: x.ParentColdFrom, ParentRamp: seconds(x.ParentCold),
-		ParentTip: x.ParentBreaksAt, OldCopies: seconds(x.GoneEverywhere),
+		TransferRateKB: x.FlowKbPerS, WeightsKnown: o.Weights == "nominal" || o.Weights == "rough",
+		BypassCaches: x.Straight, CoalesceFills: x.SharesFills,
+		NoteDetail: details[x.NoteLevel], PollEndpoints: o.MembershipMode == "on_request",
+		MaxAttempts: o.Limits.MaxAttempts, CanCancel: o.Limits.MayCancel, Hedging: o.Limits.SecondCopies,
+		SlowStartInitial: o.Rules.ColdFrom, SlowStartRamp: seconds(o.Rules.RampTime), OverloadMultiple: o.Rules.TipMultiple,
+		OverloadWindow: seconds(o.Rules.Fall), ParentSlowStartInitial: x.ParentColdFrom, ParentSlowStartRamp: seconds(x.ParentCold),
+		ParentOverloadMultiple: x.ParentBreaksAt, PurgeGrace: seconds(x.GoneEverywhere),
 	}
 	if o.Limits.RetryAfter {
 		s.MaxRetryAfter = seconds(o.Limits.MaxRetryAfter)
 	}
 	for _, seats := range x.SeatsByZone {
-		s.Seats = append(s.Seats, int(seats))
+		s.DispatchersByZone = append(s.DispatchersByZone, int(seats))
 	}
 	for i, c := range o.Classes {
 		s.Services = append(s.Services, c.Name)
 		s.Settings.Services = append(s.Settings.Services, routing.DeliveryService{
-			Objective: seconds(c.Aim), Stretch: c.AimStretch, ViewerTimeout: seconds(c.Deadline), Revenue: c.Worth,
-			Effect: effects[c.Effect], Scope: scopes[c.DedupScope], RepeatWindow: seconds(c.RepeatWindow),
-			FreshFor: seconds(at(x.GoodFor, i)),
+			Objective: seconds(c.Aim), Stretch: c.AimStretch, ViewerTimeout: seconds(c.Deadline), PriorityWeight: c.Worth,
+			Idempotency: effects[c.Effect], DedupScope: scopes[c.DedupScope], DedupWindow: seconds(c.RepeatWindow),
+			TTL: seconds(at(x.GoodFor, i)),
 		})
 	}
 	return s, nil
 }
 
 var (
-	effects = map[string]routing.Effect{"safe": routing.Idempotent, "keyed": routing.Tokened, "unsafe": routing.NonIdempotent}
-	scopes  = map[string]routing.Scope{"all": routing.AllHosts, "zone": routing.SameZone, "cell": routing.SameCell}
-	details = map[string]routing.Detail{"all": routing.Full, "hit": routing.HitOnly, "silent": routing.Silent}
+	effects = map[string]routing.Idempotency{"safe": routing.Idempotent, "keyed": routing.IdempotencyKeyed, "unsafe": routing.NonIdempotent}
+	scopes  = map[string]routing.DedupScope{"all": routing.AllHosts, "zone": routing.SameZone, "cell": routing.SameCell}
+	details = map[string]routing.NoteDetail{"all": routing.FillNotes, "hit": routing.HitNotes, "silent": routing.NoNotes}
 )
 
 func seconds(us int64) float64 { return float64(us) / 1e6 }
--- a/core/sharding/shards_test.go
+++ b/core/sharding/shards_test.go
@@ -248,9 +248,9 @@
 )
 
 var rules = routing.Settings{
-	ParentKind: 1, OriginKind: 2, MayCancel: true, MaxForwards: 6, OldCopies: 3, WeightsTold: true, Joins: true,
-	ColdFrom: 0.2, RampTime: 9, TipMultiple: 2, Fall: 1, ParentColdFrom: 0.2, ParentRamp: 9, ParentTip: 2, Seats: []int{1}, Dispatchers: 1,
-	FlowKB: 100, Services: []routing.DeliveryService{{Objective: 0.5, ViewerTimeout: 1, Revenue: 1, Effect: routing.Idempotent}},
+	ParentKind: 1, OriginKind: 2, CanCancel: true, MaxAttempts: 6, PurgeGrace: 3, WeightsKnown: true, CoalesceFills: true,
+	SlowStartInitial: 0.2, SlowStartRamp: 9, OverloadMultiple: 2, OverloadWindow: 1, ParentSlowStartInitial: 0.2, ParentSlowStartRamp: 9, ParentOverloadMultiple: 2, DispatchersByZone: []int{1}, Dispatchers: 1,
+	TransferRateKB: 100, Services: []routing.DeliveryService{{Objective: 0.5, ViewerTimeout: 1, PriorityWeight: 1, Idempotency: routing.Idempotent}},
 }
 
 // world is a process of shards on a clock of its own; whatever breaks a rule is a fault.
@@ -272,7 +272,7 @@
 }
 
 type simHost struct {
-	routing.HostEntry
+	routing.Endpoint
 	told float64 // when it drained, or was gone; 0 for neither
 	sent []sent  // while it was cold
 	down bool
@@ -291,17 +291,17 @@
 type shard struct {
 	*world
 	number      int
-	d           *routing.Dispatcher
+	d           *routing.Router
 	line        []func()
 	waits       []float64 // when each was put there
 	notices     []func()
-	found       []routing.News
+	found       []routing.PeerUpdate
 	told, heard int
 	running     bool
 	still       float64 // until when it stands still
 	stood       float64 // since when
 	gets        map[uint32]*simGET
-	ended       []routing.Answer
+	ended       []routing.AttemptResult
 	last        uint32
 	tally       Tally
 	slots       [Slots]uint32
@@ -330,14 +330,14 @@
 // known is the list and the purges, for a shard that is new.
 func (w *world) known() (all []func(*shard)) {
 	hosts, purges := w.memory.All(w.now)
-	entries := []routing.HostEntry{}
+	entries := []routing.Endpoint{}
 	for _, h := range hosts {
-		entries = append(entries, h.(routing.HostEntry))
+		entries = append(entries, h.(routing.Endpoint))
 	}
-	all = append(all, func(s *shard) { s.d.Hosts(w.now, routing.Complete, entries) })
+	all = append(all, func(s *shard) { s.d.UpdateEndpoints(w.now, routing.ListComplete, entries) })
 	for _, p := range purges {
 		name, at := p.(string), w.purged[p.(string)]
-		all = append(all, func(s *shard) { s.d.Purged(w.now, name, 0, w.now-at) })
+		all = append(all, func(s *shard) { s.d.HandlePurge(w.now, name, 0, w.now-at) })
 	}
 	return all
 }
@@ -367,7 +367,7 @@
 		s.hear()
 		if len(s.found) > 0 {
 			for _, n := range s.found {
-				s.d.Told(s.now, n)
+				s.d.HandlePeerUpdate(s.now, n)
 			}
 			s.found = nil
 		}
@@ -377,15 +377,15 @@
 		task := s.line[0]
 		s.line, s.waits = s.line[1:], s.waits[1:]
 		task()
-		s.d.Settle(s.now)
+		s.d.RunRetries(s.now)
 		for len(s.ended) > 0 {
 			ended := s.ended
 			s.ended = nil
 			s.hear()
 			for _, a := range ended {
-				s.d.Answer(s.now, a)
+				s.d.HandleResult(s.now, a)
 			}
-			s.d.Settle(s.now)
+			s.d.RunRetries(s.now)
 		}
 	}
 	s.running = false
@@ -397,56 +397,56 @@
 		s.notices = nil
 		for _, notice := range notices {
 			notice()
-			s.d.Settle(s.now)
+			s.d.RunRetries(s.now)
 			s.heard++
 		}
 	}
 }
 
 // Forward checks what goes out against the rules, and has the host answer.
-func (s *shard) Forward(f routing.Forward) {
+func (s *shard) Forward(f routing.Attempt) {
 	if s.midway != nil {
 		now := s.midway
 		s.midway = nil
 		now()
 	}
 	number := 0
-	for s.forwards[[2]int{int(f.GET), number}] != nil {
+	for s.forwards[[2]int{int(f.RequestID), number}] != nil {
 		number++
 	}
-	key, over := [2]int{int(f.GET), number}, false
-	back := func(a routing.Answer) {
+	key, over := [2]int{int(f.RequestID), number}, false
+	back := func(a routing.AttemptResult) {
 		if over {
 			return
 		}
-		over, a.GET, a.Forward = true, f.GET, number
+		over, a.RequestID, a.Attempt = true, f.RequestID, number
 		s.ended = append(s.ended, a)
 	}
-	s.forwards[key] = func() { back(routing.Answer{Outcome: routing.Revoked}) }
+	s.forwards[key] = func() { back(routing.AttemptResult{Outcome: routing.Canceled}) }
 	if s.told != s.heard {
 		s.behind++
-		back(routing.Answer{Outcome: routing.NotTaken})
+		back(routing.AttemptResult{Outcome: routing.Rejected})
 		return
 	}
-	h, g := s.hosts[f.Host], s.gets[f.GET]
+	h, g := s.hosts[f.Host], s.gets[f.RequestID]
 	if h.told > 0 {
 		s.fault("%.3f: shard %d sends to host %d, which drains since %.3f", s.now, s.number, f.Host, h.told)
 	}
-	if at, purged := s.purged[g.object]; purged && s.now-at < rules.OldCopies && (f.MaxAge == 0 || f.MaxAge > s.now-at+2e-6) {
+	if at, purged := s.purged[g.object]; purged && s.now-at < rules.PurgeGrace && (f.MaxAge == 0 || f.MaxAge > s.now-at+2e-6) {
 		s.fault("%.3f: shard %d asks for a copy of any age, purged at %.3f", s.now, s.number, at)
 	}
-	if h.OnlineSinceIsTold && s.now-h.OnlineSince < rules.RampTime {
+	if h.OnlineSinceKnown && s.now-h.OnlineSince < rules.SlowStartRamp {
 		h.sent = append(h.sent, sent{s.now, sending})
 		s.tipped(h)
 	}
 	from, serve := s.now, 0.01+0.05*s.chance.Float64()
 	s.after(serve, func() {
 		s.put(func() {
-			a := routing.Answer{Outcome: routing.Returned, Note: routing.Hit, Elapsed: s.now - from}
+			a := routing.AttemptResult{Outcome: routing.Succeeded, Note: routing.CacheHit, Elapsed: s.now - from}
 			if h.down || s.chance.IntN(40) == 0 {
-				a.Outcome, a.Note = routing.HostError, routing.NoNote
+				a.Outcome, a.Note = routing.HostFailed, routing.NoNote
 			}
-			if a.Outcome == routing.Returned && !over {
+			if a.Outcome == routing.Succeeded && !over {
 				s.answer(g)
 			}
 			back(a)
@@ -458,14 +458,14 @@
 func (s *shard) tipped(h *simHost) {
 	sum := 0.0
 	for _, one := range h.sent {
-		if one.at > s.now-rules.Fall {
+		if one.at > s.now-rules.OverloadWindow {
 			sum += one.work
 		}
 	}
 	age := s.now - h.OnlineSince
-	can := weight * (rules.ColdFrom + (1-rules.ColdFrom)*age/rules.RampTime) * rules.TipMultiple * rules.Fall
+	can := weight * (rules.SlowStartInitial + (1-rules.SlowStartInitial)*age/rules.SlowStartRamp) * rules.OverloadMultiple * rules.OverloadWindow
 	if sum > can+sending {
-		s.fault("%.3f: host %d, cold since %.3f, got %.3f s in %v s, it bears %.3f", s.now, h.ID, h.OnlineSince, sum, rules.Fall, can)
+		s.fault("%.3f: host %d, cold since %.3f, got %.3f s in %v s, it bears %.3f", s.now, h.ID, h.OnlineSince, sum, rules.OverloadWindow, can)
 	}
 }
 
@@ -475,20 +475,21 @@
 	}
 }
 func (s *shard) Shed(get uint32, _ float64) { s.answer(s.gets[get]) }
-func (s *shard) Error(get uint32)           { s.answer(s.gets[get]) }
+func (s *shard) Fail(get uint32)            { s.answer(s.gets[get]) }
 func (s *shard) Schedule(delay float64, _ string) {
-	s.after(delay, func() { s.put(func() { s.d.Timer(s.now) }) })
+	s.after(delay, func() { s.put(func() { s.d.HandleTimer(s.now) }) })
 }
-func (s *shard) Subscribe() {}
-func (s *shard) Log(string) {}
+func (s *shard) PollEndpoints() {}
+func (s *shard) Log(string)     {}
 
-func (s *shard) Credit(host uint32, since, first, add, most float64) float64 {
+func (s *shard) AccrueCredit(host uint32, since, first, add, most float64) float64 {
 	return s.pots.Add(host, since, first, add, most)
 }
-func (s *shard) Spend(host uint32, work float64) bool { return s.pots.Spend(host, work) }
-func (s *shard) Trial(now float64, host uint32) bool  { return s.pots.Trial(now, host, s.number) }
-func (s *shard) Tell(n routing.News) {
-	if !n.Left && n.Limit == routing.NoLimit {
+func (s *shard) SpendCredit(host uint32, work float64) bool { return s.pots.Spend(host, work) }
+func (s *shard) ClaimProbe(now float64, host uint32) bool   { return s.pots.Trial(now, host, s.number) }
+
+func (s *shard) Publish(n routing.PeerUpdate) {
+	if !n.Ejected && n.Limit == routing.NoLimit {
 		s.pots.Done(n.Host)
 	}
 	for _, o := range s.all {
@@ -524,7 +525,7 @@
 		s.last++
 		id := s.last
 		s.gets[id] = g
-		s.d.GET(s.now, routing.GET{ID: id, Object: object, ViewerTimeout: g.until, SizeKB: sending * rules.FlowKB})
+		s.d.HandleRequest(s.now, routing.Request{ID: id, Object: object, Deadline: g.until, SizeKB: sending * rules.TransferRateKB})
 	})
 	w.after(w.chance.ExpFloat64()/perSecond, w.arrive)
 }
@@ -569,17 +570,17 @@
 			w.purged[name] = w.now
 			w.memory.Purge(w.now, name, 0, name)
 			at := w.now
-			w.tell(func(s *shard) { s.d.Purged(s.now, name, 0, s.now-at) })
+			w.tell(func(s *shard) { s.d.HandlePurge(s.now, name, 0, s.now-at) })
 		case 1, 2: // it drains or comes back cold
 			if host.told == 0 {
 				host.told, host.Phase = w.now, routing.Draining
 			} else {
 				host.told, host.Phase, host.sent = 0, routing.Ready, nil
-				host.OnlineSince, host.OnlineSinceIsTold = w.now, true
+				host.OnlineSince, host.OnlineSinceKnown = w.now, true
 			}
-			e := host.HostEntry
+			e := host.Endpoint
 			w.memory.Host(fmt.Sprint(e.ID), e)
-			w.tell(func(s *shard) { s.d.Hosts(s.now, routing.Changes, []routing.HostEntry{e}) })
+			w.tell(func(s *shard) { s.d.UpdateEndpoints(s.now, routing.ListChanges, []routing.Endpoint{e}) })
 		case 3:
 			host.down = !host.down
 		default:
@@ -610,11 +611,11 @@
 }
 
 func simulate(seed uint64) *world {
-	w := &world{chance: rand.New(rand.NewPCG(seed, 1)), hosts: map[uint32]*simHost{}, purged: map[string]float64{}, memory: Memory{Keep: rules.OldCopies}}
+	w := &world{chance: rand.New(rand.NewPCG(seed, 1)), hosts: map[uint32]*simHost{}, purged: map[string]float64{}, memory: Memory{Keep: rules.PurgeGrace}}
 	w.memory.Reset()
 	for id := range uint32(4) {
-		e := routing.HostEntry{ID: id + 1, Phase: routing.Ready, Weight: weight}
-		w.hosts[e.ID] = &simHost{HostEntry: e}
+		e := routing.Endpoint{ID: id + 1, Phase: routing.Ready, Weight: weight}
+		w.hosts[e.ID] = &simHost{Endpoint: e}
 		w.memory.Host(fmt.Sprint(e.ID), e)
 	}
 	w.m = New(1+w.chance.IntN(8), ByItem)
--- a/emulator/dispatcher.go
+++ b/emulator/dispatcher.go
@@ -10,10 +10,10 @@
 // dispatcher is one module, or one of several that a dispatcher has, with what an adapter keeps for it.
 type dispatcher struct {
 	*world
-	module *routing.Dispatcher
+	module *routing.Router
 	gets   map[uint32]*get
 	lastID uint32
-	ended  []routing.Answer
+	ended  []routing.AttemptResult
 	used   map[*host]float64 // when something last came from a host: a connection is up
 	told   map[*host]float64 // since when it knows that a host drains
 	index  int
@@ -37,7 +37,7 @@
 
 // forward is one that went to a host.
 type forward struct {
-	out           routing.Forward
+	out           routing.Attempt
 	get           *get
 	number        int
 	at            float64
@@ -71,7 +71,7 @@
 	}
 }
 
-var _ routing.Wire = (*dispatcher)(nil)
+var _ routing.Actions = (*dispatcher)(nil)
 
 func newDispatcher(w *world, index int, together *group) *dispatcher {
 	d := &dispatcher{world: w, index: index, group: together}
@@ -109,7 +109,7 @@
 func (d *dispatcher) begin() {
 	w := d.world
 	d.dead, d.gets, d.used, d.told = false, map[uint32]*get{}, map[*host]float64{}, map[*host]float64{}
-	var common routing.Peers
+	var common routing.ShardPeers
 	if w.Shards > 1 {
 		common = &peers{d.group, d, len(d.group.members) - 1}
 	}
@@ -118,26 +118,26 @@
 		seats[w.zone(i*w.Shards)]++
 	}
 	d.module = routing.New(routing.Settings{
-		Index: d.index, Dispatchers: w.Dispatchers, Seed: w.Seed, Zone: w.zone(d.index), Seats: seats,
-		Services:   []routing.DeliveryService{{Objective: w.Objective, ViewerTimeout: w.ViewerTimeout, Revenue: 1, Effect: routing.Idempotent}},
-		ParentKind: 1, OriginKind: 2, Straight: true, Joins: true, Detail: routing.Full, MaxForwards: w.MaxForwards, MayCancel: true,
-		SecondCopies: true, MaxRetryAfter: 1, ColdFrom: coldFrom, RampTime: ramp, TipMultiple: tip, Fall: fall,
-		ParentColdFrom: coldFrom, ParentRamp: ramp, ParentTip: tip, OldCopies: oldCopies, Retries: w.Retries, Shards: w.Shards, Peers: common,
+		Index: d.index, Dispatchers: w.Dispatchers, Seed: w.Seed, Zone: w.zone(d.index), DispatchersByZone: seats,
+		Services:   []routing.DeliveryService{{Objective: w.Objective, ViewerTimeout: w.ViewerTimeout, PriorityWeight: 1, Idempotency: routing.Idempotent}},
+		ParentKind: 1, OriginKind: 2, BypassCaches: true, CoalesceFills: true, NoteDetail: routing.FillNotes, MaxAttempts: w.MaxForwards, CanCancel: true,
+		Hedging: true, MaxRetryAfter: 1, SlowStartInitial: coldFrom, SlowStartRamp: ramp, OverloadMultiple: tip, OverloadWindow: fall,
+		ParentSlowStartInitial: coldFrom, ParentSlowStartRamp: ramp, ParentOverloadMultiple: tip, PurgeGrace: oldCopies, Retries: w.Retries, Shards: w.Shards, Peers: common,
 	}, w.now, d)
-	var entries []routing.HostEntry
+	var entries []routing.Endpoint
 	for _, h := range w.hosts {
 		entries = append(entries, h.entry())
 	}
-	d.list(routing.Complete, entries, nil)
+	d.list(routing.ListComplete, entries, nil)
 	for _, o := range w.items {
 		if o.purged > 0 && w.now < o.purged+oldCopies {
-			d.module.Purged(w.now, o.name, 0, w.now-o.purged)
+			d.module.HandlePurge(w.now, o.name, 0, w.now-o.purged)
 		}
 	}
 }
 
 // list tells the module of hosts.
-func (d *dispatcher) list(form routing.ListForm, entries []routing.HostEntry, hosts []*host) {
+func (d *dispatcher) list(form routing.ListKind, entries []routing.Endpoint, hosts []*host) {
 	if d.dead {
 		return
 	}
@@ -146,20 +146,20 @@
 			d.told[h] = d.now
 		}
 	}
-	d.step(func(now float64) { d.module.Hosts(now, form, entries) })
+	d.step(func(now float64) { d.module.UpdateEndpoints(now, form, entries) })
 }
 
 // step makes one call on the module, tells it what ended by the way, and lets it settle.
 func (d *dispatcher) step(what func(now float64)) {
 	what(d.now)
-	d.module.Settle(d.now)
+	d.module.RunRetries(d.now)
 	for len(d.ended) > 0 {
 		ended := d.ended
 		d.ended = nil
 		for _, a := range ended {
-			d.module.Answer(d.now, a)
+			d.module.HandleResult(d.now, a)
 		}
-		d.module.Settle(d.now)
+		d.module.RunRetries(d.now)
 	}
 }
 
@@ -176,7 +176,7 @@
 	}
 	g.expiry = d.at(d.now+d.ViewerTimeout, func() { d.expire(g) })
 	d.step(func(now float64) {
-		d.module.GET(now, routing.GET{ID: g.id, Object: o.name, ViewerTimeout: now + d.ViewerTimeout})
+		d.module.HandleRequest(now, routing.Request{ID: g.id, Object: o.name, Deadline: now + d.ViewerTimeout})
 	})
 }
 
@@ -187,11 +187,11 @@
 		g.answers++
 	}
 	d.step(func(now float64) {
-		d.module.Left(now, g.id)
+		d.module.HandleClientGone(now, g.id)
 		for _, f := range g.forwards {
 			if !f.back {
 				f.stop()
-				d.back(f, routing.Expired, routing.NoNote)
+				d.back(f, routing.TimedOut, routing.NoNote)
 			}
 		}
 	})
@@ -204,15 +204,15 @@
 	}
 	f.back = true
 	f.get.out--
-	a := routing.Answer{
-		GET: f.get.id, Forward: f.number, Outcome: outcome, Note: note, Elapsed: d.now - f.at,
-		Last: f.get.answers > 0 || outcome == routing.Returned,
+	a := routing.AttemptResult{
+		RequestID: f.get.id, Attempt: f.number, Outcome: outcome, Note: note, Elapsed: d.now - f.at,
+		Final: f.get.answers > 0 || outcome == routing.Succeeded,
 	}
-	if outcome == routing.Returned && d.Tells {
-		a.SizeKB, a.Waited = f.get.object.kb, f.waited
+	if outcome == routing.Succeeded && d.Tells {
+		a.SizeKB, a.FillWait = f.get.object.kb, f.waited
 	}
 	d.ended = append(d.ended, a)
-	if outcome != routing.Returned {
+	if outcome != routing.Succeeded {
 		d.world.out.tally(d.world).Wasted++
 	}
 	d.forget(f.get)
@@ -237,7 +237,7 @@
 		}
 		d.used[f.host] = d.now
 		d.step(func(float64) {
-			if outcome == routing.Returned && f.get.answers == 0 {
+			if outcome == routing.Succeeded && f.get.answers == 0 {
 				f.get.answers++
 				d.returned(f, note, fetched)
 			}
@@ -254,7 +254,7 @@
 	if d.world.out.took(d.world, took); took <= d.Objective {
 		t.InTime++
 	}
-	if note == routing.Hit {
+	if note == routing.CacheHit {
 		t.Hits++
 	}
 	if told, ok := o.told[d]; ok && fetched < o.purged && d.now > told+purgeGrace && told >= o.purged {
@@ -264,8 +264,8 @@
 
 // Forward sends a GET to a host; one that says nothing is found out by the connection that does not come up, or by the
 // time that passes.
-func (d *dispatcher) Forward(out routing.Forward) {
-	g := d.gets[out.GET]
+func (d *dispatcher) Forward(out routing.Attempt) {
+	g := d.gets[out.RequestID]
 	f := &forward{out: out, get: g, number: len(g.forwards), at: d.now, host: d.byID[out.Host], source: d.byID[out.Source]}
 	g.forwards = append(g.forwards, f)
 	g.out++
@@ -282,9 +282,9 @@
 		switch {
 		case f.stopped:
 		case f.host.refuses:
-			d.at(d.now+d.link(), func() { d.step(func(float64) { d.back(f, routing.Unreached, routing.NoNote) }) })
+			d.at(d.now+d.link(), func() { d.step(func(float64) { d.back(f, routing.Unreachable, routing.NoNote) }) })
 		case f.host.down && !connected:
-			d.at(f.at+d.Connect, func() { d.step(func(float64) { d.back(f, routing.Unreached, routing.NoNote) }) })
+			d.at(f.at+d.Connect, func() { d.step(func(float64) { d.back(f, routing.Unreachable, routing.NoNote) }) })
 		default:
 			f.host.get(f)
 		}
@@ -295,7 +295,7 @@
 func (d *dispatcher) Cancel(id uint32, number int) {
 	if g := d.gets[id]; g != nil && number < len(g.forwards) && !g.forwards[number].back {
 		g.forwards[number].stop()
-		d.back(g.forwards[number], routing.Revoked, routing.NoNote)
+		d.back(g.forwards[number], routing.Canceled, routing.NoNote)
 	}
 }
 
@@ -314,8 +314,8 @@
 	}
 }
 
-// Error answers that a GET failed.
-func (d *dispatcher) Error(id uint32) {
+// Fail answers that a GET failed.
+func (d *dispatcher) Fail(id uint32) {
 	if g := d.final(id); g != nil {
 		d.world.out.tally(d.world).Errored++
 		d.comeAgain(g, 0)
@@ -339,11 +339,11 @@
 // Schedule sets the one timer.
 func (d *dispatcher) Schedule(delay float64, _ string) {
 	d.events.Remove(d.timer)
-	d.timer = d.at(d.now+delay, func() { d.step(d.module.Timer) })
+	d.timer = d.at(d.now+delay, func() { d.step(d.module.HandleTimer) })
 }
 
-// Subscribe has no counterpart: the list is told.
-func (d *dispatcher) Subscribe() {}
+// PollEndpoints has no counterpart: the list is told.
+func (d *dispatcher) PollEndpoints() {}
 
 // Log is passed over.
 func (d *dispatcher) Log(string) {}
--- a/emulator/host.go
+++ b/emulator/host.go
@@ -54,10 +54,10 @@
 	}
 }
 
-func (h *host) entry() routing.HostEntry {
-	e := routing.HostEntry{ID: h.id, Zone: h.zone, Kind: h.kind, Cell: h.cell, Phase: h.phase, Weight: float64(h.slots)}
+func (h *host) entry() routing.Endpoint {
+	e := routing.Endpoint{ID: h.id, Zone: h.zone, Kind: h.kind, Cell: h.cell, Phase: h.phase, Weight: float64(h.slots)}
 	if h.since >= 0 {
-		e.OnlineSince, e.OnlineSinceIsTold = h.since, true
+		e.OnlineSince, e.OnlineSinceKnown = h.since, true
 	}
 	return e
 }
@@ -116,12 +116,12 @@
 	w.cold(h)
 	o := f.get.object
 	if fetched, ok := h.holdsFresh(o, f.out.MaxAge); ok {
-		h.transfer(f, fetched, routing.Hit)
+		h.transfer(f, fetched, routing.CacheHit)
 		return
 	}
 	if f.source == h {
 		if h.kind == 0 {
-			f.answer(routing.Empty, routing.NoNote, 0)
+			f.answer(routing.NotCached, routing.NoNote, 0)
 			return
 		}
 		h.fill(f, w.origin)
@@ -132,18 +132,18 @@
 
 // transfer sends a copy to the dispatcher.
 func (h *host) transfer(f *forward, fetched float64, note routing.Note) {
-	outcome := routing.Returned
+	outcome := routing.Succeeded
 	if h.errs {
-		outcome = routing.HostError
+		outcome = routing.HostFailed
 	}
 	end := func() { f.answer(outcome, note, fetched) }
 	switch {
-	case h.world.KB > 0 && (note == routing.Filled || note == routing.FilledByOrigin || note == routing.Joined):
+	case h.world.KB > 0 && (note == routing.Filled || note == routing.FilledByOrigin || note == routing.FillCoalesced):
 		end() // it was passed on while it came
 	case h.world.KB > 0 && len(h.out.flows) < h.slots+h.world.Queue:
 		f.flow = h.world.carry(f.get.object.kb, end, h.out)
 	case h.world.KB > 0 || !h.send(&f.stopped, end):
-		f.answer(routing.NotTaken, routing.NoNote, 0)
+		f.answer(routing.Rejected, routing.NoNote, 0)
 	}
 }
 
@@ -153,16 +153,16 @@
 	then := func(fetched float64, note routing.Note) {
 		switch {
 		case life != h.lives:
-		case note == routing.Filled || note == routing.FilledByOrigin || note == routing.Joined:
+		case note == routing.Filled || note == routing.FilledByOrigin || note == routing.FillCoalesced:
 			h.transfer(f, fetched, note)
 		default:
-			f.answer(routing.Empty, note, 0)
+			f.answer(routing.NotCached, note, 0)
 		}
 	}
-	if waiters, on := h.filling[o]; on && f.out.Join {
+	if waiters, on := h.filling[o]; on && f.out.Coalesce {
 		h.filling[o] = append(waiters, func(fetched float64, note routing.Note) {
 			if note == routing.Filled || note == routing.FilledByOrigin {
-				note = routing.Joined
+				note = routing.FillCoalesced
 			}
 			then(fetched, note)
 		})
@@ -214,7 +214,7 @@
 		case w.KB > 0 && len(h.out.flows) < h.slots+w.Queue:
 			f.begins(to, []*pipe{h.out, w.waysIn[to.zone], to.out}, func() { done(fetched, note) })
 		case w.KB > 0 || !h.send(new(bool), func() { done(fetched, note) }):
-			done(0, routing.SourceRefused)
+			done(0, routing.SourceRejected)
 		}
 	}
 	if fetched, ok := h.holdsFresh(o, f.out.MaxAge); ok {
@@ -225,8 +225,8 @@
 		send(fetched, note)
 		return
 	}
-	if f.out.HeldOnly {
-		done(0, routing.SourceLacks)
+	if f.out.CachedOnly {
+		done(0, routing.SourceNotCached)
 		return
 	}
 	w.at(w.now+w.link(), func() {
--- a/emulator/peers.go
+++ b/emulator/peers.go
@@ -19,24 +19,24 @@
 	at  int
 }
 
-var _ routing.Peers = (*peers)(nil)
+var _ routing.ShardPeers = (*peers)(nil)
 
-func (p *peers) Credit(host uint32, since, first, add, most float64) float64 {
+func (p *peers) AccrueCredit(host uint32, since, first, add, most float64) float64 {
 	return p.pots.Add(host, since, first, add, most)
 }
 
-func (p *peers) Spend(host uint32, work float64) bool { return p.pots.Spend(host, work) }
+func (p *peers) SpendCredit(host uint32, work float64) bool { return p.pots.Spend(host, work) }
 
-func (p *peers) Trial(now float64, host uint32) bool { return p.pots.Trial(now, host, p.at) }
+func (p *peers) ClaimProbe(now float64, host uint32) bool { return p.pots.Trial(now, host, p.at) }
 
-// Tell has the others hear of something with their next task.
-func (p *peers) Tell(n routing.News) {
-	if !n.Left && n.Limit == routing.NoLimit {
+// Publish has the others hear of something with their next task.
+func (p *peers) Publish(n routing.PeerUpdate) {
+	if !n.Ejected && n.Limit == routing.NoLimit {
 		p.pots.Done(n.Host)
 	}
 	for _, d := range p.members {
 		if d != p.own {
-			d.at(d.now, func() { d.module.Told(d.now, n) })
+			d.at(d.now, func() { d.module.HandlePeerUpdate(d.now, n) })
 		}
 	}
 }
--- a/emulator/variants.go
+++ b/emulator/variants.go
@@ -140,7 +140,7 @@
 	upTo   []float64 // popularity, summed up
 	hosts  []*simplelru.LRU[hostKey, copyOf]
 	index  rendezvous.Index[uint32]
-	first  map[placeKey]*rendezvous.First
+	first  map[placeKey]*rendezvous.Prefix
 	all    []keys
 	heard  [][]uint64 // by dispatcher and item: the highest purge
 	next   uint64
@@ -161,7 +161,7 @@
 	if s.Dispatchers < 1 || s.Hosts < 1 || s.Objects < 1 || s.Rate <= 0 || len(s.Same) < 1 || s.Holds < 1 || s.Span <= 0 {
 		return nil, fmt.Errorf("variants: %d dispatchers, %d hosts, %d objects of %d classes: out of range", s.Dispatchers, s.Hosts, s.Objects, len(s.Same))
 	}
-	w := &variantsWorld{VariantsScenario: s, chance: rand.New(rand.NewPCG(s.Seed, 47)), first: map[placeKey]*rendezvous.First{}, known: map[*item]*borne{}, out: &VariantsResult{}, bins: make([]int, int(s.Warm+s.Span)+1)}
+	w := &variantsWorld{VariantsScenario: s, chance: rand.New(rand.NewPCG(s.Seed, 47)), first: map[placeKey]*rendezvous.Prefix{}, known: map[*item]*borne{}, out: &VariantsResult{}, bins: make([]int, int(s.Warm+s.Span)+1)}
 	sum := 0.0
 	for i := range s.Objects {
 		w.items = append(w.items, w.item(i))
--- a/emulator/world.go
+++ b/emulator/world.go
@@ -138,12 +138,12 @@
 
 // tell has the dispatchers hear of hosts, each in its time.
 func (w *world) tell(hosts ...*host) {
-	entries := make([]routing.HostEntry, len(hosts))
+	entries := make([]routing.Endpoint, len(hosts))
 	for i, h := range hosts {
 		entries[i] = h.entry()
 	}
 	for _, d := range w.dispatchers {
-		w.at(w.now+w.News*w.chance.Float64(), func() { d.list(routing.Changes, entries, hosts) })
+		w.at(w.now+w.News*w.chance.Float64(), func() { d.list(routing.ListChanges, entries, hosts) })
 	}
 }
 
@@ -298,7 +298,7 @@
 	fresh.since = w.now
 	w.tell(h, fresh)
 	w.at(w.now+w.News+drainGrace+1, func() {
-		h.phase, h.refuses = routing.Gone, true
+		h.phase, h.refuses = routing.Removed, true
 		h.drop()
 		w.tell(h)
 	})
@@ -317,7 +317,7 @@
 			if d.dead {
 				return
 			}
-			d.step(func(now float64) { d.module.Purged(now, o.name, 0, now-at) })
+			d.step(func(now float64) { d.module.HandlePurge(now, o.name, 0, now-at) })
 		})
 	}
 }
--- a/internal/benchwire/decode.go
+++ b/internal/benchwire/decode.go
@@ -93,29 +93,29 @@
 }
 
 // Hosts reads a list of hosts.
-func (m Message) Hosts(c Clock) (routing.ListForm, []routing.HostEntry, error) {
-	var form routing.ListForm
+func (m Message) Hosts(c Clock) (routing.ListKind, []routing.Endpoint, error) {
+	var form routing.ListKind
 	var epoch json.RawMessage
 	var rows [][]json.RawMessage
 	if err := m.read(&form, &epoch, optional{&rows}); err != nil {
 		return 0, nil, err
 	}
-	if form < routing.Changes || form > routing.FailedCall {
+	if form < routing.ListChanges || form > routing.ListFailed {
 		return 0, nil, fmt.Errorf("%s: unknown form %d", m.Name, form)
 	}
-	var entries []routing.HostEntry
+	var entries []routing.Endpoint
 	for _, row := range rows {
-		var e routing.HostEntry
+		var e routing.Endpoint
 		var since int64
 		fields := Message{Name: m.Name + " entry", values: row}
 		if err := fields.read(&e.ID, &e.Zone, &e.Kind, &e.Cell, &e.Phase, optional{&e.Weight}, optional{&since}); err != nil {
 			return 0, nil, err
 		}
-		if e.Phase < routing.Gone || e.Phase > routing.Draining {
+		if e.Phase < routing.Removed || e.Phase > routing.Draining {
 			return 0, nil, fmt.Errorf("%s: unknown phase %d", m.Name, e.Phase)
 		}
 		if since != 0 {
-			e.OnlineSince, e.OnlineSinceIsTold = c.Seconds(since), true
+			e.OnlineSince, e.OnlineSinceKnown = c.Seconds(since), true
 		}
 		entries = append(entries, e)
 	}
@@ -123,23 +123,23 @@
 }
 
 // GET reads a GET.
-func (m Message) GET(c Clock) (routing.GET, error) {
-	var g routing.GET
+func (m Message) GET(c Clock) (routing.Request, error) {
+	var g routing.Request
 	var account json.RawMessage
 	var until int64
 	err := m.read(&g.ID, &g.Service, &account, &g.Object, &until, optional{&g.SizeKB}, optional{&g.Group}, optional{&g.Part})
-	g.ViewerTimeout = c.Seconds(until)
+	g.Deadline = c.Seconds(until)
 	return g, err
 }
 
 // Answer reads how a forward ended, and from a load report how crowded the way in is.
-func (m Message) Answer() (routing.Answer, error) {
-	var a routing.Answer
+func (m Message) Answer() (routing.AttemptResult, error) {
+	var a routing.AttemptResult
 	var host, waited json.RawMessage
 	var how string
 	var elapsed int64
 	var report map[string]float64
-	err := m.read(&a.GET, &a.Forward, &host, &how, &elapsed, &a.Last, optional{&a.Note}, optional{&waited}, optional{&report})
+	err := m.read(&a.RequestID, &a.Attempt, &host, &how, &elapsed, &a.Final, optional{&a.Note}, optional{&waited}, optional{&report})
 	if err != nil {
 		return a, err
 	}
@@ -148,14 +148,14 @@
 		return a, fmt.Errorf("%s: unknown outcome %q", m.Name, how)
 	}
 	a.Outcome, a.Elapsed = outcome, seconds(elapsed)
-	a.Crowding = report["x1"]
+	a.IngressLoad = report["x1"]
 	return a, nil
 }
 
 var outcomes = map[string]routing.Outcome{
-	"delivered": routing.Returned, "app_error": routing.HostError, "shed": routing.NotTaken,
-	"expired": routing.Expired, "dial_failed": routing.Unreached, "dropped": routing.Dropped,
-	"revoked": routing.Revoked, "unused": routing.Unused, "empty": routing.Empty,
+	"delivered": routing.Succeeded, "app_error": routing.HostFailed, "shed": routing.Rejected,
+	"expired": routing.TimedOut, "dial_failed": routing.Unreachable, "dropped": routing.ConnectionLost,
+	"revoked": routing.Canceled, "unused": routing.ArrivedLate, "empty": routing.NotCached,
 }
 
 // Streaming reads which forward's answer has started.
--- a/internal/benchwire/reply.go
+++ b/internal/benchwire/reply.go
@@ -38,18 +38,18 @@
 	Who int64
 }
 
-var _ routing.Wire = Wire{}
+var _ routing.Actions = Wire{}
 
 // Forward writes a forward.
-func (w Wire) Forward(f routing.Forward) {
+func (w Wire) Forward(f routing.Attempt) {
 	bits := 0
-	for i, set := range []bool{f.Join, f.HeldOnly, false, f.Renew} {
+	for i, set := range []bool{f.Coalesce, f.CachedOnly, false, f.Revalidate} {
 		if set {
 			bits |= 1 << i
 		}
 	}
 	// An age is rounded down: a copy a microsecond too old is too old.
-	w.add("serveOrFill", w.Who, id(f.GET), id(f.Host), "0", id(f.Source), strconv.Itoa(f.Rank),
+	w.add("serveOrFill", w.Who, id(f.RequestID), id(f.Host), "0", id(f.Source), strconv.Itoa(f.CachePriority),
 		strconv.FormatInt(int64(f.MaxAge*1e6), 10), strconv.Itoa(bits))
 }
 
@@ -63,16 +63,16 @@
 	w.add("notNow", w.Who, id(get), strconv.FormatInt(micros(comeBack), 10))
 }
 
-// Error writes an error reply.
-func (w Wire) Error(get uint32) { w.add("respondError", w.Who, id(get)) }
+// Fail writes an error reply.
+func (w Wire) Fail(get uint32) { w.add("respondError", w.Who, id(get)) }
 
 // Schedule asks for a timer.
 func (w Wire) Schedule(delay float64, cookie string) {
 	w.add("schedule", w.Who, strconv.FormatInt(micros(delay), 10), quoted(cookie))
 }
 
-// Subscribe asks for the changes of the list of hosts.
-func (w Wire) Subscribe() { w.add("streamChanges", w.Who, "true") }
+// PollEndpoints asks for the changes of the list of hosts.
+func (w Wire) PollEndpoints() { w.add("streamChanges", w.Who, "true") }
 
 // Log writes a line for the report.
 func (w Wire) Log(text string) { w.add("record", w.Who, quoted(text)) }
--- a/internal/dispatcher/door.go
+++ b/internal/dispatcher/door.go
@@ -55,7 +55,7 @@
 }
 
 // enter hands a GET to the module, unless it can't be held.
-func (n *Node) enter(now float64, c call.Call, in call.GET, g routing.GET, ticket admission.Ticket) {
+func (n *Node) enter(now float64, c call.Call, in call.GET, g routing.Request, ticket admission.Ticket) {
 	if !c.Open() { // it waited in line, and word of its client's end came before it or is behind it
 		n.Options.Counts.GivenUp.Add(1)
 		n.settleGate(ticket, false)
@@ -76,12 +76,12 @@
 	}
 	for n.lastID++; n.gets[n.lastID] != nil; n.lastID++ {
 	}
-	g.ID, g.ViewerTimeout = n.lastID, now+g.ViewerTimeout
+	g.ID, g.Deadline = n.lastID, now+g.Deadline
 	request := hostproto.Request{
 		ID: in.ID, Service: in.Service, Object: in.Object, Part: in.PartText, Tag: in.Tag, Body: in.Body,
 		IdempotencyKey: in.IdempotencyKey,
 	}
-	held := &get{id: g.ID, call: c, ticket: ticket, request: request, from: now, until: g.ViewerTimeout, asks: g}
+	held := &get{id: g.ID, call: c, ticket: ticket, request: request, from: now, until: g.Deadline, asks: g}
 	n.gets[held.id], n.byCall[c], n.byID[in.ID] = held, held, held
 	if n.Variants != nil {
 		n.enterVariant(now, held, in.Device)
@@ -89,17 +89,17 @@
 	}
 	held.expiry = n.expiries.Add(held.until, held)
 	if !n.follows(now, held) {
-		n.module.GET(now, g)
+		n.module.HandleRequest(now, g)
 	}
 }
 
 var errGET = errors.New("unusable GET")
 
 // read makes a GET of the module's of what a front has read; its viewer timeout is still that from now on.
-func (n *Node) read(in call.GET) (routing.GET, error) {
-	g := routing.GET{
+func (n *Node) read(in call.GET) (routing.Request, error) {
+	g := routing.Request{
 		Service: slices.Index(n.Settings.Services, in.Service), Object: in.Object, Group: in.Group,
-		Part: in.Part, ViewerTimeout: in.Budget,
+		Part: in.Part, Deadline: in.Budget,
 	}
 	switch {
 	case in.Err != nil:
--- a/internal/dispatcher/hosts.go
+++ b/internal/dispatcher/hosts.go
@@ -25,17 +25,17 @@
 const mostLines = 32 // log lines for one list; where it changes more hosts, one line sums them up
 
 var phases = map[string]routing.Phase{
-	"SERVING": routing.Ready, "DRAINING": routing.Draining, "DELETED": routing.Gone,
+	"SERVING": routing.Ready, "DRAINING": routing.Draining, "DELETED": routing.Removed,
 }
 
 // fleet takes a list of hosts or changes to it.
 func (n *Node) fleet(now float64, list changelog.Fleet) {
-	form, named := routing.Changes, map[uint32]bool{}
+	form, named := routing.ListChanges, map[uint32]bool{}
 	if list.Reset {
-		form = routing.Complete
+		form = routing.ListComplete
 	}
 	n.many = len(list.Hosts) > mostLines
-	var entries []routing.HostEntry
+	var entries []routing.Endpoint
 	for _, told := range list.Hosts {
 		e, err := n.entry(told, len(list.Hosts))
 		if err != nil {
@@ -45,13 +45,13 @@
 		entries = append(entries, e)
 		named[e.ID] = true
 	}
-	n.module.Hosts(now, form, entries)
+	n.module.UpdateEndpoints(now, form, entries)
 	if n.many {
 		n.Options.Log.Info().Int("hosts", len(entries)).Bool("whole", list.Reset).Msg("list of hosts taken in")
 	}
 	for id, h := range n.hosts {
 		if list.Reset && !named[id] {
-			n.phase(h, id, routing.Gone)
+			n.phase(h, id, routing.Removed)
 		}
 	}
 	if list.Reset {
@@ -69,12 +69,12 @@
 		last[told.ID] = i
 	}
 	for i, told := range list.Hosts {
-		if h := n.hosts[n.hostID(told.ID)]; last[told.ID] == i && (h == nil || h.told != told || h.phase == routing.Gone) {
+		if h := n.hosts[n.hostID(told.ID)]; last[told.ID] == i && (h == nil || h.told != told || h.phase == routing.Removed) {
 			all = append(all, told)
 		}
 	}
 	for _, h := range n.hosts {
-		if _, named := last[h.name]; list.Reset && !named && h.phase != routing.Gone {
+		if _, named := last[h.name]; list.Reset && !named && h.phase != routing.Removed {
 			all = append(all, changelog.Host{ID: h.name, State: "DELETED"})
 		}
 	}
@@ -82,9 +82,9 @@
 }
 
 // entry is a host as the module knows it, with connections of its own; it was listed together with others.
-func (n *Node) entry(told changelog.Host, together int) (routing.HostEntry, error) {
+func (n *Node) entry(told changelog.Host, together int) (routing.Endpoint, error) {
 	phase, known := phases[told.State]
-	e := routing.HostEntry{
+	e := routing.Endpoint{
 		ID: n.hostID(told.ID), Zone: slices.Index(n.Settings.Zones, told.Zone),
 		Kind: slices.Index(n.Settings.Kinds, told.Kind), Cell: told.Cell, Phase: phase, Weight: told.Weight,
 	}
@@ -92,7 +92,7 @@
 		return e, fmt.Errorf("state %q, id %q", told.State, told.ID)
 	}
 	h := n.hosts[e.ID]
-	if phase == routing.Gone {
+	if phase == routing.Removed {
 		if h != nil {
 			n.phase(h, e.ID, phase)
 		}
@@ -102,11 +102,11 @@
 		return e, fmt.Errorf("zone %q, kind %q, address %q", told.Zone, told.Kind, told.Address)
 	}
 	if told.StartedAtMs != 0 {
-		e.OnlineSince, e.OnlineSinceIsTold = n.startedAt(told), true
+		e.OnlineSince, e.OnlineSinceKnown = n.startedAt(told), true
 	}
-	if h == nil || h.phase == routing.Gone || h.address != told.Address {
+	if h == nil || h.phase == routing.Removed || h.address != told.Address {
 		if h != nil {
-			h.phase = routing.Gone // what was to go to this address does not
+			h.phase = routing.Removed // what was to go to this address does not
 			h.Leave()
 		}
 		wait := clock.Duration(endpoints.First(n.Settings.Settings.Seed, e.ID, together))
@@ -133,14 +133,14 @@
 	}
 	h.phase = phase
 	defer func() {
-		if phase == routing.Gone {
+		if phase == routing.Removed {
 			h.Leave()
 		}
 	}()
 	if n.many {
 		return
 	}
-	word := map[routing.Phase]string{routing.Ready: "ready", routing.Draining: "draining", routing.Gone: "gone"}[phase]
+	word := map[routing.Phase]string{routing.Ready: "ready", routing.Draining: "draining", routing.Removed: "gone"}[phase]
 	n.Options.Log.Info().Str("host", h.name).Uint32("id", id).Str("address", h.address).Msg("host is " + word)
 }
 
@@ -161,7 +161,7 @@
 // sweep closes idle connections, and forgets hosts that are gone and have none left.
 func (n *Node) sweep() {
 	for id, h := range n.hosts {
-		if h.phase != routing.Gone {
+		if h.phase != routing.Removed {
 			h.Sweep(time.Now())
 		} else if h.Leave() {
 			delete(n.hosts, id)
--- a/internal/dispatcher/joint.go
+++ b/internal/dispatcher/joint.go
@@ -18,7 +18,7 @@
 // must not run twice are alone.
 func (n *Node) follows(now float64, g *get) bool {
 	s := g.asks.Service
-	if n.joint == nil || s >= len(n.Joins) || !n.Joins[s] || n.Settings.Settings.Services[s].Effect != routing.Idempotent ||
+	if n.joint == nil || s >= len(n.Joins) || !n.Joins[s] || n.Settings.Settings.Services[s].Idempotency != routing.Idempotent ||
 		g.request.Tag != "" || len(g.request.Body) > 0 {
 		return false
 	}
@@ -43,7 +43,7 @@
 	n.leads = nil
 	for _, g := range leads {
 		if !g.over || g.waiter.Needed() {
-			n.module.GET(now, g.asks)
+			n.module.HandleRequest(now, g.asks)
 		}
 	}
 }
@@ -79,7 +79,7 @@
 	}
 	if g.waiter.Follows() { // by its own time
 		if stop, stops := n.joint.Leave(g.waiter); stops {
-			n.module.Left(n.Clock.Now(), stop.id)
+			n.module.HandleClientGone(n.Clock.Now(), stop.id)
 			n.forget(stop)
 		}
 		return
@@ -100,17 +100,17 @@
 func (n *Node) leave(now float64, g *get) {
 	if g.waiter == nil || n.joint == nil {
 		n.close(g, false)
-		n.module.Left(now, g.id)
+		n.module.HandleClientGone(now, g.id)
 		return
 	}
 	follows := g.waiter.Follows()
 	stop, stops := n.joint.Leave(g.waiter)
 	n.close(g, false)
 	if stops {
-		n.module.Left(now, stop.id)
+		n.module.HandleClientGone(now, stop.id)
 		n.forget(stop)
 	} else if !follows && !g.waiter.Needed() {
-		n.module.Left(now, g.id)
+		n.module.HandleClientGone(now, g.id)
 	}
 }
 
@@ -122,7 +122,7 @@
 	for over, stop, stops, ok := n.joint.Pass(now); ok; over, stop, stops, ok = n.joint.Pass(now) {
 		n.shed(over, 0)
 		if stops {
-			n.module.Left(now, stop.id)
+			n.module.HandleClientGone(now, stop.id)
 			n.forget(stop)
 		}
 	}
--- a/internal/dispatcher/left.go
+++ b/internal/dispatcher/left.go
@@ -20,13 +20,13 @@
 // withdraw takes back what has not gone out of a GET that is over. Guards against forwards that begin for nobody where hosts can't be told to
 // stop: the module cancels nothing there, and what waits for its connection would go out once that is up.
 func (n *Node) withdraw(g *get) {
-	if n.Settings.MayCancel {
+	if n.Settings.CanCancel {
 		return
 	}
 	for _, f := range g.forwards {
 		if !f.back && f.takeBack() {
 			n.Options.Counts.Recalled.Add(1)
-			n.back(f, routing.Answer{Outcome: routing.Recalled})
+			n.back(f, routing.AttemptResult{Outcome: routing.Withdrawn})
 		}
 	}
 }
--- a/internal/dispatcher/node.go
+++ b/internal/dispatcher/node.go
@@ -66,14 +66,14 @@
 	timer *time.Timer
 
 	mu       sync.Mutex
-	module   *routing.Dispatcher
+	module   *routing.Router
 	origins  Bounder // nil where there is none
 	gets     map[uint32]*get
 	byCall   map[call.Call]*get
 	byID     map[string]*get // by the id of the request
 	lastID   uint32
 	hosts    map[uint32]*host
-	ended    []routing.Answer // to be told to the module once it returns
+	ended    []routing.AttemptResult // to be told to the module once it returns
 	expiries timerwheel.Wheel[*get]
 	swept    float64
 	many     bool        // the list at hand changes more hosts than are told one by one
@@ -97,7 +97,7 @@
 	out      int
 	over     bool                     // answered, or given up by the client
 	closed   atomic.Bool              // the same, for those who don't hold the node's lock
-	asks     routing.GET              // what the module is told, for one that may go on in the lead
+	asks     routing.Request          // what the module is told, for one that may go on in the lead
 	waiter   *coalescing.Waiter[*get] // nil for one that is alone
 	variant  Variant                  // that it is sent for, where variants are declared
 }
@@ -166,7 +166,7 @@
 	for g, ok := n.expiries.Pop(now); ok; g, ok = n.expiries.Pop(now) {
 		n.expire(g)
 	}
-	n.module.Timer(now)
+	n.module.HandleTimer(now)
 	n.passJoint(now)
 	if now-n.swept >= sweepEach {
 		n.swept = now
@@ -180,11 +180,11 @@
 		if !f.back {
 			f.stop()
 			n.Options.Counts.Expired.Add(1)
-			n.back(f, routing.Answer{Outcome: routing.Expired})
+			n.back(f, routing.AttemptResult{Outcome: routing.TimedOut})
 		}
 	}
 	if !g.over {
-		wire{n}.Error(g.id)
+		wire{n}.Fail(g.id)
 	}
 }
 
@@ -219,16 +219,16 @@
 	defer n.bound(false)
 	now := n.Clock.Now()
 	what(now)
-	n.module.Settle(now)
+	n.module.RunRetries(now)
 	for len(n.ended)+len(n.leads) > 0 {
 		n.lead(now)
 		ended := n.ended
 		n.ended = nil
 		n.hearNotices(now)
 		for _, a := range ended {
-			n.module.Answer(now, a)
+			n.module.HandleResult(now, a)
 		}
-		n.module.Settle(now)
+		n.module.RunRetries(now)
 	}
 }
 
@@ -245,8 +245,8 @@
 				continue
 			}
 		}
-		held, refused := n.module.Bounded(id)
-		n.module.Bound(id, n.origins.Bound(name, held, refused, acts))
+		held, refused := n.module.QuotaUsage(id)
+		n.module.SetQuota(id, n.origins.Bound(name, held, refused, acts))
 	}
 }
 
@@ -258,7 +258,7 @@
 
 // GiveUpAll has the module answer everything that is held, before the process ends.
 func (n *Node) GiveUpAll() {
-	n.guarded(func(now float64) { n.module.GiveUpAll(now) })
+	n.guarded(func(now float64) { n.module.FinishAll(now) })
 }
 
 // Take takes an event of the change log; a long list in steps, between which GETs go on.
@@ -307,7 +307,7 @@
 
 // purged tells of a purge, at a moment on the node's clock, of an object by one of its names, or of a group.
 func (n *Node) purged(now float64, object string, group int, at float64) {
-	n.module.Purged(now, object, group, now-at)
+	n.module.HandlePurge(now, object, group, now-at)
 	if n.joint != nil {
 		n.joint.Purged(object, group)
 	}
@@ -324,7 +324,7 @@
 		for _, f := range g.forwards {
 			if !f.back && forbidden(f) && f.takeBack() {
 				n.Options.Counts.Recalled.Add(1)
-				n.back(f, routing.Answer{Outcome: routing.Recalled})
+				n.back(f, routing.AttemptResult{Outcome: routing.Withdrawn})
 			}
 		}
 	}
@@ -387,11 +387,11 @@
 }
 
 // back books the end of a forward, of which the module is told as soon as it is not at work.
-func (n *Node) back(f *forward, a routing.Answer) {
+func (n *Node) back(f *forward, a routing.AttemptResult) {
 	f.back = true
 	f.get.out--
-	a.GET, a.Forward, a.Elapsed = f.get.id, f.number, n.Clock.Now()-f.at
-	a.Last = f.get.over && !f.get.waiter.Needed() || a.Outcome == routing.Returned
+	a.RequestID, a.Attempt, a.Elapsed = f.get.id, f.number, n.Clock.Now()-f.at
+	a.Final = f.get.over && !f.get.waiter.Needed() || a.Outcome == routing.Succeeded
 	n.ended = append(n.ended, a)
 	n.forget(f.get)
 }
@@ -407,15 +407,15 @@
 		size := float64(len(body)) / 1e3
 		outcome, counter := n.outcome(r, f.get.request.Tag)
 		counter.Add(1)
-		if outcome == routing.Recalled && n.gone(now, f) {
+		if outcome == routing.Withdrawn && n.gone(now, f) {
 			return
 		}
-		if outcome == routing.Returned && n.Variants != nil {
+		if outcome == routing.Succeeded && n.Variants != nil {
 			outcome = n.landedVariant(f, f.Proofs, body)
-		} else if outcome == routing.Returned {
+		} else if outcome == routing.Succeeded {
 			n.landed(f, body)
 		}
-		if g := f.get; outcome == routing.Returned && !g.over {
+		if g := f.get; outcome == routing.Succeeded && !g.over {
 			n.Options.Counts.Returned.Add(1)
 			same := r.Answer.Word == hostproto.Valid
 			if same {
@@ -425,7 +425,7 @@
 			body = nil // with the room that it holds
 			n.close(g, false)
 		}
-		n.back(f, routing.Answer{Outcome: outcome, Note: r.Answer.Note, Waited: r.Answer.Waited, SizeKB: size})
+		n.back(f, routing.AttemptResult{Outcome: outcome, Note: r.Answer.Note, FillWait: r.Answer.Waited, SizeKB: size})
 	})
 }
 
@@ -437,33 +437,33 @@
 	switch r.Stage {
 	case upstream.NotConnected, upstream.NotWritten:
 		if errors.Is(r.Err, upstream.ErrOvertaken) {
-			return routing.Recalled, &c.Recalled
+			return routing.Withdrawn, &c.Recalled
 		}
 		if errors.Is(r.Err, upstream.ErrOwn) { // the host had no part in it
-			return routing.NotTaken, &c.NoPlace
+			return routing.Rejected, &c.NoPlace
 		}
-		return routing.Unreached, &c.Unreached
+		return routing.Unreachable, &c.Unreached
 	case upstream.PartlyWritten: // a request that is not whole can't run
-		return routing.Unreached, &c.PartlyWritten
+		return routing.Unreachable, &c.PartlyWritten
 	case upstream.WrittenWhole:
-		return routing.Dropped, &c.Unanswered
+		return routing.ConnectionLost, &c.Unanswered
 	case upstream.AnswerBegun:
-		return routing.Dropped, &c.AnswerCut
+		return routing.ConnectionLost, &c.AnswerCut
 	}
 	switch r.Answer.Word {
 	case hostproto.Hit:
-		return routing.Returned, &c.Hit
+		return routing.Succeeded, &c.Hit
 	case hostproto.Valid:
 		if tag == "" || r.Answer.Tag != tag {
-			return routing.HostError, &c.Unnamed
+			return routing.HostFailed, &c.Unnamed
 		}
-		return routing.Returned, &c.Valid
+		return routing.Succeeded, &c.Valid
 	case hostproto.None:
-		return routing.Empty, &c.None
+		return routing.NotCached, &c.None
 	case hostproto.Shed:
-		return routing.NotTaken, &c.Full
+		return routing.Rejected, &c.Full
 	case hostproto.Late:
-		return routing.Unused, &c.Late
+		return routing.ArrivedLate, &c.Late
 	}
-	return routing.HostError, &c.Fault
+	return routing.HostFailed, &c.Fault
 }
--- a/internal/dispatcher/node_test.go
+++ b/internal/dispatcher/node_test.go
@@ -87,7 +87,7 @@
 		n.Take(changelog.Event{Fleet: &changelog.Fleet{Reset: tt.reset, Hosts: tt.list}})
 		got := map[string]string{}
 		for _, h := range n.hosts {
-			if h.phase != routing.Gone {
+			if h.phase != routing.Removed {
 				got[h.name] = strings.TrimPrefix(h.address, "127.0.0.1:")
 			}
 		}
@@ -105,8 +105,8 @@
 	n.Take(rig.Whole(rig.Entry("a", "127.0.0.1:1", "SERVING")))
 	n.Options.PerHost.Store(0)
 	n.gets[7] = &get{id: 7}
-	wire{n}.Forward(routing.Forward{GET: 7, Host: n.hostID("a"), Source: n.hostID("a")})
-	assert.Equal(t, routing.NotTaken, n.ended[0].Outcome)
+	wire{n}.Forward(routing.Attempt{RequestID: 7, Host: n.hostID("a"), Source: n.hostID("a")})
+	assert.Equal(t, routing.Rejected, n.ended[0].Outcome)
 	assert.EqualValues(t, 1, n.Options.Counts.NoPlace.Load())
 }
 
@@ -132,9 +132,9 @@
 	started := changelog.Host{ID: "a", Address: "127.0.0.1:1", Zone: "z", Kind: "std", Cell: 2, State: "DRAINING", Weight: 4, StartedAtMs: 1764576000123}
 	e, err := n.entry(started, 1)
 	require.NoError(t, err)
-	assert.Equal(t, routing.HostEntry{
+	assert.Equal(t, routing.Endpoint{
 		ID: n.hostID("a"), Cell: 2, Phase: routing.Draining, Weight: 4,
-		OnlineSince: e.OnlineSince, OnlineSinceIsTold: true,
+		OnlineSince: e.OnlineSince, OnlineSinceKnown: true,
 	}, e)
 	assert.InDelta(t, float64(1764576000123)/1e3, float64(time.Now().UnixMicro())/1e6-n.Clock.Now()+e.OnlineSince, 0.01)
 	for name, change := range map[string]func(*changelog.Host){
@@ -205,10 +205,10 @@
 	assert.Equal(t, map[routing.Phase]int{routing.Ready: 300}, phases())
 	before := n.hosts[n.hostID("h250")].Host
 	take(true, append(list("SERVING", 200, 400), list("DRAINING", 100, 200)...)...)
-	assert.Equal(t, map[routing.Phase]int{routing.Ready: 200, routing.Draining: 100, routing.Gone: 100}, phases())
+	assert.Equal(t, map[routing.Phase]int{routing.Ready: 200, routing.Draining: 100, routing.Removed: 100}, phases())
 	assert.Same(t, before, n.hosts[n.hostID("h250")].Host, "what stays keeps its connections")
 	take(false, append(list("SERVING", 0, 90), list("DRAINING", 0, 90)...)...)
-	assert.Equal(t, map[routing.Phase]int{routing.Ready: 200, routing.Draining: 190, routing.Gone: 10}, phases(), "draining goes first, and the list ends with that")
+	assert.Equal(t, map[routing.Phase]int{routing.Ready: 200, routing.Draining: 190, routing.Removed: 10}, phases(), "draining goes first, and the list ends with that")
 	assert.EqualValues(t, 3, n.Options.Counts.Lists.Load())
 }
 
