--- a/internal/dispatcher/route.go
+++ b/internal/dispatcher/route.go
@@ -7,11 +7,11 @@
 )
 
 // route has a forward sent by the proxy that asked.
-func (n *Node) route(f *forward, out routing.Forward) {
+func (n *Node) route(f *forward, out routing.Attempt) {
 	h := f.to
 	r := call.Route{
-		Number: f.number, Host: h.name, Address: h.address, Rank: out.Rank, MaxAge: out.MaxAge, Join: out.Join,
-		Renew: out.Renew, HeldOnly: out.HeldOnly, Budget: f.get.until - f.at,
+		Number: f.number, Host: h.name, Address: h.address, Rank: out.CachePriority, MaxAge: out.MaxAge, Join: out.Coalesce,
+		Renew: out.Revalidate, HeldOnly: out.CachedOnly, Budget: f.get.until - f.at,
 	}
 	if out.Source != out.Host {
 		r.Source, r.SourceAddress = f.from.name, f.from.address
@@ -35,10 +35,10 @@
 	}
 	outcome, note, ok := proof(n.module.MaxAge(now, g.id))
 	if f.back { // not waited for any more, and here all the same: the client gets it
-		if ok && outcome == routing.Returned {
+		if ok && outcome == routing.Succeeded {
 			n.Options.Counts.Returned.Add(1)
 			n.close(g, false)
-			n.module.Left(now, g.id)
+			n.module.HandleClientGone(now, g.id)
 		}
 		return
 	}
@@ -46,26 +46,26 @@
 		return
 	}
 	n.ending(outcome).Add(1)
-	if outcome == routing.Returned && !g.over {
+	if outcome == routing.Succeeded && !g.over {
 		n.Options.Counts.Returned.Add(1)
 		n.close(g, false)
 	}
-	n.back(f, routing.Answer{Outcome: outcome, Note: note})
+	n.back(f, routing.AttemptResult{Outcome: outcome, Note: note})
 }
 
 // ending is the counter of how a routed forward ended.
 func (n *Node) ending(o routing.Outcome) *atomic.Int64 {
 	c := n.Options.Counts
 	switch o {
-	case routing.Returned:
+	case routing.Succeeded:
 		return &c.Hit
-	case routing.HostError:
+	case routing.HostFailed:
 		return &c.Fault
-	case routing.NotTaken:
+	case routing.Rejected:
 		return &c.Full
-	case routing.Empty:
+	case routing.NotCached:
 		return &c.None
-	case routing.Unreached:
+	case routing.Unreachable:
 		return &c.Unreached
 	}
 	return &c.Unanswered
--- a/internal/dispatcher/shard.go
+++ b/internal/dispatcher/shard.go
@@ -28,7 +28,7 @@
 // Shard is what makes a node one of several in a process.
 type Shard struct {
 	Index, Shards int
-	Peers         routing.Peers
+	Peers         routing.ShardPeers
 	Together      *Together
 	// Known is the whole list of hosts and the purges that still count, for a module that is made anew.
 	Known func() []changelog.Event
@@ -63,8 +63,8 @@
 // shard that stands still holds up no connection of clients or hosts.
 type line struct {
 	mu      sync.Mutex
-	notices []func(now float64) // come before all else, also in the middle of what is done
-	found   []routing.News      // by other shards; heard with the next task, within a tick of the timer
+	notices []func(now float64)  // come before all else, also in the middle of what is done
+	found   []routing.PeerUpdate // by other shards; heard with the next task, within a tick of the timer
 	tasks   []task
 	closed  bool          // nothing new is taken in
 	told    atomic.Uint64 // notices put in line
@@ -108,7 +108,7 @@
 }
 
 // Told puts in line what another shard has found out; nothing is done yet.
-func (n *Node) Told(news routing.News) {
+func (n *Node) Told(news routing.PeerUpdate) {
 	l := &n.line
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -178,7 +178,7 @@
 		l.found = nil
 		return task{func(now float64) {
 			for _, news := range found {
-				n.module.Told(now, news)
+				n.module.HandlePeerUpdate(now, news)
 			}
 		}, l.tasks[0].since}
 	}
@@ -200,7 +200,7 @@
 		l.notices = nil
 		l.mu.Unlock()
 		for _, notice := range notices {
-			n.safely(now, func() { notice(now); n.module.Settle(now) })
+			n.safely(now, func() { notice(now); n.module.RunRetries(now) })
 			l.heard.Add(1)
 		}
 	}
@@ -266,13 +266,13 @@
 func Lead() time.Duration { return lead }
 
 // enterShard puts a GET in line, or sheds it where the line is too long.
-func (n *Node) enterShard(c call.Call, in call.GET, g routing.GET, ticket admission.Ticket, key uint64) {
+func (n *Node) enterShard(c call.Call, in call.GET, g routing.Request, ticket admission.Ticket, key uint64) {
 	c.Mark(n.Shard.Index, time.Now().Add(time.Duration(in.Budget*float64(time.Second))))
 	from := n.Clock.Now()
 	if !n.offer(func(now float64) {
 		n.line.slots[key%sharding.Slots]++
 		n.line.tally.Add(key)
-		if g.ViewerTimeout -= now - from; now-from > sharding.Waits && g.ViewerTimeout < sharding.TooLittle {
+		if g.Deadline -= now - from; now-from > sharding.Waits && g.Deadline < sharding.TooLittle {
 			n.Options.Counts.Shed.Add(1) // unless it has been answered in the shard's place
 			n.settleGate(ticket, true)
 			c.Refuse(0)
--- a/internal/dispatcher/variants.go
+++ b/internal/dispatcher/variants.go
@@ -11,18 +11,18 @@
 // once; several shards share it.
 type Variants interface {
 	// Key names the variant that stands for a GET's own, and the object by that; ok false for one that goes as it came.
-	Key(now float64, in *routing.GET, device string) (v Variant, object string, ok bool)
+	Key(now float64, in *routing.Request, device string) (v Variant, object string, ok bool)
 	// Own is the name of an object by a GET's own variant.
-	Own(in *routing.GET, v Variant) (object string)
+	Own(in *routing.Request, v Variant) (object string)
 	// Field is what a request to a host bears for a class, and the class's name.
 	Field(service int, class int16) (pair, name string)
 	// Proof is what tells whether two contents are the same; 0 for nothing. The body is nil where no bytes pass here.
 	Proof(service int, p hostproto.Proofs, body []byte) uint64
 	// Answered takes what an answer tells, and gives whether it fits the GET that it was sent for. Here and in Fits the GET's object may be
 	// named by any variant: the variant's number counts.
-	Answered(now float64, in *routing.GET, v Variant, e Evidence) (fits bool)
+	Answered(now float64, in *routing.Request, v Variant, e Evidence) (fits bool)
 	// Fits tells whether an answer that was told will do for another GET, by all that is known by now.
-	Fits(now float64, in *routing.GET, v Variant, e Evidence) bool
+	Fits(now float64, in *routing.Request, v Variant, e Evidence) bool
 	// Purged takes a purge by its time (Unix ms) and the number under which it was heard; an object of "" is a whole group. It gives the
 	// object's names by its variants besides its own. Each shard tells of it.
 	Purged(time int64, order uint64, object string, group int) (names []string)
@@ -53,7 +53,7 @@
 // enterVariant finds out for which variant a GET is sent; those with a body, or that must not run twice, go as they came. Whoever holds a
 // copy may have it from another class: it is told of to a host only where tags tell contents apart whatever the class.
 func (n *Node) enterVariant(now float64, g *get, device string) {
-	if len(g.request.Body) > 0 || n.Settings.Settings.Services[g.asks.Service].Effect != routing.Idempotent {
+	if len(g.request.Body) > 0 || n.Settings.Settings.Services[g.asks.Service].Idempotency != routing.Idempotent {
 		return
 	}
 	v, object, ok := n.Variants.Key(now, &g.asks, device)
@@ -70,7 +70,7 @@
 }
 
 // asked is a GET as its client sent it.
-func (g *get) asked() routing.GET {
+func (g *get) asked() routing.Request {
 	in := g.asks
 	in.Object = g.request.Object
 	return in
@@ -99,10 +99,10 @@
 	fits := !f.get.variant.Declared || n.provenVariant(f, p, body)
 	n.landed(f, body)
 	if fits || f.get.over {
-		return routing.Returned
+		return routing.Succeeded
 	}
 	n.turnVariant(f.get)
-	return routing.Unused // which holds nothing against the host
+	return routing.ArrivedLate // which holds nothing against the host
 }
 
 // turnedVariant has one that waited for an answer that will not do for it go on for its own variant.
--- a/internal/dispatcher/window_test.go
+++ b/internal/dispatcher/window_test.go
@@ -42,7 +42,7 @@
 				return nil
 			}
 			s := rig.Settings(100)
-			s.Settings.Services[0].Effect, s.Settings.Services[0].RepeatWindow = routing.Tokened, tt.window
+			s.Settings.Services[0].Idempotency, s.Settings.Services[0].DedupWindow = routing.IdempotencyKeyed, tt.window
 			n := New(Config{Settings: s, Clock: clock.New(), Options: o, Connections: 100})
 			n.Take(rig.Whole(hosts.Entries...))
 			c := rig.NewCall(o.Room)
--- a/internal/dispatcher/wire.go
+++ b/internal/dispatcher/wire.go
@@ -11,11 +11,11 @@
 // wire carries the module's answers out; it is called under the node's lock and only queues.
 type wire struct{ *Node }
 
-var _ routing.Wire = wire{}
+var _ routing.Actions = wire{}
 
 // Forward sends a GET to a host.
-func (w wire) Forward(out routing.Forward) {
-	n, g, now := w.Node, w.gets[out.GET], w.Clock.Now()
+func (w wire) Forward(out routing.Attempt) {
+	n, g, now := w.Node, w.gets[out.RequestID], w.Clock.Now()
 	f := &forward{get: g, to: n.hosts[out.Host], from: n.hosts[out.Source], number: len(g.forwards), at: now}
 	g.forwards = append(g.forwards, f)
 	g.out++
@@ -24,7 +24,7 @@
 	if out.Source != out.Host {
 		q.Source = f.from.name
 	}
-	q.Rank, q.Join, q.HeldOnly, q.Renew = out.Rank, out.Join, out.HeldOnly, out.Renew
+	q.Rank, q.Join, q.HeldOnly, q.Renew = out.CachePriority, out.Coalesce, out.CachedOnly, out.Revalidate
 	if out.MaxAge > 0 {
 		q.MaxAge = max(1, int64(out.MaxAge*1e3)) // 0 would ask for any
 	}
@@ -35,7 +35,7 @@
 	n.Options.Counts.Forwards.Add(1)
 	if n.behind() { // what has been told since might forbid it
 		n.Options.Counts.Behind.Add(1)
-		n.back(f, routing.Answer{Outcome: routing.Recalled})
+		n.back(f, routing.AttemptResult{Outcome: routing.Withdrawn})
 		return
 	}
 	if f.router, _ = g.call.(call.Router); f.router != nil {
@@ -44,25 +44,25 @@
 	}
 	f.Overtaken = func() bool { return n.behind() || g.left() }
 	f.Until = n.Clock.Time(g.until)
-	if out.Before > 0 {
-		f.Before = n.Clock.Time(out.Before)
+	if out.SendBy > 0 {
+		f.Before = n.Clock.Time(out.SendBy)
 	}
 	// What can't be told apart from a first run must not be sent again: its connections are looked at, and chosen, with more care.
-	f.Once = n.Settings.Settings.Services[g.asks.Service].Effect != routing.Idempotent
-	f.Alone = !n.Settings.SecondCopies
+	f.Once = n.Settings.Settings.Services[g.asks.Service].Idempotency != routing.Idempotent
+	f.Alone = !n.Settings.Hedging
 	if f.number > 0 {
 		f.Previous = &g.forwards[f.number-1].Forward
 	}
 	if err := f.to.Send(&f.Forward); err != nil { // our own places are taken: the host had no part in it
 		n.Options.Counts.NoPlace.Add(1)
-		n.back(f, routing.Answer{Outcome: routing.NotTaken})
+		n.back(f, routing.AttemptResult{Outcome: routing.Rejected})
 	}
 }
 
 // latest is when the first byte of a forward must be out: its client waits for no longer, and its hosts may know a repeat for less.
-func latest(g *get, out routing.Forward) float64 {
-	if out.Before > 0 {
-		return min(g.until, out.Before)
+func latest(g *get, out routing.Attempt) float64 {
+	if out.SendBy > 0 {
+		return min(g.until, out.SendBy)
 	}
 	return g.until
 }
@@ -75,7 +75,7 @@
 	}
 	w.Options.Counts.Stopped.Add(1)
 	g.forwards[number].stop()
-	w.back(g.forwards[number], routing.Answer{Outcome: routing.Revoked})
+	w.back(g.forwards[number], routing.AttemptResult{Outcome: routing.Canceled})
 }
 
 // Shed answers that trying again is harmless.
@@ -86,8 +86,8 @@
 	}
 }
 
-// Error answers that a GET failed.
-func (w wire) Error(id uint32) {
+// Fail answers that a GET failed.
+func (w wire) Fail(id uint32) {
 	if g := w.gets[id]; g != nil {
 		w.failed(g)
 		w.ends(g, coalescing.Failed, w.failed)
@@ -117,8 +117,8 @@
 // Schedule sets the one timer.
 func (w wire) Schedule(delay float64, _ string) { w.timer.Reset(clock.Duration(delay)) }
 
-// Subscribe has no counterpart: the change log pushes.
-func (w wire) Subscribe() {}
+// PollEndpoints has no counterpart: the change log pushes.
+func (w wire) PollEndpoints() {}
 
 // Log writes a line on a change of state.
 func (w wire) Log(text string) { w.Options.Log.Info().Msg(text) }
--- a/internal/extproc/extproc_test.go
+++ b/internal/extproc/extproc_test.go
@@ -69,7 +69,7 @@
 	r := &rig{TB: t, sent: map[string]int{}}
 	o, end := rigs.Life(t)
 	s := rigs.Settings(100_000)
-	r.end, s.Detail, s.MaxRetryAfter = end, routing.Full, 1
+	r.end, s.NoteDetail, s.MaxRetryAfter = end, routing.FillNotes, 1
 	s.Settings.Services[0].Objective, s.Settings.Services[0].ViewerTimeout = 1, 10
 	n := dispatcher.New(dispatcher.Config{Settings: s, Clock: clock.New(), Options: o, Connections: 400})
 	r.handler = &paused{Node: n}
--- a/internal/extproc/server.go
+++ b/internal/extproc/server.go
@@ -461,15 +461,15 @@
 
 // outcomes is what the module is told of a proof.
 var outcomes = map[proxycall.Proof]routing.Outcome{
-	proxycall.Returned: routing.Returned, proxycall.HostError: routing.HostError,
-	proxycall.Full: routing.NotTaken, proxycall.TooOld: routing.NotTaken, proxycall.Lacks: routing.Empty, proxycall.Unreached: routing.Unreached,
-	proxycall.Dropped: routing.Dropped,
+	proxycall.Returned: routing.Succeeded, proxycall.HostError: routing.HostFailed,
+	proxycall.Full: routing.Rejected, proxycall.TooOld: routing.Rejected, proxycall.Lacks: routing.NotCached, proxycall.Unreached: routing.Unreachable,
+	proxycall.Dropped: routing.ConnectionLost,
 }
 
 // notes is what hosts say of a hit or a fill in a header.
 var notes = map[string]routing.Note{
-	"hit": routing.Hit, "filled": routing.Filled, "origin": routing.FilledByOrigin, "joined": routing.Joined,
-	"source-refused": routing.SourceRefused, "source-failed": routing.SourceFailed, "source-lacks": routing.SourceLacks, "origin-failed": routing.OriginFailed,
+	"hit": routing.CacheHit, "filled": routing.Filled, "origin": routing.FilledByOrigin, "joined": routing.FillCoalesced,
+	"source-refused": routing.SourceRejected, "source-failed": routing.SourceFailed, "source-lacks": routing.SourceNotCached, "origin-failed": routing.OriginFailed,
 }
 
 // response takes how a forward went, and says what the client gets.
--- a/internal/hostproto/lines.go
+++ b/internal/hostproto/lines.go
@@ -42,9 +42,9 @@
 
 // notes are the values of the field that tells of a hit or a fill.
 var notes = map[string]routing.Note{
-	"mem": routing.Hit, "parent": routing.Filled, "origin": routing.FilledByOrigin, "shared": routing.Joined,
-	"old": routing.Aged, "denied": routing.SourceRefused, "unreached": routing.SourceFailed,
-	"absent": routing.SourceLacks, "crowded": routing.NoFillPlace, "behind": routing.OriginFailed,
+	"mem": routing.CacheHit, "parent": routing.Filled, "origin": routing.FilledByOrigin, "shared": routing.FillCoalesced,
+	"old": routing.StaleHit, "denied": routing.SourceRejected, "unreached": routing.SourceFailed,
+	"absent": routing.SourceNotCached, "crowded": routing.FillsExhausted, "behind": routing.OriginFailed,
 }
 
 // Answer is one answer. Its ID is good until Space is called; the body is the caller's to keep.
--- a/internal/multicore/cores.go
+++ b/internal/multicore/cores.go
@@ -76,7 +76,7 @@
 // New makes a group of n shards; fail answers what a shard that stands still owes by a moment, and tells how many.
 func New(c dispatcher.Config, n int, way sharding.Way, fail func(shard int, by time.Time) int) *Group {
 	g := &Group{config: c, module: sharding.New(n, way), together: dispatcher.NewTogether(), fail: fail, past: &counters.Counters{}}
-	g.memory.Keep = c.Settings.OldCopies
+	g.memory.Keep = c.Settings.PurgeGrace
 	g.run = c.Options.Group.Go
 	g.members.Store(&[]*member{})
 	_, nodes := g.grow(nil, n)
@@ -373,29 +373,29 @@
 	index int
 }
 
-var _ routing.Peers = (*peers)(nil)
+var _ routing.ShardPeers = (*peers)(nil)
 
-func (p *peers) Credit(host uint32, since, first, add, most float64) float64 {
+func (p *peers) AccrueCredit(host uint32, since, first, add, most float64) float64 {
 	p.shared.Lock()
 	defer p.shared.Unlock()
 	return p.pots.Add(host, since, first, add, most)
 }
 
-func (p *peers) Spend(host uint32, work float64) bool {
+func (p *peers) SpendCredit(host uint32, work float64) bool {
 	p.shared.Lock()
 	defer p.shared.Unlock()
 	return p.pots.Spend(host, work)
 }
 
-func (p *peers) Trial(now float64, host uint32) bool {
+func (p *peers) ClaimProbe(now float64, host uint32) bool {
 	p.shared.Lock()
 	defer p.shared.Unlock()
 	return p.pots.Trial(now, host, p.index)
 }
 
-// Tell passes news on to the other shards; it is called under the lock of one, so it only puts them in line.
-func (p *peers) Tell(news routing.News) {
-	if !news.Left && news.Limit == routing.NoLimit {
+// Publish passes news on to the other shards; it is called under the lock of one, so it only puts them in line.
+func (p *peers) Publish(news routing.PeerUpdate) {
+	if !news.Ejected && news.Limit == routing.NoLimit {
 		p.shared.Lock()
 		p.pots.Done(news.Host)
 		p.shared.Unlock()
--- a/internal/multicore/left_test.go
+++ b/internal/multicore/left_test.go
@@ -84,7 +84,7 @@
 			l.goes()
 			up()
 		}, false},
-		"for a connection to hosts that can't be told to stop": {func(c *dispatcher.Config) { c.Settings.MayCancel = false }, func(l *leaver) {
+		"for a connection to hosts that can't be told to stop": {func(c *dispatcher.Config) { c.Settings.CanCancel = false }, func(l *leaver) {
 			up := l.hold()
 			l.asks()
 			l.deciding(1)
--- a/internal/service/config.go
+++ b/internal/service/config.go
@@ -63,7 +63,7 @@
 // Repeats tells which delivery services' GETs may be repeated, by their place.
 func (c *Config) Repeats() (may []bool) {
 	for _, s := range c.settings.Settings.Services {
-		may = append(may, s.Effect == routing.Idempotent)
+		may = append(may, s.Idempotency == routing.Idempotent)
 	}
 	return may
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -252,7 +252,7 @@
 	}
 	take := s.core.Take
 	if e != nil {
-		take = e.Changes(take, c.settings.OldCopies)
+		take = e.Changes(take, c.settings.PurgeGrace)
 	}
 	witness := &changelog.Witness{Clock: n.Clock}
 	for _, e := range c.Known.Events {
--- a/internal/service/usable.go
+++ b/internal/service/usable.go
@@ -21,7 +21,7 @@
 		}
 	}
 	switch {
-	case s.MaxForwards < 0:
+	case s.MaxAttempts < 0:
 		return errors.New("settings: maxAttempts: below 0")
 	case s.ConnectTimeout < 0:
 		return errors.New("settings: connectTimeout: below 0")
--- a/internal/standin/rig/rig.go
+++ b/internal/standin/rig/rig.go
@@ -38,9 +38,9 @@
 	return settings.Settings{
 		Zones: []string{"z"}, Kinds: []string{"std", "parent", "origin"}, Services: []string{"segment"}, MostHeld: held,
 		Settings: routing.Settings{
-			ParentKind: 1, OriginKind: 2, MayCancel: true, MaxForwards: 6, OldCopies: 60, Joins: true,
-			ColdFrom: 0.2, RampTime: 9, TipMultiple: 2, Fall: 1, Seats: []int{1}, Dispatchers: 1,
-			Services: []routing.DeliveryService{{Objective: 5, ViewerTimeout: 60, Revenue: 1, Effect: routing.Idempotent, Scope: routing.AllHosts}},
+			ParentKind: 1, OriginKind: 2, CanCancel: true, MaxAttempts: 6, PurgeGrace: 60, CoalesceFills: true,
+			SlowStartInitial: 0.2, SlowStartRamp: 9, OverloadMultiple: 2, OverloadWindow: 1, DispatchersByZone: []int{1}, Dispatchers: 1,
+			Services: []routing.DeliveryService{{Objective: 5, ViewerTimeout: 60, PriorityWeight: 1, Idempotency: routing.Idempotent, DedupScope: routing.AllHosts}},
 		},
 	}
 }
--- a/internal/variantfilter/bench_test.go
+++ b/internal/variantfilter/bench_test.go
@@ -22,13 +22,13 @@
 
 // known is a stage that knows two classes of objects as one, and a GET of one of them on its whole way through it: a key, a field, the
 // evidence of its answer, and whether that fits.
-func known(t testing.TB, n int) (stage *variantfilter.Stage, get func(in *routing.GET, i int) bool) {
+func known(t testing.TB, n int) (stage *variantfilter.Stage, get func(in *routing.Request, i int) bool) {
 	one := pure.Service{Classes: classes, Proof: pure.ByTag, Witnesses: 1, Repeats: true, Fresh: math.Inf(1)}
 	of := pure.Settings{Services: []pure.Service{one}, Objects: 2 * max(n, 1<<11), Seed: 7, Self: "d1"}
 	stage, err := variantfilter.New(variantfilter.Settings{Module: of, Fields: []string{"dev"}})
 	require.NoError(t, err)
 	var names []string
-	get = func(in *routing.GET, i int) bool {
+	get = func(in *routing.Request, i int) bool {
 		in.Object = names[int(uint64(i)*0x9e3779b97f4a7c15>>32)%n]
 		now := 100 + float64(i)*1e-6
 		v, _, _ := stage.Key(now, in, classes[i%2])
@@ -37,7 +37,7 @@
 	}
 	for i := range n {
 		names = append(names, fmt.Sprintf("%016x", uint64(i+1)*0xd6e8feb86659fd93))
-		in := routing.GET{Object: names[i]}
+		in := routing.Request{Object: names[i]}
 		for class := range int16(2) {
 			v, _, _ := stage.Key(1, &in, classes[class])
 			stage.Answered(1, &in, v, dispatcher.Evidence{Asked: class, Host: 3, Proof: 9})
@@ -49,7 +49,7 @@
 // The stage is in parts here: a GET allocates nothing, and what one stage tells another learns.
 func TestStageInParts(t *testing.T) {
 	stage, get := known(t, 100)
-	in, i := new(routing.GET), 0
+	in, i := new(routing.Request), 0
 	assert.Zero(t, testing.AllocsPerRun(10_000, func() {
 		i++
 		assert.True(t, get(in, i), "same bytes")
@@ -85,7 +85,7 @@
 				var group errgroup.Group
 				for shard := range shards {
 					group.Go(func() error {
-						in := new(routing.GET)
+						in := new(routing.Request)
 						for i := range b.N / shards {
 							if !get(in, i*shards+shard) {
 								return errors.New("same bytes")
--- a/internal/variantfilter/variants.go
+++ b/internal/variantfilter/variants.go
@@ -102,7 +102,7 @@
 }
 
 // object is what the module knows of a GET's object by, with its own number.
-func object(in *routing.GET, number uint64) variant.Object {
+func object(in *routing.Request, number uint64) variant.Object {
 	return variant.Object{Service: in.Service, Object: number, Part: in.Part, Group: in.Group}
 }
 
@@ -140,7 +140,7 @@
 }
 
 // Key is node.Variants.
-func (s *Stage) Key(now float64, in *routing.GET, device string) (v dispatcher.Variant, text string, ok bool) {
+func (s *Stage) Key(now float64, in *routing.Request, device string) (v dispatcher.Variant, text string, ok bool) {
 	of := s.of(in.Service)
 	if of == nil {
 		return v, "", false
@@ -160,7 +160,7 @@
 }
 
 // Own is node.Variants.
-func (s *Stage) Own(in *routing.GET, v dispatcher.Variant) string {
+func (s *Stage) Own(in *routing.Request, v dispatcher.Variant) string {
 	return s.name(in.Object, v.Number, int(v.Own), 0)
 }
 
@@ -213,7 +213,7 @@
 }
 
 // answer is evidence as the module takes it.
-func answer(in *routing.GET, v dispatcher.Variant, e dispatcher.Evidence) variant.Answer {
+func answer(in *routing.Request, v dispatcher.Variant, e dispatcher.Evidence) variant.Answer {
 	return variant.Answer{
 		Object: object(in, v.Number), Class: int(e.Asked), Beside: int(e.Beside), Host: e.Host, Proof: e.Proof,
 		Generation: variant.Generation{Purge: e.Told, Version: e.Version}, Known: e.Known,
@@ -221,7 +221,7 @@
 }
 
 // Answered is node.Variants.
-func (s *Stage) Answered(now float64, in *routing.GET, v dispatcher.Variant, e dispatcher.Evidence) (fits bool) {
+func (s *Stage) Answered(now float64, in *routing.Request, v dispatcher.Variant, e dispatcher.Evidence) (fits bool) {
 	a := answer(in, v, e)
 	p := s.part(v.Number)
 	p.Lock()
@@ -232,7 +232,7 @@
 }
 
 // Fits is node.Variants.
-func (s *Stage) Fits(now float64, in *routing.GET, v dispatcher.Variant, e dispatcher.Evidence) bool {
+func (s *Stage) Fits(now float64, in *routing.Request, v dispatcher.Variant, e dispatcher.Evidence) bool {
 	if v.Own == e.Asked {
 		return true
 	}
--- a/internal/variantfilter/way_test.go
+++ b/internal/variantfilter/way_test.go
@@ -57,15 +57,15 @@
 	by atomic.Int64
 }
 
-func (l *later) Key(now float64, in *routing.GET, device string) (dispatcher.Variant, string, bool) {
+func (l *later) Key(now float64, in *routing.Request, device string) (dispatcher.Variant, string, bool) {
 	return l.Stage.Key(now+float64(l.by.Load()), in, device)
 }
 
-func (l *later) Answered(now float64, in *routing.GET, v dispatcher.Variant, e dispatcher.Evidence) bool {
+func (l *later) Answered(now float64, in *routing.Request, v dispatcher.Variant, e dispatcher.Evidence) bool {
 	return l.Stage.Answered(now+float64(l.by.Load()), in, v, e)
 }
 
-func (l *later) Fits(now float64, in *routing.GET, v dispatcher.Variant, e dispatcher.Evidence) bool {
+func (l *later) Fits(now float64, in *routing.Request, v dispatcher.Variant, e dispatcher.Evidence) bool {
 	return l.Stage.Fits(now+float64(l.by.Load()), in, v, e)
 }
 
@@ -88,7 +88,7 @@
 	s := rig.Settings(10_000)
 	s.Services = append(s.Services, "order")
 	tokened := s.Settings.Services[0]
-	tokened.Effect = routing.Tokened
+	tokened.Idempotency = routing.IdempotencyKeyed
 	s.Settings.Services = append(s.Settings.Services, tokened)
 	one := pure.Service{Classes: classes, Proof: proof, Witnesses: max(1, len(witnesses)), Repeats: true, Fresh: math.Inf(1)}
 	w.stage = &later{Stage: need.Of(variantfilter.New(variantfilter.Settings{Module: pure.Settings{Services: []pure.Service{one, one}, Objects: 1000, Seed: 7, Self: "d1"}, Fields: []string{"dev", "dev"}}))(t)}
@@ -346,7 +346,7 @@
 func TestEvidenceOfBeforeAPurge(t *testing.T) {
 	for known, same := range map[uint64]bool{4: false, 5: true, 0: false} {
 		w := newWay(t, pure.ByTag, false)
-		in := routing.GET{Object: objects[0], Part: 40}
+		in := routing.Request{Object: objects[0], Part: 40}
 		for class := range int16(2) {
 			v := dispatcher.Variant{Own: class, Asked: class, Declared: true}
 			early, _, _ := w.stage.Key(1, &in, classes[class])
