--- a/core/routing/api.go
+++ b/core/routing/api.go
@@ -1,221 +1,121 @@
 package routing
 
-import "elderwall/core/routing/retrybudget"
-
-// Idempotency tells what a repeat of a GET may do.
-type Idempotency int
-
-// The kinds of effect. The zero value is the strictest.
-const (
-	NonIdempotent    Idempotency = iota // must never run twice
-	IdempotencyKeyed                    // carries a mark by which a group of hosts drops repeats
-	Idempotent                          // may run again
-)
-
-// DedupScope is the group of hosts that drops the repeats of a tokened GET.
-type DedupScope int
-
-// The scopes. The zero value is the narrowest.
-const (
-	SameCell DedupScope = iota
-	SameZone
-	AllHosts
-)
-
-// NoteDetail tells how much the answers say about fills.
-type NoteDetail int
-
-// The levels of detail.
-const (
-	NoNotes   NoteDetail = iota // nothing
-	HitNotes                    // whether it was a hit
-	FillNotes                   // and why a fill failed
-)
-
-// Phase is what the list of hosts says of one.
-type Phase int
-
-// The phases of a host.
-const (
-	Removed Phase = iota
-	Ready
-	Draining
-)
-
-// Outcome is how a forward ended.
+// Outcome is how an attempt ended.
 type Outcome int
 
-// The outcomes of a forward. Those from NotTaken on prove that it never ran.
+// The outcomes of an attempt. Those from Rejected on prove that it was never executed.
 const (
-	Succeeded Outcome = iota
-	HostFailed
-	TimedOut
-	ConnectionLost
-	Canceled
-	Rejected
-	Unreachable
-	ArrivedLate
-	NotCached
-	Withdrawn // before anything of it went out, as news forbade it: it says nothing of a host
+	Succeeded      Outcome = iota
+	HostFailed             // the host answered with an error
+	TimedOut               // the host gave no answer in time
+	ConnectionLost         // the connection broke with the request complete
+	Canceled               // by the router
+	Rejected               // by the host, or for want of our own resources
+	Unreachable            // no connection, or one that broke before the request was complete
+	ArrivedLate            // the host dropped it unheard, as too little time was left
+	NotCached              // the host or the source has no copy, and did not fill
+	Withdrawn              // before anything of it was sent, as an update forbade it: it tells nothing of a host
 )
 
-// Note says what an answer tells of a hit or a fill.
+// Note says what a result tells of a hit or a fill.
 type Note int
 
-// The notes.
+// The notes. Those from SourceRejected on tell of a fill that failed.
 const (
 	NoNote Note = iota
 	CacheHit
-	Filled
-	FilledByOrigin
-	FillCoalesced
+	Filled         // from a parent
+	FilledByOrigin // from the origin, itself or behind a parent
+	FillCoalesced  // with another request's fill
 	StaleHit
 	SourceRejected
 	SourceFailed
 	SourceNotCached
-	FillsExhausted
+	FillsExhausted // the cache has no capacity for a fill
 	OriginFailed
 )
 
-// DeliveryService is a kind of traffic with its own terms. Times are in seconds.
-type DeliveryService struct {
-	Objective, Stretch float64 // the latency objective, and its growth by a GET's own sending time
-	ViewerTimeout      float64
-	PriorityWeight     float64
-	Idempotency        Idempotency
-	DedupScope         DedupScope
-	DedupWindow        float64 // how long repeats of a tokened GET are known
-	TTL                float64 // the fresh time of a copy, 0 for no limit
-}
-
-// Settings is what a dispatcher is told at its start. Times are in seconds.
-type Settings struct {
-	Index, Dispatchers int
-	Seed               uint64
-	Zone               int
-	DispatchersByZone  []int // dispatchers by zone
-	Services           []DeliveryService
-
-	ParentKind, OriginKind int
-	TransferRateKB         float64 // KB a second of one transfer at full pace
-	WeightsKnown           bool    // weights count the transfers that a host's link carries
-
-	BypassCaches, CoalesceFills bool
-	NoteDetail                  NoteDetail
-	PollEndpoints               bool // the list of hosts must be asked for
-
-	MaxAttempts   int
-	CanCancel     bool
-	Hedging       bool
-	MaxRetryAfter float64 // longest stay away that a shed reply may name, 0 for none
-
-	SlowStartInitial, SlowStartRamp, OverloadMultiple, OverloadWindow   float64
-	ParentSlowStartInitial, ParentSlowStartRamp, ParentOverloadMultiple float64
-	PurgeGrace                                                          float64 // after this long no copy older than a purge is left
-
-	Retries retrybudget.Settings // bounds forwards after failed ones; the zero value does not
-
-	Shards int        // that this dispatcher's process has, each with its part of the GETs; 0 for one
-	Peers  ShardPeers // what they have in common, nil for one alone
-}
-
-// ShardPeers is what the shards of one process have in common, so that together they stay within what one would do. It
-// answers at once.
-type ShardPeers interface {
-	// Credit puts what a shard's own pace allows into what all may send to a host that started at a time, up to most,
-	// and gives what there is; first is what there is at the start.
-	AccrueCredit(host uint32, since, first, add, most float64) float64
-	// Spend takes a GET out of it; false tells that another shard was faster.
-	SpendCredit(host uint32, work float64) bool
-	// Trial tells whether a host that was left may be tried now: by one shard at a time.
-	ClaimProbe(now float64, host uint32) bool
-	// Tell passes on what this shard has found out, for Told of the others.
-	Publish(n PeerUpdate)
-}
-
-// PeerUpdate is what one shard tells the others: that a host was left, or is trusted again, or that a limit fell.
-type PeerUpdate struct {
-	Host           uint32
-	Limit          LimitKind // that fell, of the host or of all
-	LateShare      float64
-	Ejected        bool
-	Until, Backoff float64 // until when it is left, and how long the stay was
-}
-
-// LimitKind names one of the limits on what is under way.
-type LimitKind int
+// Phase is what the endpoint list says of a host.
+type Phase int
 
-// The limits. NoLimit is the zero value.
+// The phases of a host.
 const (
-	NoLimit LimitKind = iota
-	HostLimit
-	CacheLimit
-	FillLimit
-	OriginLimit
+	Removed Phase = iota
+	Ready
+	Draining
 )
 
-// Endpoint is one host of a list.
+// Endpoint is one entry of an endpoint list.
 type Endpoint struct {
 	ID               uint32
 	Zone, Kind, Cell int
 	Phase            Phase
 	Weight           float64
-	OnlineSince      float64 // on the dispatcher's clock
+	OnlineSince      float64 // s; on the router's clock
 	OnlineSinceKnown bool
 }
 
-// ListKind tells what a list of hosts is.
+// ListKind tells what an endpoint list is.
 type ListKind int
 
-// The forms of a list.
+// The kinds of lists.
 const (
-	ListChanges ListKind = iota
-	ListComplete
-	ListCached
-	ListFailed
+	ListChanges  ListKind = iota // entries that have changed
+	ListComplete                 // all entries
+	ListCached                   // all entries, as of an earlier moment
+	ListFailed                   // a poll that failed
 )
 
-// Request is one GET as a client sends it.
+// Request is one request as a client sends it.
 type Request struct {
 	ID          uint32
-	Service     int
+	Service     int // index into Settings.Services
 	Object      string
 	Group, Part int
-	Deadline    float64 // when the client leaves, on the dispatcher's clock
+	Deadline    float64 // s; when the client leaves, on the router's clock
 	SizeKB      float64 // 0 where it is not told
 }
 
-// AttemptResult is how one forward ended.
+// Attempt is what a host is asked to do with a request.
+type Attempt struct {
+	RequestID     uint32
+	Host, Source  uint32  // the source of a fill; the host itself where it is not to fill
+	CachePriority int     // 0: the copy is not cached
+	MaxAge        float64 // s; 0: what the delivery service allows
+	Coalesce      bool    // a fill may be shared with other requests
+	Revalidate    bool
+	CachedOnly    bool    // the source gives only what it has cached
+	SendBy        float64 // s; when its first byte must be out, on the router's clock: while hosts recognize a repeat, and the request is not given up
+}
+
+// AttemptResult is how one attempt ended.
 type AttemptResult struct {
 	RequestID   uint32
-	Attempt     int
+	Attempt     int // its number, from 0 in the order of Actions.Forward
 	Outcome     Outcome
-	Elapsed     float64
+	Elapsed     float64 // s; since it was sent
 	FillWait    float64 // s; of it the fill waited for its source's first byte, or until that failed; 0 where it is not told
 	SizeKB      float64 // of the bytes that came; 0 where it is not told
-	Final       bool    // the GET is finished
+	Final       bool    // the client has its answer
 	Note        Note
-	IngressLoad float64 // reported: transfers on the way into the host's zone over those that fit at full pace, 0 for none
-}
-
-// Attempt is what a host is asked to do with a GET.
-type Attempt struct {
-	RequestID            uint32
-	Host, Source         uint32
-	CachePriority        int     // 0: the copy is not kept
-	MaxAge               float64 // 0: what the delivery service allows
-	Coalesce, Revalidate bool
-	CachedOnly           bool    // the source gives only what it holds
-	SendBy               float64 // when its first byte must be out, on the dispatcher's clock: while hosts know a repeat, and the GET is not given up
+	IngressLoad float64 // as reported: transfers into the host's zone over those that fit at full pace, 0 for none
 }
 
-// Actions carries a dispatcher's answers out.
+// Actions carries a router's decisions out. Its methods are called from within the router's own, and must not call back.
 type Actions interface {
-	Forward(f Attempt)
-	Cancel(get uint32, forward int)
-	Shed(get uint32, comeBack float64)
-	Fail(get uint32)
+	// Forward sends an attempt. The number of an attempt is the count of those before it for the same request.
+	Forward(a Attempt)
+	// Cancel ends an attempt; its result is still expected.
+	Cancel(requestID uint32, attempt int)
+	// Shed answers a request as rejected with no effect; the client may come back after some seconds, 0 for not told.
+	Shed(requestID uint32, retryAfter float64)
+	// Fail answers a request as failed: it may have had an effect.
+	Fail(requestID uint32)
+	// Schedule asks for HandleTimer after some seconds.
 	Schedule(delay float64, cookie string)
+	// PollEndpoints asks for the endpoint list.
 	PollEndpoints()
-	Log(text string)
+	// HostEjected and HostRecovered tell of a change in a host's health, for the log.
+	HostEjected(host uint32)
+	HostRecovered(host uint32)
 }
--- a/core/routing/bench_test.go
+++ b/core/routing/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkGET is what a GET costs that is a hit, of 5,000 objects, at sizes of the fleet.
-func BenchmarkGET(b *testing.B) {
+// BenchmarkRequest is what a GET costs that is a hit, of 5,000 objects, at sizes of the fleet.
+func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			r := &recorder{}
@@ -41,8 +41,8 @@
 	}
 }
 
-// BenchmarkList is what a list costs: a whole one of so many hosts, and a step of 64 changes to it.
-func BenchmarkList(b *testing.B) {
+// BenchmarkUpdateEndpoints is what a list costs: a whole one of so many hosts, and a step of 64 changes to it.
+func BenchmarkUpdateEndpoints(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
 		hosts := []Endpoint{entry(1<<30, 1, Ready), entry(1<<30+1, 2, Ready)}
 		for i := range n {
--- a/core/routing/congestion/paces_test.go
+++ b/core/routing/congestion/congestion_test.go
@@ -1,12 +1,13 @@
 package congestion_test
 
 import (
-	"elderwall/core/routing/congestion"
 	"math"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"pgregory.net/rapid"
+
+	"elderwall/core/routing/congestion"
 )
 
 // used is what a dispatcher knows after hits of many sizes at the usual pace of 0.2 s a KB.
@@ -19,7 +20,7 @@
 }
 
 // One answer tells that a host is crowded, whatever its size: large objects are no crowd, which their times alone would be.
-func TestOneAnswerTellsThatAHostIsCrowded(t *testing.T) {
+func TestOneAnswerTellsThatAHostIsCongested(t *testing.T) {
 	for _, kb := range []float64{0.3, 3, 200} {
 		p, _ := used()
 		var host, other congestion.Link
@@ -35,7 +36,7 @@
 	}
 }
 
-func TestLateFillsAreLaidOnWhatIsSlow(t *testing.T) {
+func TestLateFillsAreBlamedOnWhatIsSlow(t *testing.T) {
 	const u, s, w = congestion.CauseUnknown, congestion.CauseSource, congestion.CauseIngress
 	for _, tt := range []struct {
 		name  string
--- a/core/routing/grouphealth/beliefs_test.go
+++ b/core/routing/grouphealth/grouphealth_test.go
@@ -1,7 +1,6 @@
 package grouphealth
 
 import (
-	"elderwall/internal/standin/need"
 	"fmt"
 	"math"
 	"testing"
@@ -9,6 +8,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
+
+	"elderwall/internal/standin/need"
 )
 
 // racks is so many hosts in each of some racks.
@@ -20,8 +21,8 @@
 	return b, members
 }
 
-// believed counts the members that are not doubted.
-func believed(members []*Member) (n int) {
+// unsuspected counts the members that are not doubted.
+func unsuspected(members []*Member) (n int) {
 	for _, m := range members {
 		if !m.Suspected() {
 			n++
@@ -56,16 +57,16 @@
 	_, m := racks(10, 20)
 	each(hear, 1, m...)
 	each(lose, 5, m[:2]...)
-	assert.Equal(t, 200, believed(m), "two may be chance")
+	assert.Equal(t, 200, unsuspected(m), "two may be chance")
 	m[2].ObserveLoss(5.1)
-	assert.Equal(t, 180, believed(m), "all of the rack, also those not asked")
+	assert.Equal(t, 180, unsuspected(m), "all of the rack, also those not asked")
 	m[19].ObserveSuccess(5.2)
 	assert.False(t, m[19].Suspected(), "its own word goes before that of its rack")
 	assert.True(t, m[18].Suspected())
 	each(hear, 9, m[3:5]...)
 	assert.True(t, m[18].Suspected(), "two that answer may be the part that stays")
 	m[5].ObserveSuccess(9)
-	assert.Equal(t, 200, believed(m), "believed again by trials")
+	assert.Equal(t, 200, unsuspected(m), "believed again by trials")
 	assert.True(t, m[0].RecoveredSince(5))
 	assert.False(t, m[0].RecoveredSince(10), "left after that")
 	assert.False(t, m[100].RecoveredSince(5))
@@ -75,22 +76,22 @@
 	_, m := racks(10, 20)
 	each(hear, 1, m[:8]...)
 	each(lose, 1.5, m[8:15]...)
-	assert.Equal(t, 200, believed(m), "no more lost than heard")
+	assert.Equal(t, 200, unsuspected(m), "no more lost than heard")
 }
 
-func TestADispatcherToWhichMostAreSilentHasLostItsOwnWay(t *testing.T) {
+func TestARouterToWhichMostAreSilentHasLostItsOwnNetwork(t *testing.T) {
 	_, m := racks(10, 20)
 	for rack := range 5 {
-		each(lose, 1, m[rack*20:rack*20+silent]...)
+		each(lose, 1, m[rack*20:rack*20+minLostHosts]...)
 	}
-	assert.Equal(t, 100, believed(m))
-	each(lose, 1, m[5*20:5*20+silent]...)
-	assert.Equal(t, 200, believed(m), "more than half: none is doubted for its rack")
+	assert.Equal(t, 100, unsuspected(m))
+	each(lose, 1, m[5*20:5*20+minLostHosts]...)
+	assert.Equal(t, 200, unsuspected(m), "more than half: none is doubted for its rack")
 	assert.Equal(t, 0.4, m[7].LossWeight(1, 0.4, 0.5), "and one loss says less of its host")
 	assert.False(t, m[8].ObserveSilence(1))
 }
 
-func TestOneOfManyIsLeftAtOnce(t *testing.T) {
+func TestOneOfManyIsEjectedAtOnce(t *testing.T) {
 	_, m := racks(10, 20)
 	assert.Equal(t, 0.5, m[7].LossWeight(1, 0.4, 0.5))
 	assert.True(t, m[8].ObserveSilence(1))
@@ -114,20 +115,20 @@
 		b.CountRequest(1 + float64(i)*1e-6)
 		m[0].ProbeAllowed()
 	}
-	assert.Equal(t, int(trialsKept), tried(), "no more are saved up")
+	assert.Equal(t, int(maxSavedTrials), tried(), "no more are saved up")
 	b.CountRequest(1e6)
-	assert.Equal(t, int(trialsKept), tried(), "nor by a jump of time")
+	assert.Equal(t, int(maxSavedTrials), tried(), "nor by a jump of time")
 	b.CountRequest(5)
 	assert.Zero(t, tried(), "time that goes back gives none")
-	each(lose, 6, m[:silent]...)
+	each(lose, 6, m[:minLostHosts]...)
 	assert.True(t, m[10].Suspected())
 	m[10].ObserveSuccess(7)
-	assert.Equal(t, int(passedOn), tried(), "one that is answered allows more")
+	assert.Equal(t, int(trialsPerAnswer), tried(), "one that is answered allows more")
 	m[10].ObserveSuccess(7.1)
 	assert.Zero(t, tried(), "once")
 }
 
-func TestShrink(t *testing.T) {
+func TestShrinkServingTime(t *testing.T) {
 	_, m := racks(10, 20)
 	m[0].ObserveSuccess(10)
 	assert.InDelta(t, 1.0, m[0].ShrinkServingTime(10, 1, 0, 1), 1e-9)
@@ -139,7 +140,7 @@
 
 // Whatever is heard, lost, listed and tried, at whatever times: no host is doubted that has answered since, no more than
 // half are, the books of groups are those of their members, and trials stay within their share.
-func TestWhatHolds(t *testing.T) {
+func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := &Tracker{}
 		cells := rapid.IntRange(1, 6).Draw(t, "cells")
@@ -156,7 +157,7 @@
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
 				if m[i].Suspected() {
-					passed += passedOn
+					passed += trialsPerAnswer
 				}
 				m[i].ObserveSuccess(now)
 				lately[m[i]] = now
@@ -180,34 +181,34 @@
 			}
 			groups := map[*group]int{}
 			for _, one := range m {
-				if groups[one.group]++; one.Suspected() && lately[one] >= one.group.fell && lately[one] > 0 {
+				if groups[one.group]++; one.Suspected() && lately[one] >= one.group.silentSince && lately[one] > 0 {
 					t.Fatalf("a host is doubted that has answered since")
 				}
 			}
 			doubted := 0
 			for g, n := range groups {
-				require.Equal(t, n, g.size, "a group of %d counts %d", n, g.size)
+				require.Equal(t, n, g.hosts, "a group of %d counts %d", n, g.hosts)
 				if g.silent {
 					doubted += n
 				}
-				for _, said := range g.said {
-					if said[good] < 0 || said[lost] < 0 {
+				for _, said := range g.words.counts {
+					if said[answered] < 0 || said[lost] < 0 {
 						t.Fatal("fewer than none said so")
 					}
 				}
 			}
-			require.Equal(t, b.doubted, doubted, "%d are doubted by their groups, counted as %d", doubted, b.doubted)
-			n := believed(m)
+			require.Equal(t, b.suspected, doubted, "%d are doubted by their groups, counted as %d", doubted, b.suspected)
+			n := unsuspected(m)
 			require.False(t, 2*n < len(m), "only %d of %d are believed", n, len(m))
-			back := 200.0 * trialFloor // time that goes back passes twice
-			most := trialsKept + trialShare*gets + trialFloor*math.Max(0, now-start) + passed + back
+			back := 200.0 * trialsPerSecond // time that goes back passes twice
+			most := maxSavedTrials + trialsPerRequest*gets + trialsPerSecond*math.Max(0, now-start) + passed + back
 			require.False(t, tried > most, "%g trials, at most %g", tried, most)
 		}
 	})
 }
 
-// BenchmarkHeard is what an answer costs a dispatcher of many hosts, and a loss.
-func BenchmarkHeard(b *testing.B) {
+// BenchmarkObserveSuccess is what an answer costs a dispatcher of many hosts, and a loss.
+func BenchmarkObserveSuccess(b *testing.B) {
 	for _, n := range []int{1000, 10_000} {
 		all, m := racks(n/20, 20)
 		need.Bench(b, fmt.Sprint(n), func(i int) {
--- a/core/routing/fleet_test.go
+++ b/core/routing/large_cluster_test.go
@@ -1,12 +1,13 @@
 package routing
 
 import (
-	"elderwall/core/routing/grouphealth"
 	"fmt"
 	"slices"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
+
+	"elderwall/core/routing/grouphealth"
 )
 
 // end is how a forward ends at a moment.
@@ -15,8 +16,8 @@
 	a  AttemptResult
 }
 
-// large is a dispatcher with racks of caches, and what they do.
-type large struct {
+// largeCluster is a dispatcher with racks of caches, and what they do.
+type largeCluster struct {
 	*testing.T
 	d     *Router
 	r     *recorder
@@ -30,8 +31,8 @@
 	open   []end
 }
 
-func newLarge(t *testing.T, racks, each int) *large {
-	l := &large{T: t, r: &recorder{}, gone: map[uint32]bool{}, number: map[uint32]int{}}
+func newLargeCluster(t *testing.T, racks, each int) *largeCluster {
+	l := &largeCluster{T: t, r: &recorder{}, gone: map[uint32]bool{}, number: map[uint32]int{}}
 	s := settings()
 	s.Services[0].Objective = 0.2
 	l.d = New(s, 0, l.r)
@@ -46,7 +47,7 @@
 }
 
 // rack is the caches of one.
-func (l *large) rack(cell int) (ids []uint32) {
+func (l *largeCluster) rack(cell int) (ids []uint32) {
 	for _, h := range l.hosts {
 		if h.Kind == 0 && h.Cell == cell {
 			ids = append(ids, h.ID)
@@ -56,13 +57,13 @@
 }
 
 // ask asks for objects, one each millisecond; hosts that are gone can't be reached, which is known after a tenth of a second.
-func (l *large) ask(gets int) (returned int) {
+func (l *largeCluster) ask(gets int) (returned int) {
 	for range gets {
 		l.now += 0.001
 		l.id++
 		ask(l.d, l.now, l.id, fmt.Sprint("o", l.id%3000))
 		if l.id%10 == 0 {
-			turn(l.d, l.now)
+			tickAt(l.d, l.now)
 		}
 		for len(l.r.forwards) > 0 {
 			f := l.r.forwards[0]
@@ -88,7 +89,7 @@
 
 // A rack that vanishes is seen as one: its hosts are asked for trials alone, as few as the ration allows, and believed again once some answer.
 func TestARackThatVanishes(t *testing.T) {
-	l := newLarge(t, 10, 30)
+	l := newLargeCluster(t, 10, 30)
 	l.ask(3000)
 	assert.Zero(t, l.lost)
 	for _, id := range append(l.rack(2), l.rack(5)...) {
@@ -106,8 +107,8 @@
 	l.ask(9000)
 	assert.Zero(t, l.lost)
 	left := 0
-	for _, h := range l.d.caches {
-		if h.left || h.belief.Suspected() {
+	for _, h := range l.d.endpoints.caches {
+		if h.health.ejected || h.health.group.Suspected() {
 			left++
 		}
 	}
@@ -115,59 +116,35 @@
 }
 
 // What forwards to hosts that are gone cost says nothing of fills: their limit stays.
-func TestLostHostsDoNotLowerTheLimitOnFills(t *testing.T) {
-	l := newLarge(t, 10, 30)
+func TestLostHostsDoNotCutTheFillLimit(t *testing.T) {
+	l := newLargeCluster(t, 10, 30)
 	l.ask(1000)
-	before := l.d.fills.most
+	before := l.d.limits.fills.max
 	for _, id := range l.rack(4) {
 		l.gone[id] = true
 	}
 	l.ask(6000)
-	assert.Equal(t, before, l.d.fills.most)
+	assert.Equal(t, before, l.d.limits.fills.max)
 }
 
 // A few hosts are judged by themselves alone, as they always were.
 func TestFewHostsHaveNoGroup(t *testing.T) {
-	l := newLarge(t, 2, 6)
-	for _, h := range l.d.caches {
-		assert.Nil(t, h.belief)
+	l := newLargeCluster(t, 2, 6)
+	for _, h := range l.d.endpoints.caches {
+		assert.Nil(t, h.health.group)
 	}
 	l.gone[l.rack(0)[0]] = true
 	l.ask(500)
 	assert.Greater(t, l.lost, 1, "one loss is not enough there")
 }
 
-// Objects that the table has let go come back with their counts.
-func TestCountsOutliveTheTable(t *testing.T) {
-	tb := New(settings(), 0, &recorder{}).items
-	for range 20 {
-		tb.touch(1, "hot", 0, 1)
-	}
-	for i := range tableSize + 1 {
-		tb.touch(1.5, fmt.Sprint("scan", i), 0, 1)
-	}
-	assert.NotNil(t, tb.let)
-	for range 20 {
-		tb.touch(2.5, "hot", 0, 1)
-	}
-	for i := range tableSize + 1 {
-		tb.touch(3, fmt.Sprint("more", i), 0, 1)
-	}
-	it := tb.touch(3.5, "hot", 0, 1)
-	assert.True(t, it.again)
-	assert.InDelta(t, 20, it.demand.add(3.5, 0), 2)
-	assert.InDelta(t, 0, it.demand.add(14, 0), 0, "out of the window")
-	assert.False(t, tb.touch(3.5, "never", 0, 1).again)
-	assert.Len(t, tb.byName, tableSize)
-}
-
 // Objects that somebody chose because one cache comes first for all of them: others take over what it can't serve in the latency objective.
 func TestAFloodOfObjectsForOneHost(t *testing.T) {
-	l := newLarge(t, 10, 30)
+	l := newLargeCluster(t, 10, 30)
 	var chosen []string
 	for i := 0; len(chosen) < 200; i++ {
 		name := fmt.Sprintf("%016x", i)
-		l.d.order.Walk(hash(name+" 0"), nil, 0, func(h *host) bool {
+		l.d.endpoints.cacheOrder.Walk(hashName(name+" 0"), nil, 0, func(h *host) bool {
 			if h.ID == 7919 {
 				chosen = append(chosen, name)
 			}
@@ -193,7 +170,7 @@
 			l.open = append(l.open, end{free[f.Host], AttemptResult{RequestID: f.RequestID, Attempt: number, Outcome: Succeeded, Note: CacheHit, Elapsed: took, Final: true}})
 		}
 		if l.id%10 == 0 {
-			turn(l.d, l.now)
+			tickAt(l.d, l.now)
 		}
 		l.open = slices.DeleteFunc(l.open, func(e end) bool {
 			if e.at > l.now {
@@ -211,53 +188,53 @@
 
 // Time that stands still, goes back, or jumps by an hour: every GET has one answer, and the next ones go on.
 func TestTimeThatStandsStillOrJumps(t *testing.T) {
-	l := newLarge(t, 10, 30)
+	l := newLargeCluster(t, 10, 30)
 	l.ask(200)
 	for range 50 {
 		l.id++
 		ask(l.d, l.now, l.id, fmt.Sprint("p", l.id))
 		l.d.HandleTimer(l.now)
 	}
-	open := len(l.d.gets)
-	turn(l.d, l.now-5)
-	assert.Len(t, l.d.gets, open)
+	open := len(l.d.requests.byID)
+	tickAt(l.d, l.now-5)
+	assert.Len(t, l.d.requests.byID, open)
 	l.now += 3600
-	turn(l.d, l.now)
+	tickAt(l.d, l.now)
 	assert.Equal(t, 50, len(l.r.shed)+len(l.r.errored), "those under way are over at once")
 	for id := l.id - 49; id <= l.id; id++ {
 		for number := range l.number[id] + 1 {
 			l.d.HandleResult(l.now, AttemptResult{RequestID: id, Attempt: number, Outcome: Canceled})
 		}
 	}
-	assert.Empty(t, l.d.gets)
+	assert.Empty(t, l.d.requests.byID)
 	l.r.forwards = nil
 	assert.Equal(t, 200, l.ask(200))
 }
 
 // A host of many that comes, goes, moves to another rack or comes back is in its group and in the order, or in none.
-func TestCachesThatComeAndGo(t *testing.T) {
-	l := newLarge(t, 10, 30)
+func TestCachesThatAreAddedAndRemoved(t *testing.T) {
+	l := newLargeCluster(t, 10, 30)
 	first := func() (id uint32) {
-		l.d.order.Walk(12345, nil, 0, func(h *host) bool { id = h.ID; return false })
+		l.d.endpoints.cacheOrder.Walk(12345, nil, 0, func(h *host) bool { id = h.ID; return false })
 		return id
 	}
 	id := first()
-	e, other := l.d.hosts[id].Endpoint, l.d.hosts[id]
+	e, other := l.d.endpoints.byID[id].Endpoint, l.d.endpoints.byID[id]
 	e.Phase = Removed
 	l.d.UpdateEndpoints(1, ListChanges, []Endpoint{e})
 	assert.NotEqual(t, id, first())
-	assert.Nil(t, other.belief)
-	assert.Len(t, l.d.caches, 299)
+	assert.Nil(t, other.health.group)
+	assert.Len(t, l.d.endpoints.caches, 299)
 	e.Phase, e.Cell = Ready, 77
 	l.d.UpdateEndpoints(2, ListChanges, []Endpoint{e, e})
 	assert.Equal(t, id, first())
-	assert.Len(t, l.d.caches, 300, "named twice, it is there once")
-	assert.True(t, l.d.hosts[id].belief.In(grouphealth.Group{Cell: 77}))
+	assert.Len(t, l.d.endpoints.caches, 300, "named twice, it is there once")
+	assert.True(t, l.d.endpoints.byID[id].health.group.In(grouphealth.Group{Cell: 77}))
 	e.Cell = 78
 	l.d.UpdateEndpoints(3, ListChanges, []Endpoint{e})
-	assert.True(t, l.d.hosts[id].belief.In(grouphealth.Group{Cell: 78}))
+	assert.True(t, l.d.endpoints.byID[id].health.group.In(grouphealth.Group{Cell: 78}))
 	l.d.UpdateEndpoints(4, ListComplete, l.hosts[:3+grouphealth.MinHosts-1])
-	for _, h := range l.d.caches {
-		assert.Nil(t, h.belief, "they are few now")
+	for _, h := range l.d.endpoints.caches {
+		assert.Nil(t, h.health.group, "they are few now")
 	}
 }
--- a/core/routing/size_test.go
+++ b/core/routing/object_size_test.go
@@ -61,7 +61,7 @@
 	for step := 0; float64(step)*sizeStep < to+5; step++ {
 		now := float64(step) * sizeStep
 		for i, d := range c.d {
-			turn(d, now)
+			tickAt(d, now)
 			c.drain(i, now)
 		}
 		for _, a := range c.due[step] {
--- a/core/routing/rendezvous/order_test.go
+++ b/core/routing/rendezvous/rendezvous_test.go
@@ -1,7 +1,6 @@
 package rendezvous
 
 import (
-	"elderwall/internal/standin/need"
 	"fmt"
 	"math/rand/v2"
 	"slices"
@@ -11,6 +10,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
+
+	"elderwall/internal/standin/need"
 )
 
 // count is 0 to n-1.
@@ -80,8 +81,8 @@
 	})
 }
 
-// TestWhatIsKeptCatchesUp with hosts that come and go a few at a time, as it does with many.
-func TestWhatIsKeptCatchesUp(t *testing.T) {
+// TestPrefixesCatchUp with hosts that come and go a few at a time, as it does with many.
+func TestPrefixesCatchUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var x Index[int]
 		var ids []uint32
@@ -140,14 +141,14 @@
 		x.Set(changed, places)
 		need.Bench(b, fmt.Sprint(n, "/caught up"), func(i int) {
 			f := *firsts[i&4095]
-			f.places = slices.Clone(f.places)
-			x.follow(hashOf(i&4095), &f.list, PrefixLength)
+			f.slots = slices.Clone(f.slots)
+			x.catchUp(hashOf(i&4095), &f.prefix, PrefixLength)
 		})
 		need.Bench(b, fmt.Sprint(n, "/list"), func(i int) { x.Set([][]uint32{ids, changed}[i%2], places) })
 	}
 }
 
-func TestAHostLessMovesItsOwnObjectsAlone(t *testing.T) {
+func TestOneHostLessMovesOnlyItsOwnObjects(t *testing.T) {
 	ids := many(1000)
 	var all, less Index[int]
 	set(&all, ids)
--- a/core/routing/retrybudget/retries_test.go
+++ b/core/routing/retrybudget/retrybudget_test.go
@@ -44,13 +44,13 @@
 				b.Spend(now)
 			}
 		}
-		most := most(s) + earned + s.Floor*now + 1e-6
+		most := s.capacity() + earned + s.Floor*now + 1e-6
 		require.False(t, float64(b.Spent) > most, "%d spent, at most %g", b.Spent, most)
 	})
 }
 
 // What the fleet shares out comes on top: a further forward goes where both have one, and is asked of the fleet only where the own budget has.
-func TestTheFleetsShare(t *testing.T) {
+func TestTheClustersQuota(t *testing.T) {
 	for _, tt := range []struct {
 		own               Settings
 		left, went, asked int
--- a/core/routing/peers_test.go
+++ b/core/routing/shard_peers_test.go
@@ -8,25 +8,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// others is what the other shards of a process have to say.
-type others struct {
+// otherShards is what the other shards of a process have to say.
+type otherShards struct {
 	credit       float64
 	spent, trial bool // whether another was faster, whether this shard may try
 	told         []PeerUpdate
 	asked        int
 }
 
-func (o *others) AccrueCredit(_ uint32, _, _, _, _ float64) float64 { return o.credit }
-func (o *others) SpendCredit(uint32, float64) bool                  { o.asked++; return !o.spent }
-func (o *others) ClaimProbe(float64, uint32) bool                   { return o.trial }
-func (o *others) Publish(n PeerUpdate)                              { o.told = append(o.told, n) }
+func (o *otherShards) AccrueCredit(_ uint32, _, _, _, _ float64) float64 { return o.credit }
 
-func shard(o *others) (*Router, *recorder) {
-	return fleet(func(s *Settings) { s.Shards, s.Peers = 4, o })
+func (o *otherShards) SpendCredit(uint32, float64) bool { o.asked++; return !o.spent }
+
+func (o *otherShards) ClaimProbe(float64, uint32) bool { return o.trial }
+
+func (o *otherShards) Publish(n PeerUpdate) { o.told = append(o.told, n) }
+
+func newShard(o *otherShards) (*Router, *recorder) {
+	return newCluster(func(s *Settings) { s.Shards, s.Peers = 4, o })
 }
 
-// home is the host that an object goes to.
-func home(d *Router, r *recorder, now float64, id uint32, object string) uint32 {
+// homeOf is the host that an object goes to.
+func homeOf(d *Router, r *recorder, now float64, id uint32, object string) uint32 {
 	before := len(r.forwards)
 	d.HandleTimer(now)
 	ask(d, now, id, object)
@@ -38,67 +41,67 @@
 	return host
 }
 
-func TestAHostThatAnotherShardLeftIsLeftHereToo(t *testing.T) {
-	o := &others{}
-	d, r := shard(o)
-	first := home(d, r, 1, 1, "x")
+func TestAHostThatAnotherShardEjectedIsEjectedHereToo(t *testing.T) {
+	o := &otherShards{}
+	d, r := newShard(o)
+	first := homeOf(d, r, 1, 1, "x")
 	d.HandlePeerUpdate(1, PeerUpdate{Host: first, Ejected: true, Until: 3, Backoff: 1})
-	assert.NotEqual(t, first, home(d, r, 2, 2, "x"), "it is left")
-	assert.NotEqual(t, first, home(d, r, 3.1, 3, "x"), "another shard tries it")
+	assert.NotEqual(t, first, homeOf(d, r, 2, 2, "x"), "it is left")
+	assert.NotEqual(t, first, homeOf(d, r, 3.1, 3, "x"), "another shard tries it")
 	o.trial = true
-	assert.Equal(t, first, home(d, r, 3.2, 4, "x"), "this one may")
+	assert.Equal(t, first, homeOf(d, r, 3.2, 4, "x"), "this one may")
 	d.HandlePeerUpdate(3.3, PeerUpdate{Host: first, Ejected: true, Until: 9, Backoff: 2})
-	assert.NotEqual(t, first, home(d, r, 4, 5, "x"))
+	assert.NotEqual(t, first, homeOf(d, r, 4, 5, "x"))
 	d.HandlePeerUpdate(4, PeerUpdate{Host: first})
-	assert.Equal(t, first, home(d, r, 4.1, 6, "x"), "it is trusted again")
+	assert.Equal(t, first, homeOf(d, r, 4.1, 6, "x"), "it is trusted again")
 	d.HandlePeerUpdate(4, PeerUpdate{Host: 99, Ejected: true, Until: 9}) // one that this shard does not know
 	assert.Empty(t, o.told, "what is told is not passed on")
 }
 
-func TestAShardTellsWhatItFindsOut(t *testing.T) {
-	o := &others{trial: true}
-	d, _ := shard(o)
-	h := d.hosts[cacheA]
+func TestAShardPublishesWhatItFindsOut(t *testing.T) {
+	o := &otherShards{trial: true}
+	d, _ := newShard(o)
+	h := d.endpoints.byID[cacheA]
 	d.now = 5
 	for range 5 {
-		d.fault(h, learnLost)
+		d.outliers.observeFault(h, unreachableWeight)
 	}
 	require.Len(t, o.told, 1, "while it is left it is not told again")
-	assert.Equal(t, PeerUpdate{Host: cacheA, Ejected: true, Until: h.until, Backoff: 1}, o.told[0])
-	for range trialsPassed {
-		d.sound(h)
+	assert.Equal(t, PeerUpdate{Host: cacheA, Ejected: true, Until: h.health.ejectedUntil, Backoff: 1}, o.told[0])
+	for range trialSuccesses {
+		d.outliers.observeSuccess(h)
 	}
 	assert.Equal(t, PeerUpdate{Host: cacheA}, o.told[1])
-	d.all.add(4)
-	d.move(&d.all, 4, true)
+	d.limits.caches.acquire(4)
+	d.limits.observeEnd(&d.limits.caches, 4, true)
 	require.Len(t, o.told, 3)
 	assert.Equal(t, PeerUpdate{Limit: CacheLimit, LateShare: 1}, o.told[2])
 }
 
-func TestALimitThatFellElsewhereFallsHereOnce(t *testing.T) {
+func TestALimitCutElsewhereIsCutHereOnce(t *testing.T) {
 	for _, n := range []LimitKind{HostLimit, CacheLimit, FillLimit, OriginLimit} {
-		o := &others{}
-		d, _ := shard(o)
-		l := map[LimitKind]*allowance{HostLimit: &d.hosts[cacheA].under, CacheLimit: &d.all, FillLimit: &d.fills, OriginLimit: &d.origins}[n]
-		l.most = 100
+		o := &otherShards{}
+		d, _ := newShard(o)
+		l := map[LimitKind]*concurrencyLimit{HostLimit: &d.endpoints.byID[cacheA].limit, CacheLimit: &d.limits.caches, FillLimit: &d.limits.fills, OriginLimit: &d.limits.origin}[n]
+		l.max = 100
 		d.HandlePeerUpdate(1, PeerUpdate{Host: cacheA, Limit: n, LateShare: 0.5})
-		assert.EqualValues(t, 100, l.most, "%d: with nothing under it, it says nothing", n)
-		l.add(40)
-		l.seen, l.late = 5, 5
+		assert.EqualValues(t, 100, l.max, "%d: with nothing under it, it says nothing", n)
+		l.acquire(40)
+		l.ended, l.endedLate = 5, 5
 		d.HandlePeerUpdate(2, PeerUpdate{Host: cacheA, Limit: n, LateShare: 0.5})
-		assert.InDelta(t, 40*(1-lateCut*0.5), l.most, 1e-9, "%d", n)
-		assert.Equal(t, []float64{2, 0, 0}, []float64{l.turn, l.seen, l.late}, "%d: the same lateness is not counted twice", n)
+		assert.InDelta(t, 40*(1-cutFactor*0.5), l.max, 1e-9, "%d", n)
+		assert.Equal(t, []float64{2, 0, 0}, []float64{l.roundStart, l.ended, l.endedLate}, "%d: the same lateness is not counted twice", n)
 		assert.Empty(t, o.told)
 	}
 }
 
-func TestAColdHostThatAnotherShardWasFasterAtIsPassedBy(t *testing.T) {
-	o := &others{credit: 100, spent: true}
-	d, r := shard(o)
+func TestAWarmingHostClaimedByAnotherShardIsAvoided(t *testing.T) {
+	o := &otherShards{credit: 100, spent: true}
+	d, r := newShard(o)
 	cold, object := uint32(0), ""
 	for i := 0; cold != cacheA; i++ { // an object whose home becomes cold
 		object = fmt.Sprint("x", i)
-		cold = home(d, r, 1, uint32(100+i), object)
+		cold = homeOf(d, r, 1, uint32(100+i), object)
 	}
 	d.WeightsKnown = true // so that its share is large enough to be drawn soon
 	e := entry(cold, 0, Ready)
--- a/core/routing/sketch/popular_test.go
+++ b/core/routing/sketch/sketch_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"container/list"
-	"elderwall/core/routing/rendezvous"
-	"elderwall/internal/standin/need"
 	"fmt"
 	"math/rand/v2"
 	"slices"
@@ -12,14 +10,17 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
+
+	"elderwall/core/routing/rendezvous"
+	"elderwall/internal/standin/need"
 )
 
-const turns, span = 5, 2.0
+const windowBuckets, span = 5, 2.0
 
-// A sketch never counts too little, and turns that have passed count no more.
+// A sketch never counts too little, and windowBuckets that have passed count no more.
 func TestNeverTooLittle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := New(turns, span, rapid.SampledFrom([]int{0, 1 << 16}).Draw(t, "bytes"))
+		s := New(windowBuckets, span, rapid.SampledFrom([]int{0, 1 << 16}).Draw(t, "bytes"))
 		type asked struct {
 			object uint64
 			epoch  int
@@ -31,13 +32,13 @@
 			s.Add(now, rendezvous.Mix(o))
 			exact[asked{o, int(now / span)}]++
 		}
-		var got [turns]float64
+		var got [windowBuckets]float64
 		for o := range uint64(41) {
 			sum, want := s.Buckets(now, rendezvous.Mix(o), got[:]), 0.0
-			for e := int(now / span); e > int(now/span)-turns && e >= 0; e-- {
-				one := min(most, exact[asked{o, e}])
+			for e := int(now / span); e > int(now/span)-windowBuckets && e >= 0; e-- {
+				one := min(maxCount, exact[asked{o, e}])
 				want += one
-				require.False(t, got[e%turns] < one, "object %d, turn %d: %g, asked for %g times", o, e, got[e%turns], one)
+				require.False(t, got[e%windowBuckets] < one, "object %d, turn %d: %g, asked for %g times", o, e, got[e%windowBuckets], one)
 			}
 			require.False(t, sum < want, "object %d: %g, asked for %g times", o, sum, want)
 		}
@@ -45,8 +46,8 @@
 }
 
 func TestWindow(t *testing.T) {
-	s := New(turns, span, 1<<16)
-	var got [turns]float64
+	s := New(windowBuckets, span, 1<<16)
+	var got [windowBuckets]float64
 	for range 300 {
 		s.Add(1, 7)
 	}
@@ -57,7 +58,7 @@
 	s.Add(5, 7)
 	assert.Equal(t, 2.0, s.Buckets(5, 7, got[:]), "time that goes back changes nothing")
 	assert.Zero(t, s.Buckets(1e300, 7, got[:]))
-	assert.LessOrEqual(t, New(turns, span, 1<<20).Bytes(), 1<<20)
+	assert.LessOrEqual(t, New(windowBuckets, span, 1<<20).Bytes(), 1<<20)
 }
 
 // table is the plain one: exact, so many objects, the least lately used go.
@@ -70,7 +71,7 @@
 
 type entry struct {
 	hash  uint64
-	sums  [turns]float64
+	sums  [windowBuckets]float64
 	epoch int
 }
 
@@ -96,11 +97,11 @@
 
 // add counts one in a turn, and gives the sum of the window.
 func (e *entry) add(epoch int) (sum float64) {
-	e.epoch = max(e.epoch, epoch-turns)
+	e.epoch = max(e.epoch, epoch-windowBuckets)
 	for ; e.epoch < epoch; e.epoch++ {
-		e.sums[(e.epoch+1)%turns] = 0
+		e.sums[(e.epoch+1)%windowBuckets] = 0
 	}
-	e.sums[epoch%turns]++
+	e.sums[epoch%windowBuckets]++
 	for _, x := range e.sums {
 		sum += x
 	}
@@ -160,7 +161,7 @@
 
 // The table alone forgets objects in a scan; with the sketch behind it they keep their counts.
 func TestAScanLeavesTheCountsOfOthers(t *testing.T) {
-	plain, behind := counted(newTable(1<<15, nil).count), counted(newTable(1<<15, New(turns, span, 1<<21)).count)
+	plain, behind := counted(newTable(1<<15, nil).count), counted(newTable(1<<15, New(windowBuckets, span, 1<<21)).count)
 	t.Logf("off by decade of rank: table %.3f, with sketch %.3f", plain, behind)
 	assert.Less(t, slices.Max(behind[:]), 0.1)
 	assert.Greater(t, slices.Max(plain[:]), 2*slices.Max(behind[:]), "what it is for")
@@ -171,14 +172,14 @@
 	for i := range hashes {
 		_, hashes[i] = s.ask()
 	}
-	for name, sketch := range map[string]*Sketch{"table": nil, "withSketch": New(turns, span, 1<<21)} {
+	for name, sketch := range map[string]*Sketch{"table": nil, "withSketch": New(windowBuckets, span, 1<<21)} {
 		table := newTable(1<<15, sketch)
 		need.Bench(b, name, func(i int) { table.count(float64(i)/20_000, hashes[i&(1<<20-1)]) })
 	}
 }
 
 // Known beside the plainest list that does the same.
-func TestKnownIsAQueueOfSoMany(t *testing.T) {
+func TestABoundedMapDropsWhatWasPutFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const most = 8
 		k, names, figures := NewBoundedMap(most), []uint64{}, map[uint64]float64{}
@@ -208,7 +209,7 @@
 				}
 			}
 			assert.Equal(t, len(names), k.Len())
-			assert.LessOrEqual(t, len(k.queue), 2*most+slack+1, "what was taken does not pile up")
+			assert.LessOrEqual(t, len(k.putOrder), 2*most+queueSlack+1, "what was taken does not pile up")
 		}
 	})
 }
--- /dev/null
+++ b/core/routing/statistics.go
@@ -0,0 +1,52 @@
+package routing
+
+import "math"
+
+const (
+	bucketSpan    = 2.0 // s; the design's: one bucket of a windowed sum
+	windowBuckets = 5   // the design's: 5 buckets of 2 s are its window of 10 s
+	windowSpan    = windowBuckets * bucketSpan
+)
+
+// windowedSum sums what happened in the last windowSpan seconds. The zero value is empty.
+type windowedSum struct {
+	buckets [windowBuckets]float64
+	epoch   int // number of the latest bucket, counted from time 0
+}
+
+// add adds x to the current bucket and returns the sum of the window.
+func (s *windowedSum) add(now, x float64) float64 {
+	epoch := int(now / bucketSpan)
+	s.advance(epoch)
+	s.buckets[epoch%windowBuckets] += x
+	total := 0.0
+	for _, sum := range s.buckets {
+		total += sum
+	}
+	return total
+}
+
+// sum returns the sum of the window.
+func (s *windowedSum) sum(now float64) float64 { return s.add(now, 0) }
+
+// advance empties the buckets that have left the window.
+func (s *windowedSum) advance(epoch int) {
+	if epoch-s.epoch > windowBuckets {
+		s.epoch = epoch - windowBuckets
+	}
+	for s.epoch < epoch {
+		s.epoch++
+		s.buckets[s.epoch%windowBuckets] = 0
+	}
+}
+
+// decayingMean is a mean that forgets: each sample weighs at least a given share. The zero value has no samples.
+type decayingMean struct {
+	mean    float64
+	samples int
+}
+
+func (m *decayingMean) add(x, weight float64) {
+	m.samples++
+	m.mean += (x - m.mean) * math.Max(weight, 1/float64(m.samples))
+}
--- a/core/sharding/shards_test.go
+++ b/core/sharding/shards_test.go
@@ -480,7 +480,8 @@
 	s.after(delay, func() { s.put(func() { s.d.HandleTimer(s.now) }) })
 }
 func (s *shard) PollEndpoints() {}
-func (s *shard) Log(string)     {}
+func (s *shard) HostEjected(uint32) {}
+func (s *shard) HostRecovered(uint32) {}
 
 func (s *shard) AccrueCredit(host uint32, since, first, add, most float64) float64 {
 	return s.pots.Add(host, since, first, add, most)
--- a/emulator/dispatcher.go
+++ b/emulator/dispatcher.go
@@ -345,5 +345,8 @@
 // PollEndpoints has no counterpart: the list is told.
 func (d *dispatcher) PollEndpoints() {}
 
-// Log is passed over.
-func (d *dispatcher) Log(string) {}
+// HostEjected is passed over.
+func (d *dispatcher) HostEjected(uint32) {}
+
+// HostRecovered is passed over.
+func (d *dispatcher) HostRecovered(uint32) {}
--- a/internal/benchwire/reply.go
+++ b/internal/benchwire/reply.go
@@ -1,9 +1,11 @@
 package benchwire
 
 import (
-	"elderwall/core/routing"
 	"encoding/json"
+	"fmt"
 	"strconv"
+
+	"elderwall/core/routing"
 )
 
 // Reply gathers the actions of one batch, as text.
@@ -74,8 +76,13 @@
 // PollEndpoints asks for the changes of the list of hosts.
 func (w Wire) PollEndpoints() { w.add("streamChanges", w.Who, "true") }
 
-// Log writes a line for the report.
-func (w Wire) Log(text string) { w.add("record", w.Who, quoted(text)) }
+// HostEjected writes a line for the report.
+func (w Wire) HostEjected(host uint32) { w.record(fmt.Sprintf("host %d ejected", host)) }
+
+// HostRecovered writes a line for the report.
+func (w Wire) HostRecovered(host uint32) { w.record(fmt.Sprintf("host %d recovered", host)) }
+
+func (w Wire) record(text string) { w.add("record", w.Who, quoted(text)) }
 
 func id(n uint32) string { return strconv.FormatUint(uint64(n), 10) }
 
--- a/internal/dispatcher/wire.go
+++ b/internal/dispatcher/wire.go
@@ -120,5 +120,12 @@
 // PollEndpoints has no counterpart: the change log pushes.
 func (w wire) PollEndpoints() {}
 
-// Log writes a line on a change of state.
-func (w wire) Log(text string) { w.Options.Log.Info().Msg(text) }
+// HostEjected logs that the module sends nothing to a host for a while.
+func (w wire) HostEjected(host uint32) {
+	w.Options.Log.Info().Uint32("host", host).Msg("host ejected")
+}
+
+// HostRecovered logs that the module sends to a host again.
+func (w wire) HostRecovered(host uint32) {
+	w.Options.Log.Info().Uint32("host", host).Msg("host recovered")
+}
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -369,7 +369,7 @@
 			assert.Zero(t, counts.Unreached+counts.PartlyWritten+counts.Unanswered+got.Broken+got.Unanswered)
 			assert.Equal(t, counts.GETs, counts.Returned+counts.Shed+counts.Errored)
 			assert.Less(t, got.Refused+got.Failed, got.Served/10, "connections begun are bounded")
-			assert.NotContains(t, l.log.String(), "left: it fails")
+			assert.NotContains(t, l.log.String(), "host ejected")
 			assert.Less(t, strings.Count(l.log.String(), "\n"), 40, "a list of many hosts is one line")
 		})
 	}
