--- a/core/routing/api.go
+++ b/core/routing/api.go
@@ -73,7 +73,7 @@
 	Object      string
 	Group, Part int
 	Deadline    float64 // s; when the client leaves, on the router's clock
-	SizeKB      float64 // 0 where it is not told
+	SizeKB      float64 // 0 where it is not known
 }
 
 // Attempt is what a host is asked to do with a request.
@@ -84,30 +84,37 @@
 	MaxAge        float64 // s; 0: what the delivery service allows
 	Coalesce      bool    // a fill may be shared with other requests
 	Revalidate    bool
-	CachedOnly    bool    // the source gives only what it has cached
-	SendBy        float64 // s; when its first byte must be out, on the router's clock: while hosts recognize a repeat, and the request is not given up
+	CachedOnly    bool // the source gives only what it has cached
+	// s; when its first byte must be out, on the router's clock: while hosts recognize a repeat, and the
+	// request is not given up
+	SendBy float64
 }
 
 // AttemptResult is how one attempt ended.
 type AttemptResult struct {
-	RequestID   uint32
-	Attempt     int // its number, from 0 in the order of Actions.Forward
-	Outcome     Outcome
-	Elapsed     float64 // s; since it was sent
-	FillWait    float64 // s; of it the fill waited for its source's first byte, or until that failed; 0 where it is not told
-	SizeKB      float64 // of the bytes that came; 0 where it is not told
-	Final       bool    // the client has its answer
-	Note        Note
-	IngressLoad float64 // as reported: transfers into the host's zone over those that fit at full pace, 0 for none
+	RequestID uint32
+	Attempt   int // its number, from 0 in the order of Actions.Forward
+	Outcome   Outcome
+	Elapsed   float64 // s; since it was sent
+	// s; of it the fill waited for its source's first byte, or until that failed; 0 where it is not known
+	FillWait float64
+	SizeKB   float64 // of the bytes that came; 0 where it is not known
+	Final    bool    // the client has its answer
+	Note     Note
+	// as reported: transfers into the host's zone over those that fit at full pace, 0 for none
+	IngressLoad float64
 }
 
-// Actions carries a router's decisions out. Its methods are called from within the router's own, and must not call back.
+// Actions carries a router's decisions out. Its methods are called from within the router's own, and must not
+// call back.
 type Actions interface {
-	// Forward sends an attempt. The number of an attempt is the count of those before it for the same request.
+	// Forward sends an attempt. The number of an attempt is the count of those before it for the same
+	// request.
 	Forward(a Attempt)
 	// Cancel ends an attempt; its result is still expected.
 	Cancel(requestID uint32, attempt int)
-	// Shed answers a request as rejected with no effect; the client may come back after some seconds, 0 for not told.
+	// Shed answers a request as rejected with no effect; the client may come back after some seconds, 0 for
+	// none.
 	Shed(requestID uint32, retryAfter float64)
 	// Fail answers a request as failed: it may have had an effect.
 	Fail(requestID uint32)
--- a/core/routing/attempt.go
+++ b/core/routing/attempt.go
@@ -2,8 +2,8 @@
 
 // attempt is one forward of a request to a host.
 //
-// States: out (neither returned nor abandoned), abandoned (its result is not waited for any more, it still counts as in
-// flight), returned (its result is known and it counts nowhere).
+// States: out (neither returned nor abandoned), abandoned (its result is not waited for any more, it still
+// counts as in flight), returned (its result is known and it counts nowhere).
 type attempt struct {
 	number       int
 	host, source *host   // the source is the host itself where nothing is filled
@@ -27,19 +27,19 @@
 
 // attemptLimits are the concurrency limits that an attempt counts in, and those that its end is judged by.
 type attemptLimits struct {
-	held      []*concurrencyLimit // it counts in these, its host's first
-	fill      []*concurrencyLimit // they judge it as a fill: its source's, and that of all fills
-	late      []*concurrencyLimit // its lateness counts against these
-	judgedBy  *concurrencyLimit   // the first of those that have counted its end; nil before
-	heldStore [5]*concurrencyLimit
-	fillStore [2]*concurrencyLimit
+	counted      []*concurrencyLimit // it counts in these, its host's first
+	fill         []*concurrencyLimit // they judge it as a fill: its source's, and that of all fills
+	late         []*concurrencyLimit // its lateness counts against these
+	judgedBy     *concurrencyLimit   // the first of those that have counted its end; nil before
+	countedStore [5]*concurrencyLimit
+	fillStore    [2]*concurrencyLimit
 }
 
 // filled reports whether a source other than the host itself was named.
 func (a *attempt) filled() bool { return a.source != a.host }
 
-// reachedHost reports whether the attempt came to its host and ended there, whatever the result. Guards against connections
-// that do not come up, or break, passing for congestion where no note tells of fills.
+// reachedHost reports whether the attempt came to its host and ended there, whatever the result. Guards
+// against connections that do not come up, or break, passing for congestion where no note tells of fills.
 func (a *attempt) reachedHost() bool {
 	switch a.result.Outcome {
 	case Withdrawn, Unreachable, ConnectionLost, ArrivedLate:
@@ -69,7 +69,8 @@
 // mayHaveRun reports whether the attempt may have been executed.
 func (o Outcome) mayHaveRun() bool { return o < Rejected }
 
-// blamesSource reports whether a note lays a failure on the source of a fill, not on the host that tells of it.
+// blamesSource reports whether a note lays a failure on the source of a fill, not on the host that tells of
+// it.
 func (n Note) blamesSource() bool {
 	switch n {
 	case SourceRejected, SourceFailed, SourceNotCached, OriginFailed:
--- a/core/routing/cache_fill.go
+++ b/core/routing/cache_fill.go
@@ -12,11 +12,12 @@
 	rejectionThreshold    = 0.5  // share of fills that are rejected from which a source may be to blame
 	forgetRejectionsUnder = 0.25 // share of rejected fills under which it is not to blame any more
 	rejectionWeight       = 0.25 // share of one fill in that share
-	minRejectingCaches    = 3    // caches that reject a source's fills before it is to blame: fewer may be full themselves
+	// caches that reject a source's fills before it is to blame: fewer may be full themselves
+	minRejectingCaches = 3
 )
 
-// selectSource names the source of a miss: the object's parent, the next one, or the origin. While fills are at their limit a
-// request only looks whether the cache has the object, and is rejected if not.
+// selectSource names the source of a miss: the object's parent, the next one, or the origin. While fills are
+// at their limit a request only looks whether the cache has the object, and is rejected if not.
 func (r *Router) selectSource(q *request) verdict {
 	q.source, q.cachedOnly = q.host, false
 	if q.host == r.endpoints.origin && !r.limits.origin.quotaAllows() {
@@ -30,8 +31,9 @@
 	if o := r.endpoints.origin; o != nil && o.health.ejected {
 		originHasCapacity = r.mayTryOrigin(o)
 	}
-	onlyLook := !r.limits.fills.hasCapacity(work) || admitted < 1 && r.uniform(q.host) > admitted
-	onlyLook = onlyLook || source == nil || source == r.endpoints.origin && !originHasCapacity || r.looksFirst(q, source)
+	notAdmitted := !r.limits.fills.hasCapacity(work) || admitted < 1 && r.uniform(q.host) > admitted
+	noSource := source == nil || source == r.endpoints.origin && !originHasCapacity
+	onlyLook := notAdmitted || noSource || r.looksFirst(q, source)
 	if !onlyLook {
 		q.source, q.cachedOnly = source, source != r.endpoints.origin && !originHasCapacity
 	}
@@ -41,20 +43,22 @@
 	return proceed
 }
 
-// mayTryOrigin reports whether an ejected origin may be tried: by one request at a time, itself or behind a parent.
+// mayTryOrigin reports whether an ejected origin may be tried: by one request at a time, itself or behind a
+// parent.
 func (r *Router) mayTryOrigin(origin *host) bool {
 	return r.now >= origin.health.ejectedUntil && r.limits.origin.count == 0 && r.limits.origin.quotaAllows()
 }
 
-// looksFirst reports whether a cache that is thought to have the object is asked for that alone, where the cluster sets quotas for
-// what may need the origin or the source: else a cache that has evicted the object would fill it, and that would count nowhere.
+// looksFirst reports whether a cache that is thought to have the object is asked for that alone, where the
+// cluster sets quotas for what may need the origin or the source: else a cache that has evicted the object
+// would fill it, and that would count nowhere.
 func (r *Router) looksFirst(q *request, source *host) bool {
 	hasQuota := r.limits.origin.hasQuota || source != nil && source.limit.hasQuota
-	return hasQuota && !q.cacheMissed && q.object.heldBy(q.host, r.now)
+	return hasQuota && !q.cacheMissed && q.object.cachedBy(q.host, r.now)
 }
 
-// selectParent returns the first usable parent in the object's order over all listed parents, the next one if that fails or is at its
-// limit while the next bears clearly more, and the origin when none is usable.
+// selectParent returns the first usable parent in the object's order over all listed parents, the next one if
+// that fails or is at its limit while the next bears clearly more, and the origin when none is usable.
 func (r *Router) selectParent(q *request) *host {
 	var first, better *host
 	work, slowdown := r.costs.work(q), 0.0
@@ -80,11 +84,13 @@
 	if h.limit.max > muchLargerLimit*first.limit.max {
 		return true
 	}
-	return slowdown > congestion.CongestedSlowdown && r.congestion.Slowdown(r.now, &h.link) < slowdown*muchLowerShare
+	congested := slowdown > congestion.CongestedSlowdown
+	return congested && r.congestion.Slowdown(r.now, &h.link) < slowdown*muchLowerShare
 }
 
-// observeFill learns from a result how healthy the source of a fill is, and what the links into the zone bear. An origin that fails
-// behind parents is ejected like any host: the fast failures of many routers, which no limit bounds, would keep it down.
+// observeFill learns from a result how healthy the source of a fill is, and what the links into the zone
+// bear. An origin that fails behind parents is ejected like any host: the fast failures of many routers,
+// which no limit bounds, would keep it down.
 func (r *Router) observeFill(q *request, a *attempt) verdict {
 	r.observeLinks(q, a) // first: what is late is blamed by what this result tells, too
 	note, outcome := a.result.Note, a.result.Outcome
@@ -97,16 +103,16 @@
 	}
 	q.sourceMissed = a.cachedOnly && outcome == NotCached
 	q.cacheMissed = q.cacheMissed || note.blamesSource()
-	if r.tellsOfFills(q, a) {
+	if r.informsAboutFills(q, a) {
 		r.observeFillInLimits(a)
 	}
 	r.observeSource(q, a)
 	return proceed
 }
 
-// tellsOfFills reports whether a result tells how fills come through. One that its client took back early does not, nor one at one of
-// many hosts that was silent.
-func (r *Router) tellsOfFills(q *request, a *attempt) bool {
+// informsAboutFills reports whether a result tells how fills come through. One that its client took back
+// early does not, nor one at one of many hosts that was silent.
+func (r *Router) informsAboutFills(q *request, a *attempt) bool {
 	note, outcome := a.result.Note, a.result.Outcome
 	if outcome == Canceled {
 		takenBackEarly := q.finished && a.result.Elapsed <= a.objective
@@ -119,7 +125,9 @@
 		return false
 	}
 	switch {
-	case note.filledFromSource(), outcome == Canceled && a.isFill, note >= SourceRejected && note != SourceNotCached:
+	case note.filledFromSource(),
+		outcome == Canceled && a.isFill,
+		note >= SourceRejected && note != SourceNotCached:
 		return true
 	case r.NoteDetail != FillNotes:
 		return a.isFill && note != CacheHit || outcome == Rejected
@@ -139,7 +147,9 @@
 	case SourceFailed:
 		limits = a.limits.fill[:1] // tells of the source alone
 	}
-	late := a.result.Outcome != Succeeded || a.result.Elapsed > a.objective || a.result.IngressLoad > overloadedIngress
+	late := a.result.Outcome != Succeeded ||
+		a.result.Elapsed > a.objective ||
+		a.result.IngressLoad > overloadedIngress
 	r.limits.observe(a, late, r.limits.blamed(a, late, limits))
 }
 
@@ -172,7 +182,8 @@
 	}
 }
 
-// observeLinks learns from a result the object's size, and how congested the links of its host, its source and into the zone are.
+// observeLinks learns from a result the object's size, and how congested the links of its host, its source
+// and into the zone are.
 func (r *Router) observeLinks(q *request, a *attempt) {
 	result := a.result
 	if r.NoteDetail != FillNotes && a.filled() {
@@ -189,7 +200,8 @@
 	}
 	r.costs.learnSize(q, result.SizeKB)
 	note := result.Note
-	if r.NoteDetail == NoNotes && !a.isFill { // as far as is known: else no size would tell what time a request takes
+	// as far as is known: else no size would tell what time a request takes
+	if r.NoteDetail == NoNotes && !a.isFill {
 		note = CacheHit
 	}
 	switch note {
@@ -200,8 +212,8 @@
 	}
 }
 
-// observeUnfinishedFill learns from a fill that has not come yet; not where no note tells of those that came: the links into the zone
-// would look as congested as its latest fills.
+// observeUnfinishedFill learns from a fill that has not come yet; not where no note tells of those that came:
+// the links into the zone would look as congested as its latest fills.
 func (r *Router) observeUnfinishedFill(q *request, a *attempt) {
 	if r.NoteDetail == NoNotes {
 		return
@@ -247,9 +259,10 @@
 	return s.lastFill > rejected.rejectedSince && s.rejectionRate < rejected.rejectionRate*muchLowerShare
 }
 
-// observeUnnotedFill finds, where no note tells, whether a fill was rejected for its source: several caches reject most fills from it,
-// while another source gives. Guards against a source that is down before the list says so, whose rejections would pass for congested links
-// into the zone and stop all fills; caches that are full reject fills whatever their source.
+// observeUnnotedFill finds, where no note tells, whether a fill was rejected for its source: several caches
+// reject most fills from it, while another source gives. Guards against a source that is down before the list
+// says so, whose rejections would pass for congested links into the zone and stop all fills; caches that are
+// full reject fills whatever their source.
 func (r *Router) observeUnnotedFill(q *request, a *attempt) {
 	source := a.source
 	switch outcome := a.result.Outcome; {
--- a/core/routing/concurrency_limit.go
+++ b/core/routing/concurrency_limit.go
@@ -7,24 +7,31 @@
 )
 
 const (
-	toleratedLateShare      = 0.1  // share of a round's work that came late above which the limit is cut
-	toleratedCacheLateShare = 0.15 // so much more must be late for the limit on all caches, as one may be crowded
-	earlyCutShare           = 0.25 // share of a round's work that came late after which its rest is not waited for
-	cutFactor               = 0.7  // share of the limit that is cut when all of a round are late; less in proportion
-	growthFactor            = 1.25 // multiple of the limit after a round in time: doubled in about three rounds
-	recoveryFactor          = 2.0  // the same up to what was borne before the last cuts, less by this: faults pass
-	usedShare               = 0.5  // share of a limit that must be in flight for a round in time to say that it is too low
-	minRequestsUnder        = 2.0  // requests of the largest service that a limit always leaves capacity for
-	minRequestsInRound      = 2.0  // multiple of that which a round must see end, or chance would move the limit
-	initialFillsPerCache    = 16.0 // requests; fills in flight at first for each cache: fewer are rejected in calm, more are late
-	overloadedIngress       = 2.0  // transfers into the zone over those that fit at full pace, at which a fill counts as late
+	toleratedLateShare = 0.1 // share of a round's work that came late above which the limit is cut
+	// so much more must be late for the limit on all caches, as one may be congested
+	toleratedCacheLateShare = 0.15
+	// share of a round's work that came late after which its rest is not waited for
+	earlyCutShare = 0.25
+	// share of the limit that is cut when all of a round are late; less in proportion
+	cutFactor    = 0.7
+	growthFactor = 1.25 // multiple of the limit after a round in time: doubled in about three rounds
+	// the same up to what was borne before the last cuts, less by this: faults pass
+	recoveryFactor = 2.0
+	// share of a limit that must be in flight for a round in time to say that it is too low
+	usedShare          = 0.5
+	minRequestsUnder   = 2.0 // requests of the largest service that a limit always leaves capacity for
+	minRequestsInRound = 2.0 // multiple of that which a round must see end, or chance would move the limit
+	// requests; fills in flight at first for each cache: fewer are rejected in calm, more are late
+	initialFillsPerCache = 16.0
+	// transfers into the zone over those that fit at full pace, at which a fill counts as late
+	overloadedIngress = 2.0
 )
 
-// concurrencyLimit bounds the work in flight somewhere, and adapts to what comes back in time. It is judged round by round:
-// a round is over once as much work has ended as was in flight at its start.
+// concurrencyLimit bounds the work in flight somewhere, and adapts to what comes back in time. It is judged
+// round by round: a round is over once as much work has ended as was in flight at its start.
 //
-// Invariants: work and count are those of the attempts that are in flight under it; max never falls under what
-// minRequestsUnder asks for.
+// Invariants: work and count are those of the attempts that are in flight under it; max never falls under
+// what minRequestsUnder asks for.
 type concurrencyLimit struct {
 	kind LimitKind
 	host uint32 // of a HostLimit
@@ -61,8 +68,8 @@
 	l.work -= work
 }
 
-// quotaAllows reports whether the cluster lets one more attempt go. Guards against routers that each stay within their own
-// limit and together overload the origin.
+// quotaAllows reports whether the cluster lets one more attempt go. Guards against routers that each stay
+// within their own limit and together overload the origin.
 func (l *concurrencyLimit) quotaAllows() bool {
 	if !l.hasQuota || l.count < l.quota {
 		return true
@@ -71,7 +78,8 @@
 	return false
 }
 
-// hasCapacity reports whether more work may go. Where nothing is in flight something always may, or nothing would be learned.
+// hasCapacity reports whether more work may go. Where nothing is in flight something always may, or nothing
+// would be learned.
 func (l *concurrencyLimit) hasCapacity(work float64) bool {
 	fits := (l.count == 0 || l.work+work <= l.max) && l.quotaAllows()
 	l.roundFull = l.roundFull || !fits
@@ -104,8 +112,8 @@
 	}
 }
 
-// initialize sets the first limit on fills, once caches are known. Guards against a first second with no limit, which the few
-// answers that one router sees would close late.
+// initialize sets the first limit on fills, once caches are known. Guards against a first second with no
+// limit, which the few answers that one router sees would close late.
 func (l *limiter) initialize(caches int) {
 	if !math.IsInf(l.fills.max, 1) || caches == 0 || len(l.costs.services) == 0 {
 		return
@@ -130,8 +138,8 @@
 	return nil
 }
 
-// observe counts the end of an attempt into limits, in time or late, unless it was judged by them before. Guards against
-// congestion collapse whatever its cause; it may reject where fewer requests are not faster.
+// observe counts the end of an attempt into limits, in time or late, unless it was judged by them before.
+// Guards against congestion collapse whatever its cause; it may reject where fewer requests are not faster.
 func (l *limiter) observe(a *attempt, late bool, limits []*concurrencyLimit) {
 	if a.limits.judgedBy == limits[0] {
 		return
@@ -193,14 +201,16 @@
 	return work
 }
 
-// blamed returns the limits that the end of a fill counts against, of those given: that of its source alone, if that is known to be
-// slow, or that on all fills, if all sources look slow. The latter is cut at once, as its rounds take longer than a burst.
+// blamed returns the limits that the end of a fill counts against, of those given: that of its source alone,
+// if that is known to be slow, or that on all fills, if all sources look slow. The latter is cut at once, as
+// its rounds take longer than a burst.
 func (l *limiter) blamed(a *attempt, late bool, limits []*concurrencyLimit) []*concurrencyLimit {
 	if !a.isFill {
 		return limits
 	}
 	cause := l.congestion.LateCause(l.now, &a.source.link)
-	if !late && l.fills.roundFull && l.congestion.IngressHasSpare(l.now) { // it recovers as it was cut, with each fill
+	// it recovers as it was cut, with each fill
+	if !late && l.fills.roundFull && l.congestion.IngressHasSpare(l.now) {
 		l.fills.max += a.work * math.Min(1, l.fills.borne/l.fills.max)
 		return limits
 	}
--- a/core/routing/congestion/congestion.go
+++ b/core/routing/congestion/congestion.go
@@ -1,11 +1,11 @@
-// Package congestion tells from the bytes and times of answers how congested the links of hosts are. It is pure: no I/O and
-// no clock.
+// Package congestion tells from the bytes and times of answers how congested the links of hosts are. It is
+// pure: no I/O and no clock.
 //
-// A router among hundreds has hardly anything in flight at one host, and an answer's time alone tells more of its size than of
-// the host. Its bytes tell the size, so one answer is enough: time over bytes is the pace at which the host's link let it
-// through. The usual pace is learned from the cache hits of all hosts together, and a host's slowdown is its own pace over that.
-// What is known of a host fades towards no slowdown, or a host that nothing is sent to for its slowness would never be
-// tried again.
+// A router among hundreds has hardly anything in flight at one host, and an answer's time alone tells more of
+// its size than of the host. Its bytes tell the size, so one answer is enough: time over bytes is the pace at
+// which the host's link let it through. The usual pace is learned from the cache hits of all hosts together,
+// and a host's slowdown is its own pace over that. What is known of a host fades towards no slowdown, or a
+// host that nothing is sent to for its slowness would never be tried again.
 package congestion
 
 import "math"
@@ -18,8 +18,8 @@
 	usualStep     = 0.1 // share by which one hit moves the usual pace at most: some ten hits double it
 )
 
-// CongestedSlowdown is the slowdown from which on a link has more transfers than it carries in time: as many again as at full
-// pace. Latency objectives leave headroom for about so much.
+// CongestedSlowdown is the slowdown from which on a link has more transfers than it carries in time: as many
+// again as at full pace. Latency objectives leave headroom for about so much.
 const CongestedSlowdown = 2.0
 
 // Cause is what a late fill is blamed on.
@@ -32,14 +32,15 @@
 	CauseIngress       // fills are slow whichever source they come from
 )
 
-// Tracker learns the usual pace and the state of the ingress, the links that all fills share. The zero value knows nothing.
-// Links are kept by their owners and handed in.
+// Tracker learns the usual pace and the state of the ingress, the links that all fills share. The zero value
+// knows nothing. Links are kept by their owners and handed in.
 type Tracker struct {
 	usual   float64 // s/KB; 0 before the first hit
 	ingress ingress
 }
 
-// ExpectedTime is the time in seconds that a transfer takes at the usual pace; 0 as long as that is not known.
+// ExpectedTime is the time in seconds that a transfer takes at the usual pace; 0 as long as that is not
+// known.
 func (t *Tracker) ExpectedTime(kb float64) float64 { return t.usual * kb }
 
 // Slowdown is how many times as slow as usual a link is, 1 at least; 1 where nothing is known.
@@ -66,8 +67,8 @@
 	}
 }
 
-// ObserveFill takes in that a host answered with kb KB which it filled from a source meanwhile, elapsed seconds after the first of
-// them. What the host's own slowdown does not explain is its source's.
+// ObserveFill takes in that a host answered with kb KB which it filled from a source meanwhile, elapsed
+// seconds after the first of them. What the host's own slowdown does not explain is its source's.
 func (t *Tracker) ObserveFill(now float64, link, source *Link, kb, elapsed float64) {
 	if kb < minKB || elapsed < minElapsed || t.usual == 0 {
 		return
@@ -97,7 +98,8 @@
 // LateCause tells what a late fill from a source is blamed on.
 func (t *Tracker) LateCause(now float64, source *Link) Cause {
 	switch {
-	case t.IngressSlowdown(now) > CongestedSlowdown: // first: fills that were slow before it was known count against their sources
+	// first: fills that were slow before it was known count against their sources
+	case t.IngressSlowdown(now) > CongestedSlowdown:
 		return CauseIngress
 	case t.Slowdown(now, source) > CongestedSlowdown:
 		return CauseSource
@@ -110,14 +112,16 @@
 	return math.Max(0, 1-CongestedSlowdown/t.IngressSlowdown(now))
 }
 
-// FillShare is the share of misses that may fill while the ingress is congested, 1 while it is not. Guards against many
-// routers that each keep to the least limit, and together fill the ingress with transfers that are late.
+// FillShare is the share of misses that may fill while the ingress is congested, 1 while it is not. Guards
+// against many routers that each keep to the least limit, and together fill the ingress with transfers that
+// are late.
 func (t *Tracker) FillShare(now float64) float64 {
 	carried := math.Min(1, CongestedSlowdown/t.IngressSlowdown(now))
 	return carried * carried
 }
 
-// IngressHasSpare reports whether the ingress is known to carry more; where answers tell no bytes nothing is known.
+// IngressHasSpare reports whether the ingress is known to carry more; where answers tell no bytes nothing is
+// known.
 func (t *Tracker) IngressHasSpare(now float64) bool {
 	return t.usual > 0 && t.IngressSlowdown(now) < (1+CongestedSlowdown)/2
 }
--- a/core/routing/congestion/link.go
+++ b/core/routing/congestion/link.go
@@ -6,9 +6,12 @@
 )
 
 const (
-	minSampleWeight   = 0.5  // share; least weight of one answer in a link's slowdown: two that agree are believed
-	halfLife          = 4.0  // s; after which half of what is known of a link has faded: congestion comes and goes in seconds
-	sourceHalfLife    = 12.0 // s; the same of a source, of which one router among hundreds hears each ten seconds
+	// share; least weight of one answer in a link's slowdown: two that agree are believed
+	minSampleWeight = 0.5
+	// s; after which half of what is known of a link has faded: congestion comes and goes in seconds
+	halfLife = 4.0
+	// s; the same of a source, of which one router among hundreds hears each ten seconds
+	sourceHalfLife    = 12.0
 	rejectionSlowdown = 4.0  // slowdown that a source counts with which rejected a fill
 	maxSlowdown       = 32.0 // one answer that stood still must not be remembered for a minute
 	recentFills       = 5    // fills whose median tells of the ingress: one slow source among them does not
--- a/core/routing/cost_model.go
+++ b/core/routing/cost_model.go
@@ -8,13 +8,16 @@
 )
 
 const (
-	responseTimeWeight = 0.1   // share of one answer in a learned response time or size: about the last ten count
+	// share of one answer in a learned response time or size: about the last ten count
+	responseTimeWeight = 0.1
 	sendingTimeWeight  = 0.002 // share of one request in a mean sending time: sizes vary, so hundreds count
-	servingTimeWeight  = 0.2   // share of one answer in a serving time: about five, as a router sees few of one host
-	uncrowdedAttempts  = 1     // attempts in flight beside one whose response time still tells of its size
-	unknownSendingTime = 0.5   // share of the latency objective taken for a sending time before any is known
-	highPriority       = 3.0   // multiple of a limit open to services that are worth more for their sending time
-	lowPriority        = 0.5   // multiple of it open to objects that were not requested before
+	// share of one answer in a serving time: about five, as a router sees few of one host
+	servingTimeWeight   = 0.2
+	uncongestedAttempts = 1   // attempts in flight beside one whose response time still tells of its size
+	unknownSendingTime  = 0.5 // share of the latency objective taken for a sending time before any is known
+	// multiple of a limit open to services that are worth more for their sending time
+	highPriority = 3.0
+	lowPriority  = 0.5 // multiple of it open to objects that were not requested before
 )
 
 // service is a delivery service with what is learned of its requests.
@@ -25,7 +28,8 @@
 	responseTime decayingMean // s; from sending an attempt to its answer
 }
 
-// costModel tells what a request costs: its sending time, its work in a concurrency limit, its latency objective.
+// costModel tells what a request costs: its sending time, its work in a concurrency limit, its latency
+// objective.
 type costModel struct {
 	*environment
 	services   []*service
@@ -43,7 +47,8 @@
 // sizeKB is the size of the answer as far as it is known; 0 where nothing is.
 func (c *costModel) sizeKB(q *request) float64 { return cmp.Or(q.object.sizeKB, q.service.sizeKB.mean) }
 
-// expectedTime is the time in seconds that the answer takes at the usual pace; 0 as long as that is not known.
+// expectedTime is the time in seconds that the answer takes at the usual pace; 0 as long as that is not
+// known.
 func (c *costModel) expectedTime(q *request) float64 { return c.congestion.ExpectedTime(c.sizeKB(q)) }
 
 // work is what a request counts for in a limit: the mean sending time of its service, in seconds.
@@ -57,8 +62,8 @@
 	return math.Min(q.service.Objective+q.service.Stretch*sending, q.service.ViewerTimeout)
 }
 
-// priority is the multiple of a limit open to a request: by its service's priority weight for its sending time, and by
-// whether its object was requested before.
+// priority is the multiple of a limit open to a request: by its service's priority weight for its sending
+// time, and by whether its object was requested before.
 func (c *costModel) priority(q *request) float64 {
 	multiple := 1.0
 	for _, s := range c.services {
@@ -84,7 +89,7 @@
 	elapsed := a.result.Elapsed
 	q.service.responseTime.add(elapsed, responseTimeWeight)
 	tellsSize := a.result.Note == CacheHit || c.NoteDetail == NoNotes
-	if c.sendingTime(q) == 0 && tellsSize && a.concurrent <= uncrowdedAttempts {
+	if c.sendingTime(q) == 0 && tellsSize && a.concurrent <= uncongestedAttempts {
 		// Congestion must not pass for size: the objective would grow with it, and nothing would look late.
 		q.service.sendingTime.add(math.Min(elapsed, q.service.Objective), sendingTimeWeight)
 	}
--- a/core/routing/deadline.go
+++ b/core/routing/deadline.go
@@ -26,7 +26,8 @@
 	r.timers.Put(&a.objectiveOver, r.now+a.objective, timerEvent{(*Router).handleObjectiveMissed, q, a})
 }
 
-// handleOverdue looks at an attempt that is overdue: a host that has been silent since is ejected, and its requests are retried elsewhere.
+// handleOverdue looks at an attempt that is overdue: a host that has been silent since is ejected, and its
+// requests are retried elsewhere.
 func (r *Router) handleOverdue(q *request, a *attempt) {
 	if a.returned || a.abandoned || q.finished {
 		return
@@ -47,7 +48,8 @@
 	}
 }
 
-// suspectOf is the host whose silence an overdue attempt may show: a cache that speaks may wait for a silent parent.
+// suspectOf is the host whose silence an overdue attempt may show: a cache that speaks may wait for a silent
+// parent.
 func (r *Router) suspectOf(a *attempt) *host {
 	if !a.host.health.silentSince(a.sentAt) && a.isFill && a.source.Kind == r.ParentKind {
 		return a.source
@@ -55,7 +57,8 @@
 	return a.host
 }
 
-// othersInFlight is what other attempts in flight at a host count for beside an overdue one, which alone may be for a large object.
+// othersInFlight is what other attempts in flight at a host count for beside an overdue one, which alone may
+// be for a large object.
 func (r *Router) othersInFlight(h *host) int {
 	others := h.inFlight + h.fillsInFlight - 1
 	if r.NoteDetail == FillNotes {
--- a/core/routing/demand.go
+++ b/core/routing/demand.go
@@ -1,6 +1,7 @@
 package routing
 
-// minCountedRequests is the number of requests in the window below which a count says nothing: the object keeps one cache.
+// minCountedRequests is the number of requests in the window below which a count says nothing: the object
+// keeps one cache.
 const minCountedRequests = 6
 
 // demandTracker estimates the byte rates of objects, and by them how many caches each is spread over.
@@ -17,7 +18,8 @@
 	d.total.add(now, q.bytes())
 }
 
-// copies is the number of caches that the object's byte rate gives it: one more by each even share of all ready caches.
+// copies is the number of caches that the object's byte rate gives it: one more by each even share of all
+// ready caches.
 func (d *demandTracker) copies(now float64, q *request, readyCaches int) int {
 	rate := q.object.demand.sum(now)
 	if rate < minCountedRequests*q.bytes() {
--- a/core/routing/endpoint_table.go
+++ b/core/routing/endpoint_table.go
@@ -28,8 +28,8 @@
 // busy reports whether any attempt is in flight at the host or fills from it.
 func (h *host) busy() bool { return h.inFlight+h.fillsInFlight > 0 }
 
-// endpointTable keeps the listed hosts, and which of them may be used: the caches of the own zone, all parents, a ready
-// origin. A removed host is forgotten once nothing is in flight there.
+// endpointTable keeps the listed hosts, and which of them may be used: the caches of the own zone, all
+// parents, a ready origin. A removed host is forgotten once nothing is in flight there.
 type endpointTable struct {
 	*environment
 	groups      *grouphealth.Tracker
@@ -116,7 +116,8 @@
 	t.reorderCaches(before)
 }
 
-// listed returns the hosts that the list has not removed, by id, and forgets removed ones once nothing is in flight there.
+// listed returns the hosts that the list has not removed, by id, and forgets removed ones once nothing is in
+// flight there.
 func (t *endpointTable) listed() []*host {
 	if len(t.added) > 0 {
 		byID := func(a, b *host) int { return cmp.Compare(a.ID, b.ID) }
@@ -138,8 +139,8 @@
 	return hosts
 }
 
-// reorderCaches takes the caches into their shared order and into their groups. With many hosts, only those that were added,
-// were removed or changed their group cost anything.
+// reorderCaches takes the caches into their shared order and into their groups. With many hosts, only those
+// that were added, were removed or changed their group cost anything.
 func (t *endpointTable) reorderCaches(before []*host) {
 	t.generation++
 	added := t.regroup()
@@ -198,7 +199,7 @@
 	}
 }
 
-// bandwidthKB is the KB per second that the host's link is told to carry; 0 where that is not told.
+// bandwidthKB is the KB per second that the host's link is known to carry; 0 where that is not known.
 func (t *endpointTable) bandwidthKB(h *host) float64 {
 	if !t.WeightsKnown {
 		return 0
--- a/core/routing/environment.go
+++ b/core/routing/environment.go
@@ -8,7 +8,8 @@
 	"elderwall/core/routing/rendezvous"
 )
 
-// environment is what all concerns of one router share: its settings, its way out, the time of the call and chance.
+// environment is what all concerns of one router share: its settings, its way out, the time of the call and
+// chance.
 type environment struct {
 	Settings
 	actions Actions
--- a/core/routing/grouphealth/grouphealth.go
+++ b/core/routing/grouphealth/grouphealth.go
@@ -1,28 +1,32 @@
-// Package grouphealth tells of the health of hosts of which a router hears seldom, by the groups that fail together: the
-// rack, or all hosts of a kind and zone. With thousands of caches each gets a request in seconds, so a host's own record comes too
-// late; its group's speaks for it, and the host's own departs from that as far as it has any. It only narrows what routing may do,
-// and tells nothing where hosts are few. It is pure.
+// Package grouphealth tells of the health of hosts of which a router hears seldom, by the groups that fail
+// together: the rack, or all hosts of a kind and zone. With thousands of caches each gets a request in
+// seconds, so a host's own record comes too late; its group's speaks for it, and the host's own departs from
+// that as far as it has any. It only narrows what routing may do, and tells nothing where hosts are few. It
+// is pure.
 //
-// States of a group: heard; silent (most of the hosts heard of lately were lost). A silent group is heard again by answers of its
-// hosts to trial requests, never by time alone.
+// States of a group: heard; silent (most of the hosts heard of lately were lost). A silent group is heard
+// again by answers of its hosts to trial requests, never by time alone.
 //
 // Invariants:
 //   - a host that has answered since its group fell silent is never suspected for its group;
-//   - at most half of all hosts are suspected for their groups: a router to which most are silent has lost its own network;
+//   - at most half of all hosts are suspected for their groups: a router to which most are silent has lost its own
+//     network;
 //   - hosts that are suspected or ejected get a bounded share of requests as trials, all of them together.
 package grouphealth
 
 import "math"
 
-// MinHosts is the number of hosts from which on they are grouped; fewer are heard of often enough to speak for themselves.
+// MinHosts is the number of hosts from which on they are grouped; fewer are heard of often enough to speak
+// for themselves.
 const MinHosts = 64
 
 const (
-	minLostHosts     = 3    // hosts of a group that were lost before it is silent: fewer may be chance
-	silentShare      = 0.5  // share of its hosts heard of that were lost above which it is silent
-	minAnswers       = 3    // hosts of it that must answer before it is heard again
-	maxSuspectShare  = 0.5  // share of all hosts that may be suspected for their groups
-	widespreadLosses = 0.25 // share of all hosts heard of that were lost, above which one loss tells little of its host
+	minLostHosts    = 3   // hosts of a group that were lost before it is silent: fewer may be chance
+	silentShare     = 0.5 // share of its hosts heard of that were lost above which it is silent
+	minAnswers      = 3   // hosts of it that must answer before it is heard again
+	maxSuspectShare = 0.5 // share of all hosts that may be suspected for their groups
+	// share of all hosts heard of that were lost, above which one loss tells little of its host
+	widespreadLosses = 0.25
 	priorWeight      = 2.0  // answers that the mean of all hosts counts for beside a host's own
 	maxEvidence      = 5.0  // answers that a learned time is made of: it forgets those before
 	evidenceLifetime = 30.0 // s; in which a host's own answers lose most of their weight
@@ -167,15 +171,15 @@
 	}
 }
 
-// RecoveredSince reports whether a host that was ejected at a moment has recovered with one answer: its group has been silent
-// with it, and is heard again since.
+// RecoveredSince reports whether a host that was ejected at a moment has recovered with one answer: its group
+// has been silent with it, and is heard again since.
 func (m *Member) RecoveredSince(ejectedAt float64) bool {
 	return m != nil && m.group.recoveredAt >= ejectedAt
 }
 
-// LossWeight takes in that a host could not be reached, and returns what that counts for in its fault rate, which is own for a host that
-// is heard of often. One of many is ejected at once, by the threshold, as the next request that would confirm the loss comes seconds later
-// and is lost too.
+// LossWeight takes in that a host could not be reached, and returns what that counts for in its fault rate,
+// which is own for a host that is heard of often. One of many is ejected at once, by the threshold, as the
+// next request that would confirm the loss comes seconds later and is lost too.
 func (m *Member) LossWeight(now, own, ejectionThreshold float64) float64 {
 	m.ObserveLoss(now)
 	if !m.isolated() {
@@ -184,14 +188,15 @@
 	return math.Max(own, ejectionThreshold)
 }
 
-// ObserveSilence takes in that a host lets a request wait, and reports whether that one is enough to eject it.
+// ObserveSilence takes in that a host lets a request wait, and reports whether that one is enough to eject
+// it.
 func (m *Member) ObserveSilence(now float64) bool {
 	m.ObserveLoss(now)
 	return m.isolated()
 }
 
-// isolated reports whether a host of many is lost by itself or with its group. Guards against a router that ejects host
-// after host because all have become slow, or because its own network has failed.
+// isolated reports whether a host of many is lost by itself or with its group. Guards against a router that
+// ejects host after host because all have become slow, or because its own network has failed.
 func (m *Member) isolated() bool {
 	if m == nil {
 		return false
@@ -203,7 +208,8 @@
 	return lostHosts <= widespreadLosses*heardOf || lostHosts <= minLostHosts
 }
 
-// ShrinkServingTime is a host's learned time as far as it has answers of its own, all standing in for the rest.
+// ShrinkServingTime is a host's learned time as far as it has answers of its own, all standing in for the
+// rest.
 func (m *Member) ShrinkServingTime(now, own float64, answers int, all float64) float64 {
 	if m == nil || all == 0 {
 		return own
--- a/core/routing/grouphealth/lastwords.go
+++ b/core/routing/grouphealth/lastwords.go
@@ -17,7 +17,8 @@
 	words // the number of words
 )
 
-// lastWords counts hosts by their last word in the buckets that count. Invariant: a host is counted once, by its last word.
+// lastWords counts hosts by their last word in the buckets that count. Invariant: a host is counted once, by
+// its last word.
 type lastWords struct {
 	bucket int // the current one
 	counts [buckets][words]int
--- a/core/routing/grouphealth/trials.go
+++ b/core/routing/grouphealth/trials.go
@@ -3,11 +3,12 @@
 import "math"
 
 const (
-	trialsPerRequest = 0.02  // what a lost trial costs is a request's time, so few of them show in a percentile
-	trialsPerSecond  = 1.0   // whatever is requested
-	maxSavedTrials   = 8.0   // trials that may be saved up
-	trialsPerAnswer  = 2.0   // trials that one which is answered allows besides: those of a recovering cluster double
-	maxEarnedTrials  = 256.0 // trials that may be allowed by that
+	trialsPerRequest = 0.02 // what a lost trial costs is a request's time, so few of them show in a percentile
+	trialsPerSecond  = 1.0  // whatever is requested
+	maxSavedTrials   = 8.0  // trials that may be saved up
+	// trials that one which is answered allows besides: those of a recovering cluster double
+	trialsPerAnswer = 2.0
+	maxEarnedTrials = 256.0 // trials that may be allowed by that
 )
 
 // trialBudget rations trials of suspected and ejected hosts.
@@ -16,8 +17,8 @@
 	filledAt  float64 // s; up to when trialsPerSecond is counted
 }
 
-// earn adds trials for a request and for the time that has passed. Time that goes back earns none, and a jump no more than may be
-// saved up.
+// earn adds trials for a request and for the time that has passed. Time that goes back earns none, and a jump
+// no more than may be saved up.
 func (b *trialBudget) earn(now float64) {
 	earned := trialsPerRequest + trialsPerSecond*math.Max(0, now-b.filledAt)
 	b.filledAt = now
--- a/core/routing/host_result.go
+++ b/core/routing/host_result.go
@@ -29,9 +29,9 @@
 	h.returned.add(r.now, a.work)
 	r.serving.learn(a)
 	r.costs.learnResponse(q, a)
-	q.object.holder, q.object.heldUntil = h, r.now+windowSpan
+	q.object.cachedAt, q.object.cachedUntil = h, r.now+windowSpan
 	if a.result.Note == CacheHit || r.NoteDetail == NoNotes && !a.isFill {
-		r.limits.observe(a, a.result.Elapsed > a.objective, a.limits.held[:2])
+		r.limits.observe(a, a.result.Elapsed > a.objective, a.limits.counted[:2])
 	}
 	r.outliers.observeSuccess(h)
 	for _, accused := range q.accused {
--- a/core/routing/object_table.go
+++ b/core/routing/object_table.go
@@ -13,8 +13,8 @@
 const (
 	objectTableSize = 1 << 15 // objects; bounds the table to a few MB
 
-	// sketchBytes is the size of the counts of objects that the table has evicted: some 65,000 by bucket, which a tenth of
-	// those that a core could be asked for in the window overfill.
+	// sketchBytes is the size of the counts of objects that the table has evicted: some 65,000 by bucket,
+	// which a tenth of those that a core could be asked for in the window overfill.
 	sketchBytes = 1 << 21
 )
 
@@ -28,8 +28,8 @@
 	requestedBefore bool    // it was requested before the current request
 	lastRequested   float64 // s
 	sizeKB          float64 // by the last answer, 0 before
-	holder          *host   // the cache that answered it last
-	heldUntil       float64 // s; until when the holder is thought to have it cached
+	cachedAt        *host   // the cache that answered it last
+	cachedUntil     float64 // s; until when it is thought to have it cached
 
 	cacheOrder, parentOrder *rendezvous.Prefix // the beginnings of its orders of hosts
 }
@@ -40,13 +40,14 @@
 	part int
 }
 
-// heldBy reports whether a cache is thought to have the object cached.
-func (o *object) heldBy(h *host, now float64) bool { return o.holder == h && now < o.heldUntil }
+// cachedBy reports whether a cache is thought to have the object cached.
+func (o *object) cachedBy(h *host, now float64) bool { return o.cachedAt == h && now < o.cachedUntil }
 
 // objectTable finds objects by name and evicts the least recently used ones beyond its size.
 //
-// Guards against a long day on which objects that nobody requests any more fill it, at 360 bytes each: of an idle object, of
-// which nothing counts any more but that it was requested, and its size, only these two are remembered.
+// Guards against a long day on which objects that nobody requests any more fill it, at 360 bytes each: of an
+// idle object, of which nothing counts any more but that it was requested, and its size, only these two are
+// remembered.
 type objectTable struct {
 	byKey        map[objectKey]*object
 	byRecency    *list.List // of *object, the most recently used first
@@ -55,8 +56,8 @@
 	evictedCount *sketch.Sketch // counts of evicted objects; nil until the table was full
 }
 
-// newObjectTable returns an empty table. An object is idle once its counts are over (a window after the last request) and
-// its holder is forgotten (a window after the last answer).
+// newObjectTable returns an empty table. An object is idle once its counts are over (a window after the last
+// request) and it is not taken for cached anywhere (a window after the last answer).
 func newObjectTable(services []DeliveryService) objectTable {
 	longest := 0.0
 	for _, s := range services {
@@ -100,8 +101,8 @@
 	return o
 }
 
-// restoreCounts gives a new object the counts that it had when it was evicted. Guards against catalogues far larger than the
-// table, where objects that are requested now and then would never be known.
+// restoreCounts gives a new object the counts that it had when it was evicted. Guards against catalogues far
+// larger than the table, where objects that are requested now and then would never be known.
 func (t *objectTable) restoreCounts(now float64, o *object, sizeKB float64) {
 	if t.evictedCount == nil {
 		return
--- a/core/routing/outlier_detection.go
+++ b/core/routing/outlier_detection.go
@@ -7,20 +7,25 @@
 )
 
 const (
-	faultWeight        = 0.25   // share of one outcome in a fault rate: three faults in a row pass ejectionThreshold
-	unreachableWeight  = 0.4375 // share; the same for a request that a host never got or never answered: two in a row
-	ejectionThreshold  = 0.5    // fault rate from which a host is ejected: it fails more often than not
-	minEjection        = 1.0    // s; the first ejection, doubled each time a trial fails
-	ejectionJitter     = 0.5    // share of an ejection by which chance spreads it: routers should not try at once
-	maxEjection        = 8.0    // s; the longest ejection, so that a host that has recovered is found
-	trialSuccesses     = 3      // answers in a row after which a host on trial has recovered
-	maxOverdueAttempts = 3      // overdue attempts at a silent host, not alone there: fewer may be for large objects
+	// share of one outcome in a fault rate: three faults in a row pass ejectionThreshold
+	faultWeight = 0.25
+	// share; the same for a request that a host never got or never answered: two in a row
+	unreachableWeight = 0.4375
+	ejectionThreshold = 0.5 // fault rate from which a host is ejected: it fails more often than not
+	minEjection       = 1.0 // s; the first ejection, doubled each time a trial fails
+	// share of an ejection by which chance spreads it: routers should not try at once
+	ejectionJitter = 0.5
+	maxEjection    = 8.0 // s; the longest ejection, so that a host that has recovered is found
+	trialSuccesses = 3   // answers in a row after which a host on trial has recovered
+	// overdue attempts at a silent host, not alone there: fewer may be for large objects
+	maxOverdueAttempts = 3
 )
 
 // health is what is known of a host's faults.
 //
-// States: healthy; ejected until ejectedUntil (it gets nothing); on trial after that (ejected still, it gets one request at a
-// time). A failed trial ejects it for twice as long; trialSuccesses answers in a row make it healthy.
+// States: healthy; ejected until ejectedUntil (it gets nothing); on trial after that (ejected still, it gets
+// one request at a time). A failed trial ejects it for twice as long; trialSuccesses answers in a row make it
+// healthy.
 type health struct {
 	faultRate     float64 // decaying share of outcomes that were faults
 	ejected       bool
@@ -51,11 +56,13 @@
 // suspect reports whether the host is ejected, or its group has fallen silent.
 func (h *health) suspect() bool { return h.ejected || h.group.Suspected() }
 
-// outlierDetector ejects hosts that fail or are silent, and finds out by single requests when they have recovered.
-// Guards against a host that answers fast with errors, and so looks idle and draws ever more requests.
+// outlierDetector ejects hosts that fail or are silent, and finds out by single requests when they have
+// recovered. Guards against a host that answers fast with errors, and so looks idle and draws ever more
+// requests.
 type outlierDetector struct{ *environment }
 
-// permits reports whether a host may be sent a request as far as its health goes: a suspect one gets single trials.
+// permits reports whether a host may be sent a request as far as its health goes: a suspect one gets single
+// trials.
 func (d *outlierDetector) permits(h *host) bool {
 	if !h.health.suspect() {
 		return true
@@ -105,7 +112,8 @@
 	d.observeFault(h, h.health.group.LossWeight(d.now, unreachableWeight, ejectionThreshold))
 }
 
-// observeOverdue counts an overdue attempt at a host that has been silent since it was sent, with the number of other attempts there.
+// observeOverdue counts an overdue attempt at a host that has been silent since it was sent, with the number
+// of other attempts there.
 func (d *outlierDetector) observeOverdue(h *host, others int) {
 	s := &h.health
 	s.overdue += others
--- a/core/routing/rendezvous/prefix.go
+++ b/core/routing/rendezvous/prefix.go
@@ -2,17 +2,19 @@
 
 import "slices"
 
-// PrefixLength is the number of hosts of an order that are kept with an object: copies are few, and so are hosts that can't be used.
+// PrefixLength is the number of hosts of an order that are kept with an object: copies are few, and so are
+// hosts that can't be used.
 const PrefixLength = 6
 
 const (
-	longPrefixCount = 256     // longer prefixes that are kept: those of the hottest objects, which have many copies
+	// longer prefixes that are kept: those of the hottest objects, which have many copies
+	longPrefixCount = 256
 	longPrefixStart = 32      // hosts of such a one at first
 	longPrefixTotal = 1 << 18 // hosts of all of them together: 1 MB
 	growthOfLonger  = 4       // multiple of its hosts that a longer one grows to
 
-	// hostsPerChange is the number of hosts for each change above which a prefix catches up with the changes: it is found anew where it
-	// lags so far behind that a look at all hosts is as cheap.
+	// hostsPerChange is the number of hosts for each change above which a prefix catches up with the changes:
+	// it is found anew where it lags so far behind that a look at all hosts is as cheap.
 	hostsPerChange = 8
 )
 
@@ -39,7 +41,8 @@
 	prefix
 }
 
-// reserve counts the space for a prefix to grow to so many hosts; where all together would grow too large, the others go.
+// reserve counts the space for a prefix to grow to so many hosts; where all together would grow too large,
+// the others go.
 func (c *longPrefixes) reserve(p *longPrefix, hosts int) {
 	c.hosts += max(0, hosts-cap(p.slots))
 	if c.hosts > longPrefixTotal {
@@ -48,8 +51,9 @@
 	}
 }
 
-// catchUp lets a prefix of at most most hosts catch up with the hosts that were added and removed since its version: it stays the beginning of
-// the order, though it may become shorter. False tells that it must be found anew.
+// catchUp lets a prefix of at most most hosts catch up with the hosts that were added and removed since its
+// version: it stays the beginning of the order, though it may become shorter. False tells that it must be
+// found anew.
 func (x *Index[V]) catchUp(hash uint64, p *prefix, most int) bool {
 	version := x.version()
 	if p.version == version || len(p.slots) == 0 {
@@ -62,7 +66,8 @@
 		return false
 	}
 	changes := x.changes[p.version-x.changesDropped:]
-	for _, c := range changes { // first, as a slot may have another host now, which would stand in the wrong place
+	// first, as a slot may have another host now, which would stand in the wrong place
+	for _, c := range changes {
 		if !c.added {
 			p.remove(c.slot)
 		}
--- a/core/routing/rendezvous/rendezvous.go
+++ b/core/routing/rendezvous/rendezvous.go
@@ -1,20 +1,24 @@
-// Package rendezvous gives hosts in the order of highest random weight (rendezvous hashing, Thaler and Ravishankar) for the hash
-// of an object: the same at every router that lists the same hosts, and with one host more or less only its own objects move. It
-// is pure, and gives the first hosts of an order in time that does not grow with their number once the object was requested.
+// Package rendezvous gives hosts in the order of highest random weight (rendezvous hashing, Thaler and
+// Ravishankar) for the hash of an object: the same at every router that lists the same hosts, and with one
+// host more or less only its own objects move. It is pure, and gives the first hosts of an order in time that
+// does not grow with their number once the object was requested.
 //
-// An Index has its hosts in slots, which stay as they are while a host is listed, and a log of the latest changes. Known
-// beginnings of orders (a Prefix with each object, and a cache of longer ones) catch up with that log instead of being found anew.
+// An Index has its hosts in slots, which stay as they are while a host is listed, and a log of the latest
+// changes. Known beginnings of orders (a Prefix with each object, and a cache of longer ones) catch up with
+// that log instead of being found anew.
 package rendezvous
 
 import "slices"
 
 const (
-	smallIndex   = 16      // hosts up to which sorting all is as cheap as looking an order up
-	maxChanges   = 1 << 13 // logged changes: those of a list of 10,000 hosts of which 1% change each second, for a minute
-	maxSlotRatio = 2       // slots for each host above which an index is rebuilt
+	smallIndex = 16 // hosts up to which sorting all is as cheap as looking an order up
+	// logged changes: those of a list of 10,000 hosts of which 1% change each second, for a minute
+	maxChanges   = 1 << 13
+	maxSlotRatio = 2 // slots for each host above which an index is rebuilt
 )
 
-// Index is a set of hosts, each with a value. The zero value is empty and ready to use. It is not safe for concurrent use.
+// Index is a set of hosts, each with a value. The zero value is empty and ready to use. It is not safe for
+// concurrent use.
 type Index[V any] struct {
 	// By slot. Each has a slice of its own, as a search looks at all keys and at hardly anything else.
 	keys    []uint64 // mixed ids of the hosts
@@ -41,8 +45,8 @@
 	added bool
 }
 
-// Set replaces the hosts and their values; ids and values are parallel. Known beginnings of orders catch up with the hosts that were
-// added or removed.
+// Set replaces the hosts and their values; ids and values are parallel. Known beginnings of orders catch up
+// with the hosts that were added or removed.
 func (x *Index[V]) Set(ids []uint32, values []V) {
 	x.setCount++
 	if len(ids) <= smallIndex || x.slotByID == nil || maxSlotRatio*len(ids) < len(x.keys) {
@@ -164,7 +168,8 @@
 // Len is the number of hosts.
 func (x *Index[V]) Len() int { return x.hosts }
 
-// Mix spreads a hash over all its bits, which FNV alone leaves uneven for short names. It is the finalizer of SplitMix64.
+// Mix spreads a hash over all its bits, which FNV alone leaves uneven for short names. It is the finalizer of
+// SplitMix64.
 func Mix(h uint64) uint64 {
 	h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
 	h = (h ^ h>>27) * 0x94d049bb133111eb
--- a/core/routing/rendezvous/walk.go
+++ b/core/routing/rendezvous/walk.go
@@ -5,8 +5,9 @@
 	"slices"
 )
 
-// Walk yields the hosts in the order of a hash, from one of its places on, until it is told to stop. known keeps what is found of the
-// beginning; nil where nothing is to be kept. A walk must have ended before the next one of the same index.
+// Walk yields the hosts in the order of a hash, from one of its places on, until it is told to stop. known
+// keeps what is found of the beginning; nil where nothing is to be kept. A walk must have ended before the
+// next one of the same index.
 func (x *Index[V]) Walk(hash uint64, known **Prefix, from int, yield func(host V) bool) {
 	if x.hosts <= smallIndex || known == nil {
 		x.walkSorted(hash, from, yield)
--- a/core/routing/request.go
+++ b/core/routing/request.go
@@ -9,12 +9,15 @@
 )
 
 const (
-	answerMargin      = 0.050 // s; a request is answered this long before its deadline: a timer tick and a delayed ack (0.04 s)
-	answerMarginShare = 0.25  // share of a request's time, where answerMargin would be much of it
-	retryAfterShare   = 0.25  // share of the latency objective after which a rejected request may come back in time
+	// s; a request is answered this long before its deadline: a timer tick and a delayed ack (0.04 s)
+	answerMargin      = 0.050
+	answerMarginShare = 0.25 // share of a request's time, where answerMargin would be much of it
+	// share of the latency objective after which a rejected request may come back in time
+	retryAfterShare = 0.25
 )
 
-// request is the state of one client request, from HandleRequest until it is finished and its last attempt is back.
+// request is the state of one client request, from HandleRequest until it is finished and its last attempt is
+// back.
 type request struct {
 	Request
 	service     *service
@@ -44,8 +47,8 @@
 // timers holds all timers of a router.
 type timers = timerwheel.Wheel[timerEvent]
 
-// timerEvent is what falls due: a method of the router and what it is about. It is a value, so that setting a timer
-// allocates nothing.
+// timerEvent is what falls due: a method of the router and what it is about. It is a value, so that setting a
+// timer allocates nothing.
 type timerEvent struct {
 	handle  func(r *Router, q *request, a *attempt)
 	request *request
@@ -62,8 +65,8 @@
 	return nil
 }
 
-// lastFailed reports whether the last attempt failed at a host. A rejected attempt, or one that only looked into a cache,
-// cost the host nothing.
+// lastFailed reports whether the last attempt failed at a host. A rejected attempt, or one that only looked
+// into a cache, cost the host nothing.
 func (q *request) lastFailed() bool {
 	if len(q.attempts) == 0 {
 		return false
@@ -119,8 +122,8 @@
 // avoid keeps the request away from a host.
 func (q *request) avoid(h *host) { q.avoided = append(q.avoided, h) }
 
-// requestTable has the requests that are not forgotten yet, and ends them. Invariant: a request is in it until it is
-// finished and none of its attempts is out.
+// requestTable has the requests that are not forgotten yet, and ends them. Invariant: a request is in it
+// until it is finished and none of its attempts is out.
 type requestTable struct {
 	*environment
 	timers *timers
--- a/core/routing/retry.go
+++ b/core/routing/retry.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// retryQueue has the requests that are to be sent on, until RunRetries, after all first attempts of the moment.
+// retryQueue has the requests that are to be sent on, until RunRetries, after all first attempts of the
+// moment.
 type retryQueue struct{ waiting []*request }
 
 // enqueue puts a request into the queue, unless it is there already or finished.
@@ -11,7 +12,7 @@
 		q.queued = true
 		t.waiting = append(t.waiting, q)
 	}
-	return kept
+	return pending
 }
 
 // take empties the queue and returns what was in it.
@@ -20,7 +21,8 @@
 	return waiting
 }
 
-// admit gives up a request that has no time or attempt left, or that may have been executed and must not be repeated.
+// admit gives up a request that has no time or attempt left, or that may have been executed and must not be
+// repeated.
 func (r *Router) admit(q *request) verdict {
 	switch {
 	case r.now >= q.repeatableUntil()-tickInterval,
@@ -32,9 +34,9 @@
 	return proceed
 }
 
-// repeatableUntil is when the first byte of a retry must be out, as hosts recognize a repeat for no longer: +Inf where nothing can have been
-// executed yet or a repeat does no harm, -Inf where no host recognizes repeats. Guards against a retry that is decided on in
-// time and waits for its connection.
+// repeatableUntil is when the first byte of a retry must be out, as hosts recognize a repeat for no longer:
+// +Inf where nothing can have been executed yet or a repeat does no harm, -Inf where no host recognizes
+// repeats. Guards against a retry that is decided on in time and waits for its connection.
 func (q *request) repeatableUntil() float64 {
 	executed := q.firstExecuted()
 	switch {
@@ -52,7 +54,8 @@
 	return s.Idempotency == Idempotent || s.Idempotency == IdempotencyKeyed && s.DedupScope == AllHosts
 }
 
-// mayRepeatAt reports whether a host drops a repeat of what may have been executed already, or it does no harm.
+// mayRepeatAt reports whether a host drops a repeat of what may have been executed already, or it does no
+// harm.
 func (q *request) mayRepeatAt(h *host) bool {
 	executed := q.firstExecuted()
 	if executed == nil || q.service.Idempotency == Idempotent || q.service.DedupScope == AllHosts {
--- a/core/routing/retrybudget/retrybudget.go
+++ b/core/routing/retrybudget/retrybudget.go
@@ -1,15 +1,18 @@
-// Package retrybudget bounds retries by what succeeds, so that on a bad day they do not multiply the load that made it bad. It
-// is a token bucket, filled by answers and by time. It only narrows what routing may do, and is pure.
+// Package retrybudget bounds retries by what succeeds, so that on a bad day they do not multiply the load
+// that made it bad. It is a token bucket, filled by answers and by time. It only narrows what routing may do,
+// and is pure.
 package retrybudget
 
 import "math"
 
 const (
-	defaultShare = 0.1 // and defaultFloor: what the emulator's failing caches recovered soonest with (docs/deadlines.md)
+	// and defaultFloor: what the emulator's failing caches recovered soonest with (docs/deadlines.md)
+	defaultShare = 0.1
 	defaultFloor = 5.0 // per second
 
-	floorSavedFor = 2.0  // s; of the floor that may be saved up
-	savedAnswers  = 50.0 // answers whose share may be saved up: a burst of failures on a calm day is retried completely
+	floorSavedFor = 2.0 // s; of the floor that may be saved up
+	// answers whose share may be saved up: a burst of failures on a calm day is retried completely
+	savedAnswers = 50.0
 )
 
 // Settings say how many retries may go. The zero value bounds nothing.
--- a/core/routing/router.go
+++ b/core/routing/router.go
@@ -7,8 +7,9 @@
 )
 
 const (
-	tickInterval  = 0.010  // s; the periodic timer, finer than any latency objective in use
-	surveyPerHost = 1e-5   // s by host between surveys of all hosts: each takes 70 ns a host, so under 1% of a core
+	tickInterval = 0.010 // s; the periodic timer, finer than any latency objective in use
+	// s by host between surveys of all hosts: each takes 70 ns a host, so under 1% of a core
+	surveyPerHost = 1e-5
 	pollBackoff   = 1.0    // s; after a poll of the endpoint list that failed
 	tickCookie    = "tick" // names the periodic timer for Actions.Schedule
 	cacheOnce     = 1      // cache priority of an object that was not requested before
@@ -20,7 +21,7 @@
 
 const (
 	proceed verdict = iota // the next step has it
-	kept                   // it is out at a host, or waits for its retry
+	pending                // it is out at a host, or waits for its retry
 	ended                  // it is finished
 )
 
@@ -71,8 +72,9 @@
 // UpdateEndpoints takes in a list of endpoints or changes to it.
 func (r *Router) UpdateEndpoints(now float64, kind ListKind, entries []Endpoint) {
 	r.now = now
-	if kind == ListFailed { // only a router that polls is told of this
-		r.timers.Add(now+pollBackoff, timerEvent{handle: func(r *Router, _ *request, _ *attempt) { r.actions.PollEndpoints() }})
+	if kind == ListFailed { // only a router that polls gets one
+		poll := func(r *Router, _ *request, _ *attempt) { r.actions.PollEndpoints() }
+		r.timers.Add(now+pollBackoff, timerEvent{handle: poll})
 		return
 	}
 	r.endpoints.update(kind, entries)
@@ -101,8 +103,8 @@
 	return true
 }
 
-// HandleStreaming takes word that the answer of an attempt has started: the request is finished, and the client has its
-// answer from this attempt.
+// HandleStreaming takes word that the answer of an attempt has started: the request is finished, and the
+// client has its answer from this attempt.
 func (r *Router) HandleStreaming(now float64, id uint32, number int) {
 	r.now = now
 	if q, a := r.requests.attempt(id, number); a != nil {
@@ -120,7 +122,8 @@
 	}
 }
 
-// HandlePurge takes in a purge of an object, or of a whole group where object is empty, that is age seconds old.
+// HandlePurge takes in a purge of an object, or of a whole group where object is empty, that is age seconds
+// old.
 func (r *Router) HandlePurge(now float64, object string, group int, age float64) {
 	r.now = now
 	r.purges.record(object, group, age)
@@ -158,14 +161,15 @@
 	}
 }
 
-// FinishAll answers all open requests in the order in which they came, for a process that is about to end, after which no
-// answer could be passed on.
+// FinishAll answers all open requests in the order in which they came, for a process that is about to end,
+// after which no answer could be passed on.
 func (r *Router) FinishAll(now float64) {
 	r.now = now
 	r.requests.giveUpAll()
 }
 
-// MaxAge is the age in seconds of the oldest copy that will do for a request after the purges known by now; 0 for any.
+// MaxAge is the age in seconds of the oldest copy that will do for a request after the purges known by now; 0
+// for any.
 func (r *Router) MaxAge(now float64, id uint32) float64 {
 	r.now = now
 	if q := r.requests.byID[id]; q != nil {
@@ -174,8 +178,8 @@
 	return 0
 }
 
-// SetQuota bounds how many attempts this router may have in flight at a host, itself or as a source; with 0 for the host, how
-// many that may need the origin. The cluster divides these quotas among its routers.
+// SetQuota bounds how many attempts this router may have in flight at a host, itself or as a source; with 0
+// for the host, how many that may need the origin. The cluster divides these quotas among its routers.
 func (r *Router) SetQuota(host uint32, quota int) {
 	if l := r.quotaLimit(host); l != nil {
 		l.quota, l.hasQuota = quota, true
@@ -212,7 +216,8 @@
 	}
 }
 
-// handleReturned runs the result of an attempt through the steps in reverse until one keeps or ends the request.
+// handleReturned runs the result of an attempt through the steps in reverse until one keeps or ends the
+// request.
 func (r *Router) handleReturned(q *request, a *attempt) {
 	for _, step := range [...]func(*Router, *request, *attempt) verdict{
 		(*Router).release, (*Router).observeFill, (*Router).observeHost, (*Router).conclude,
@@ -244,7 +249,7 @@
 		Coalesce: r.CoalesceFills, Revalidate: q.service.TTL > 0, CachedOnly: a.cachedOnly,
 		SendBy: sendBy,
 	})
-	return kept
+	return pending
 }
 
 func cachePriority(o *object) int {
@@ -262,32 +267,33 @@
 	a.sentAt, a.work, a.objective = r.now, work, r.costs.objective(q)
 	a.concurrent = h.inFlight
 	a.cachedOnly = q.cachedOnly
-	probablyHit := q.object.heldBy(h, r.now) && !q.cacheMissed
+	probablyHit := q.object.cachedBy(h, r.now) && !q.cacheMissed
 	a.isFill = a.filled() && !probablyHit
 	return a
 }
 
-// countIn counts an attempt into the limits that it falls under, and chooses those that its lateness counts against.
+// countIn counts an attempt into the limits that it falls under, and chooses those that its lateness counts
+// against.
 func (r *Router) countIn(a *attempt) {
 	l := &a.limits
-	l.held = append(l.heldStore[:0], &a.host.limit, &r.limits.caches)
+	l.counted = append(l.countedStore[:0], &a.host.limit, &r.limits.caches)
 	l.fill = append(l.fillStore[:0], &a.source.limit, &r.limits.fills)
-	l.late = l.held[:2]
+	l.late = l.counted[:2]
 	if a.filled() {
-		l.held = append(l.held, &a.source.limit)
+		l.counted = append(l.counted, &a.source.limit)
 		a.source.fillsInFlight++
 		a.source.warmUp.credit -= a.work
 	}
 	if a.isFill {
-		l.held = append(l.held, &r.limits.fills)
+		l.counted = append(l.counted, &r.limits.fills)
 		l.late = l.fill
 	}
-	toldOfOrigin := a.isFill && r.NoteDetail == FillNotes && !a.cachedOnly
-	if toldOfOrigin || r.limits.mayNeedOrigin(a, r.endpoints.origin) {
-		l.held = append(l.held, &r.limits.origin)
-		l.late = l.held[len(l.held)-1:]
+	notesTellOfOrigin := a.isFill && r.NoteDetail == FillNotes && !a.cachedOnly
+	if notesTellOfOrigin || r.limits.mayNeedOrigin(a, r.endpoints.origin) {
+		l.counted = append(l.counted, &r.limits.origin)
+		l.late = l.counted[len(l.counted)-1:]
 	}
-	for _, limit := range l.held {
+	for _, limit := range l.counted {
 		limit.acquire(a.work)
 	}
 }
@@ -311,7 +317,7 @@
 	a.mayHaveRun = outcome.mayHaveRun()
 	q.outstanding--
 	a.host.inFlight--
-	for _, limit := range a.limits.held {
+	for _, limit := range a.limits.counted {
 		limit.release(a.work)
 	}
 	if outcome.hostAnswered() {
--- a/core/routing/selection.go
+++ b/core/routing/selection.go
@@ -7,12 +7,14 @@
 	muchLowerShare = 0.5 // share of a makespan or slowdown under which another host is worth a miss
 )
 
-// selectCache takes the cache with the least makespan among the object's caches: as many as its demand gives it, along the
-// order that all routers share. It goes further along it only while all those are over the latency objective.
+// selectCache takes the cache with the least makespan among the object's caches: as many as its demand gives
+// it, along the order that all routers share. It goes further along it only while all those are over the
+// latency objective.
 func (r *Router) selectCache(q *request) verdict {
 	c := r.newCandidates(q)
 	first := 0
-	if c.wanted > maxConsidered { // the best of so many is hardly worse, and a look at all would grow with the fleet
+	// the best of so many is hardly worse, and a look at all would grow with the cluster
+	if c.wanted > maxConsidered {
 		first, c.wanted = r.below(c.wanted-maxConsidered+1), maxConsidered
 	}
 	r.endpoints.cacheOrder.Walk(q.object.hash, &q.object.cacheOrder, first, c.consider)
@@ -70,11 +72,14 @@
 }
 
 func (c *candidates) usable(h *host) bool {
-	return h.Phase == Ready && !slices.Contains(c.request.avoided, h) && c.request.mayRepeatAt(h) && c.router.available(h, c.work)
+	return h.Phase == Ready &&
+		!slices.Contains(c.request.avoided, h) &&
+		c.request.mayRepeatAt(h) &&
+		c.router.available(h, c.work)
 }
 
-// better reports whether a cache is to be taken in place of the best so far: one that is not the object's own would miss, and
-// has to be much better.
+// better reports whether a cache is to be taken in place of the best so far: one that is not the object's own
+// would miss, and has to be much better.
 func (c *candidates) better(h *host) bool {
 	if c.best == nil {
 		return true
--- a/core/routing/serving_time.go
+++ b/core/routing/serving_time.go
@@ -39,14 +39,15 @@
 	s.average = all.mean
 }
 
-// learn learns from an answer: the time of one request is that of the answer, by the attempts that the host had beside it.
+// learn learns from an answer: the time of one request is that of the answer, by the attempts that the host
+// had beside it.
 func (s *servingTimes) learn(a *attempt) {
 	concurrent := math.Max(1, float64(a.concurrent+a.host.inFlight+1)/2)
 	a.host.serving.learned.add(a.result.Elapsed/concurrent, servingTimeWeight)
 }
 
-// perRequest is the learned time in seconds that one request adds to a host's makespan; a host that has not answered yet
-// counts as average.
+// perRequest is the learned time in seconds that one request adds to a host's makespan; a host that has not
+// answered yet counts as average.
 func (s *servingTimes) perRequest(h *host) float64 {
 	learned := &h.serving.learned
 	if learned.samples == 0 {
@@ -55,8 +56,9 @@
 	return h.health.group.ShrinkServingTime(s.now, learned.mean, learned.samples, s.average)
 }
 
-// makespan is the design's makespan for one more request. It departs from the design in two ways: an answer that has come is not
-// waited for, and it is at least one learned time, as a host that others crowd is slow with nothing of ours in flight.
+// makespan is the design's makespan for one more request. It departs from the design in two ways: an answer
+// that has come is not waited for, and it is at least one learned time, as a host that others congest is slow
+// with nothing of ours in flight.
 func (s *servingTimes) makespan(q *request, h *host) float64 {
 	remaining, one := h.serving.remaining(s.now), s.perRequest(h)
 	queued := float64(h.inFlight) * one
--- a/core/routing/settings.go
+++ b/core/routing/settings.go
@@ -44,7 +44,8 @@
 	TTL            float64 // the fresh time of a copy, 0 for no limit
 }
 
-// Settings is what a router is told at its start. Times are in seconds.
+// Settings is the configuration of a router. Times are in seconds. It has over twenty fields as it has one for each setting
+// that the platform gives and routing goes by.
 type Settings struct {
 	Index, Dispatchers int // this router's number, and how many there are
 	Seed               uint64
@@ -66,8 +67,8 @@
 	Hedging       bool    // a further attempt may be out beside another
 	MaxRetryAfter float64 // the longest Retry-After of a rejected request, 0 for none
 
-	// Slow start: a host may be sent an initial share of its warm rate, growing to all of it over the ramp, times the overload multiple, in
-	// each overload window.
+	// Slow start: a host may be sent an initial share of its warm rate, growing to all of it over the ramp,
+	// times the overload multiple, in each overload window.
 	SlowStartInitial, SlowStartRamp, OverloadMultiple, OverloadWindow   float64
 	ParentSlowStartInitial, ParentSlowStartRamp, ParentOverloadMultiple float64
 
--- a/core/routing/sketch/boundedmap.go
+++ b/core/routing/sketch/boundedmap.go
@@ -1,10 +1,11 @@
 package sketch
 
-// queueSlack is the number of stale entries of the queue that may be left beside as many as there are live ones.
+// queueSlack is the number of stale entries of the queue that may be left beside as many as there are live
+// ones.
 const queueSlack = 64
 
-// BoundedMap remembers a value by hash, in some 50 bytes each; beyond its size the entries that were put first are dropped. Two
-// things with one hash pass for one, which 64 bits make as good as never.
+// BoundedMap remembers a value by hash, in some 50 bytes each; beyond its size the entries that were put
+// first are dropped. Two things with one hash pass for one, which 64 bits make as good as never.
 type BoundedMap struct {
 	size     int
 	lastPut  uint32 // number of the last put, which tells a live entry of the queue from a stale one
--- a/core/routing/sketch/sketch.go
+++ b/core/routing/sketch/sketch.go
@@ -1,13 +1,16 @@
-// Package sketch counts how often objects are requested, in memory that does not grow with their number: a count-min sketch
-// with conservative update (Cormode and Muthukrishnan; Estan and Varghese) over the buckets of a window, and a bounded map.
-// A count is never too low within its window, and too high by what falls on the same counters. It is pure.
+// Package sketch counts how often objects are requested, in memory that does not grow with their number: a
+// count-min sketch with conservative update (Cormode and Muthukrishnan; Estan and Varghese) over the buckets
+// of a window, and a bounded map. A count is never too low within its window, and too high by what falls on
+// the same counters. It is pure.
 package sketch
 
 import "math"
 
 const (
-	rows         = 4   // counters of an object in a bucket: the least counts, and one in 2^4 is wrong if half are taken
-	maxCount     = 255 // a counter stands still there: what is requested that often stands in the table of objects
+	// counters of an object in a bucket: the least counts, and one in 2^4 is wrong if half are taken
+	rows = 4
+	// a counter stands still there: what is requested that often stands in the table of objects
+	maxCount     = 255
 	secondFactor = 0x9e3779b97f4a7c15
 	minWidth     = 1 << 10 // counters of a row
 )
@@ -27,7 +30,12 @@
 	for width*2*rows*buckets <= bytes {
 		width *= 2
 	}
-	return &Sketch{buckets: buckets, span: span, width: uint64(width), counters: make([]uint8, width*rows*buckets)}
+	return &Sketch{
+		buckets:  buckets,
+		span:     span,
+		width:    uint64(width),
+		counters: make([]uint8, width*rows*buckets),
+	}
 }
 
 // Bytes is the memory that the counters take.
@@ -51,13 +59,15 @@
 	return s.counters[place*size : (place+1)*size]
 }
 
-// index is where an object's counter of a row stands in a bucket: two hashes from one, as Kirsch and Mitzenmacher have it.
+// index is where an object's counter of a row stands in a bucket: two hashes from one, as Kirsch and
+// Mitzenmacher have it.
 func (s *Sketch) index(hash, row uint64) uint64 {
 	mixed := hash + row*(hash*secondFactor|1)
 	return row*s.width + mixed>>17&(s.width-1)
 }
 
-// Add counts a request for an object. Only the lowest of its counters go up, as the others count more than it for sure.
+// Add counts a request for an object. Only the lowest of its counters go up, as the others count more than it
+// for sure.
 func (s *Sketch) Add(now float64, hash uint64) {
 	s.advance(now)
 	bucket := s.bucket(s.epoch % s.buckets)
@@ -75,8 +85,9 @@
 	}
 }
 
-// Buckets writes how often an object was requested in each bucket of the window into counts, at the bucket's number modulo the number
-// of buckets, and returns the sum. It is never less than it was, but for the most that a counter holds.
+// Buckets writes how often an object was requested in each bucket of the window into counts, at the bucket's
+// number modulo the number of buckets, and returns the sum. It is never less than it was, but for the most
+// that a counter holds.
 func (s *Sketch) Buckets(now float64, hash uint64, counts []float64) (sum float64) {
 	s.advance(now)
 	for place := range s.buckets {
--- a/core/routing/slow_start.go
+++ b/core/routing/slow_start.go
@@ -3,8 +3,10 @@
 import "math"
 
 const (
-	slowStartShare  = 0.75 // share of the budget of a host in slow start that is sent to it: the rest is for chance and error
-	savedShare      = 0.25 // share of a host's overload window whose credit may be saved up: with slowStartShare under one
+	// share of the budget of a host in slow start that is sent to it: the rest is for chance and error
+	slowStartShare = 0.75
+	// share of a host's overload window whose credit may be saved up: with slowStartShare under one
+	savedShare      = 0.25
 	minMeasuredSpan = bucketSpan
 )
 
@@ -15,9 +17,9 @@
 	creditedUntil float64 // s; up to when credit was given; 0 before the first look
 }
 
-// slowStart keeps hosts with cold caches from being sent more than they bear, by all routers together. Each router takes its
-// own share of a host's budget, which grows from the start of the host to the end of its ramp; many routers with small shares
-// draw by chance which of them sends.
+// slowStart keeps hosts with cold caches from being sent more than they bear, by all routers together. Each
+// router takes its own share of a host's budget, which grows from the start of the host to the end of its
+// ramp; many routers with small shares draw by chance which of them sends.
 type slowStart struct {
 	*environment
 	warmCacheRate  float64 // s/s; what a warm cache returned to this router, as of the last survey
@@ -50,8 +52,9 @@
 	senders float64 // routers and shards that share the host
 }
 
-// budget returns what a host in slow start may be sent, and ends its slow start after the ramp. In an overload window all routers send
-// 1+savedShare times their shares at most, as a mean: 0.94 of what the host bears.
+// budget returns what a host in slow start may be sent, and ends its slow start after the ramp. In an
+// overload window all routers send 1+savedShare times their shares at most, as a mean: 0.94 of what the host
+// bears.
 func (s *slowStart) budget(h *host, work float64) hostBudget {
 	initial, ramp, multiple := s.SlowStartInitial, s.SlowStartRamp, s.OverloadMultiple
 	rate, senders := s.warmCacheRate, s.senders(h.Zone)
@@ -64,7 +67,8 @@
 	if s.WeightsKnown {
 		rate = h.Weight / senders
 	} else if rate == 0 {
-		rate = math.Max(s.lastCacheRate, work/s.OverloadWindow/senders) // it can do one request in a window at least
+		// it can do one request in a window at least
+		rate = math.Max(s.lastCacheRate, work/s.OverloadWindow/senders)
 	}
 	return hostBudget{(initial + (1-initial)*age/ramp) * rate * multiple * slowStartShare, senders}
 }
@@ -85,17 +89,19 @@
 	return s.draw(h, budget, work)
 }
 
-// savesAreWithinChance reports whether one request saved up by each router is within what the host's budget leaves for chance.
+// savesAreWithinChance reports whether one request saved up by each router is within what the host's budget
+// leaves for chance.
 func (s *slowStart) savesAreWithinChance(budget hostBudget, work float64) bool {
 	if s.OverloadWindow <= 0 {
 		return true
 	}
-	requests := budget.rate * s.OverloadWindow * budget.senders / slowStartShare / work // that the host bears in a window
+	// that the host bears in a window
+	requests := budget.rate * s.OverloadWindow * budget.senders / slowStartShare / work
 	return budget.senders <= requests*(1-slowStartShare)+2*math.Sqrt(requests)+2
 }
 
-// accrue adds the credit of the time that has passed, up to savable, and returns the credit. The first look draws what is
-// there at the start.
+// accrue adds the credit of the time that has passed, up to savable, and returns the credit. The first look
+// draws what is there at the start.
 func (s *slowStart) accrue(h *host, budget hostBudget, work, savable float64) float64 {
 	w := &h.warmUp
 	earned, initial := budget.rate*math.Max(0, s.now-w.creditedUntil), 0.0
@@ -108,8 +114,8 @@
 	return s.addCredit(h, initial, earned, savable)
 }
 
-// draw decides by chance, once in an interval, whether this router may send one request. Guards against many routers that
-// save up one request each while it is quiet, and then send all at once.
+// draw decides by chance, once in an interval, whether this router may send one request. Guards against many
+// routers that save up one request each while it is quiet, and then send all at once.
 func (s *slowStart) draw(h *host, budget hostBudget, work float64) bool {
 	w := &h.warmUp
 	window := s.OverloadWindow * (1 + savedShare)
@@ -124,8 +130,8 @@
 	return s.addCredit(h, 0, work, work) >= work
 }
 
-// addCredit adds credit up to most, and returns what there is: for all shards in one account, as each with its own could send a
-// request at once.
+// addCredit adds credit up to most, and returns what there is: for all shards in one account, as each with
+// its own could send a request at once.
 func (s *slowStart) addCredit(h *host, initial, earned, most float64) float64 {
 	w := &h.warmUp
 	if s.Peers != nil {
@@ -136,7 +142,8 @@
 	return w.credit
 }
 
-// claim takes work out of what all shards may send to a host in slow start; false tells that another shard was faster.
+// claim takes work out of what all shards may send to a host in slow start; false if another shard was
+// faster.
 func (s *slowStart) claim(h *host, work float64) bool {
 	return s.Peers == nil || !h.warmUp.active || s.Peers.SpendCredit(h.ID, work)
 }
--- a/core/routing/statistics.go
+++ b/core/routing/statistics.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// decayingMean is a mean that forgets: each sample weighs at least a given share. The zero value has no samples.
+// decayingMean is a mean that forgets: each sample weighs at least a given share. The zero value has no
+// samples.
 type decayingMean struct {
 	mean    float64
 	samples int
