--- a/client/client.go
+++ b/client/client.go
@@ -60,7 +60,7 @@
 	return f, nil
 }
 
-// Note is what a reader is told: an entry, or what became of the order, as channels.Word has it.
+// Note is what a reader is told: an entry, or what became of the order, as channel.Word has it.
 type Note = channel.Note
 
 // First has all that begins from now on try an address first, such as the nearest; else chance says which.
@@ -79,7 +79,7 @@
 // Follow has a function called with each note of a channel, one after the other, until the context ends, the function fails, or the channel or
 // the order is refused. A position goes on where an earlier Follow ended; "" begins with all that is kept. Each note has the position after it: kept
 // with what came of the note, it lets a later Follow, anywhere, go on from there. After Reset and Cut, which are told, it begins anew with all that is
-// kept. It gives the last position. A channel that is withdrawn is told as Ended, with what it kept before that; then it ends with channels.ErrEnded. The
+// kept. It gives the last position. A channel that is withdrawn is told as Ended, with what it kept before that; then it ends with channel.ErrEnded. The
 // position then goes on with the first entry of a channel that is declared anew under the name.
 func (f *Fleet) Follow(ctx context.Context, name string, order channel.Order, position string, take func(Note) error) (string, error) {
 	at, tries, since := 0, 0, time.Now()
--- a/client/publish.go
+++ b/client/publish.go
@@ -69,10 +69,10 @@
 	}
 }
 
-// Publish writes messages, and returns once all are acknowledged: at least as many dispatchers as channels.Copies have each, in total order the
+// Publish writes messages, and returns once all are acknowledged: at least as many dispatchers as channel.Copies have each, in total order the
 // voters' majority. What failed for another dispatcher's sake is sent to the next, under the same numbers, until the context ends; then it is pending
-// and goes out first with the next call. Errors: the context's, and channels.ErrEntry for what no dispatcher would take, channels.ErrEnded where
-// the channel is withdrawn, and channels.ErrForgotten where the writer was silent for too long: whether what is pending was ever taken isn't known then.
+// and goes out first with the next call. Errors: the context's, and channel.ErrEntry for what no dispatcher would take, channel.ErrEnded where
+// the channel is withdrawn, and channel.ErrForgotten where the writer was silent for too long: whether what is pending was ever taken isn't known then.
 func (p *Publisher) Publish(ctx context.Context, all ...Message) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/core/admission/callers.go
+++ b/core/admission/callers.go
@@ -16,7 +16,7 @@
 
 // Times, sizes and rates that no operator needs to set.
 const (
-	turn       = 0.1  // s; how often a fair level moves: some of control's moments, well under a client's patience
+	turn       = 0.1  // s; how often a fair level moves: some of core/routing's ticks, well under a client's patience
 	rateSpan   = 0.5  // s; over which a tenant's rate is taken: five turns
 	longTurn   = 1.0  // s; a turn that has seen too little lasts so long at most
 	tells      = 20.0 // GETs in a turn from which on its share of sheds tells more than chance
--- a/core/admission/callers_test.go
+++ b/core/admission/callers_test.go
@@ -304,7 +304,7 @@
 	return through
 }
 
-// crowd is tenants that ask at rates of a service that bears so many GETs a second and sheds the rest, as control would, with a delay.
+// crowd is tenants that ask at rates of a service that bears so many GETs a second and sheds the rest, as core/routing would, with a delay.
 func crowd(m *Module, capacity, seconds float64, rates map[string]float64, callersOf map[string]int) (served, asked map[string]float64) {
 	const step = 0.002
 	served, asked = map[string]float64{}, map[string]float64{}
--- a/core/cluster/channel/channels_test.go
+++ b/core/cluster/channel/channels_test.go
@@ -129,7 +129,7 @@
 	return m
 }
 
-// learn gives a machine an entry as if it came by replica.
+// learn gives a machine an entry as if it came by replication.
 func learn(m *Machine, now float64, e Entry) {
 	m.Learn(now, replication.Record{Kind: EntryKind, Key: e.key(), Value: packEntry(&e), Dot: replication.Dot{Writer: "other"}})
 }
--- a/core/cluster/channel/types.go
+++ b/core/cluster/channel/types.go
@@ -113,7 +113,7 @@
 	Late       bool // of an entry: by the law a newer one of its key was shown before it, as after a cut
 }
 
-// Kinds of records that channels need of replica.
+// Kinds of records that channels need of replication.
 const (
 	EntryKind  = 3 // key: channel, writer, number and life, or channel, place and epoch; value: the entry
 	WriterKind = 4 // key: channel, writer and life; value: its highest number that fell out of what is kept. Of a tombstone: up to there it is let go
--- a/core/cluster/membership/members.go
+++ b/core/cluster/membership/members.go
@@ -1,7 +1,7 @@
 // Package membership knows which dispatchers there are, which have failed, and how much of the fleet is seen from here: SWIM
 // (Das, Gupta, Motivala) with suspicion and incarnations, and with the own doubt of Lifeguard (Dadgar and others). It is a
 // state machine with no I/O, no clock and no goroutine: messages come by Step, time by Tick, and what is to be sent and told
-// is taken by Ready. internal/cluster drives it over sockets, emulate without any.
+// is taken by Ready. internal/cluster drives it over sockets, emulator without any.
 //
 // Invariants, held by tests: of two records of a name one always says more, whatever the order in which they come, so that
 // all end with the same; only a member itself raises its incarnation, so that old news never brings one back that left; who
--- a/core/cluster/quota/ledger.go
+++ b/core/cluster/quota/ledger.go
@@ -1,7 +1,7 @@
 // Package quota divides a whole that the fleet may use among its dispatchers. The Ledger is what the replicated log keeps:
 // wholes and what each dispatcher may have of them. The Divider, at whoever holds the duty divide, decides who gets how much, and
 // answers only what the ledger has. The Holder is each dispatcher's part: what passes asks it. All of them are pure:
-// internal/cluster drives them, emulate and tests play them on one clock.
+// internal/cluster drives them, emulator and tests play them on one clock.
 //
 // The invariant, held by tests: what all dispatchers together may use by their own reckoning is never more than the whole. A part
 // is lowered in the ledger only once its holder has said that it binds itself to less, or once it has surely ended: the holder counts
--- a/core/cluster/replication/types.go
+++ b/core/cluster/replication/types.go
@@ -1,7 +1,7 @@
 // Package replication keeps records of several kinds the same at every dispatcher: deltas by need, digests of ranges where those are
 // gone, whole snapshots for whoever was away for longer. It is a state machine with no I/O, no clock and no goroutine.
 // Messages come by Step, time by Tick; what is to be kept, sent and told is taken by Ready. internal/cluster drives it over sockets and a disk,
-// emulate without any. It knows no kind by name: kinds are handed to it with bound and law.
+// emulator without any. It knows no kind by name: kinds are handed to it with bound and law.
 package replication
 
 import (
@@ -85,8 +85,8 @@
 type Fleet struct {
 	Others  []Member
 	Of      int  // in the last agreed fleet, with oneself
-	Decides bool // what needs a majority goes on (members.Decide)
-	Narrows bool // peers' word narrows what is done (members.Narrow)
+	Decides bool // what needs a majority goes on (membership.Decide)
+	Narrows bool // peers' word narrows what is done (membership.Narrow)
 }
 
 // Errors of a write. None of them leaves anything behind.
--- a/core/coalescing/joint.go
+++ b/core/coalescing/joint.go
@@ -16,8 +16,8 @@
 	mostFollowers = 1024    // of one flight; their answers are written in one go. Who comes then begins the next
 	mostInAll     = 1 << 14 // followers of all flights
 	mostLeads     = 3       // GETs that go on in the lead one after the other; the object is at fault by then, not its hosts
-	lastMoment    = 0.050   // s; a follower is answered so long before its viewer timeout, as control does
-	nearEnd       = 0.075   // s; a leader that is shed so long before its viewer timeout has run out of its own time: control answers 50 ms ahead, and a tick may pass
+	lastMoment    = 0.050   // s; a follower is answered so long before its viewer timeout, as core/routing does
+	nearEnd       = 0.075   // s; a leader that is shed so long before its viewer timeout has run out of its own time: core/routing answers 50 ms ahead, and a tick may pass
 	lastShare     = 0.25    // share of its time, for one that has little
 	learn         = 0.1     // share; weight of one flight in what they usually take
 )
--- a/core/sharding/pots.go
+++ b/core/sharding/pots.go
@@ -69,5 +69,5 @@
 	return true
 }
 
-// Done ends the trials of a host, which is trusted again.
+// Done ends the trials of a host, which has recovered.
 func (p *Pots) Done(host uint32) { delete(p.trials, host) }
--- a/emulator/host.go
+++ b/emulator/host.go
@@ -16,7 +16,7 @@
 	slots      int
 	serve      float64
 	holds      int
-	phase      routing.Phase // Gone is 0; add makes it Ready
+	phase      routing.Phase // Removed is 0; add makes it Ready
 	since      float64       // when it came with nothing, below 0 for before all
 	down       bool          // says nothing
 	refuses    bool          // its process has ended
--- a/emulator/scenario.go
+++ b/emulator/scenario.go
@@ -1,5 +1,5 @@
 // Package emulator plays dispatchers with clients, links, caches, parents and an origin on one clock and one seed, with no
-// socket: the same scenario always comes out the same. Dispatchers are control's own modules; what surrounds them is a
+// socket: the same scenario always comes out the same. Dispatchers are core/routing's own modules; what surrounds them is a
 // model, each part by itself, so that figures from here are simulated. It is pure: no I/O, no clock, no goroutine.
 package emulator
 
--- a/internal/authn/gate.go
+++ b/internal/authn/gate.go
@@ -1,5 +1,5 @@
 // Package authn is the stage that asks who is calling: it has tokens' signatures checked and calls on the module
-// callers under a lock of its own. It decides nothing.
+// core/admission under a lock of its own. It decides nothing.
 package authn
 
 import (
--- a/internal/cluster/divide.go
+++ b/internal/cluster/divide.go
@@ -156,14 +156,14 @@
 	reserved      int      // that it may have under way while it acts, held while it does not
 }
 
-// Hosts is node.Bounder.
+// Hosts is dispatcher.Bounder.
 func (b *Bounded) Hosts() []string {
 	b.fleet.spending.mu.Lock()
 	defer b.fleet.spending.mu.Unlock()
 	return b.fleet.spending.hosts
 }
 
-// Bound is node.Bounder. What a module may use while it acts is reserved for it: of several in one process none takes what another does.
+// Bound is dispatcher.Bounder. What a module may use while it acts is reserved for it: of several in one process none takes what another does.
 func (b *Bounded) Bound(host string, held, refused int, acts bool) (most int) {
 	s := &b.fleet.spending
 	s.mu.Lock()
--- a/internal/cluster/fleet.go
+++ b/internal/cluster/fleet.go
@@ -1,5 +1,5 @@
-// Package cluster drives what dispatchers decide together (fleet/...) over sockets: datagrams, streams for what is longer,
-// seals and timers. It decides nothing. Nothing of it runs under the lock of a GET.
+// Package cluster drives what dispatchers decide together (core/cluster) over sockets: datagrams, streams for what is longer,
+// seals and timers. It decides nothing. Under the lock of a GET only budgets are asked (Bounded, Spend), whose own lock is held for no I/O.
 package cluster
 
 import (
--- a/internal/extensions/extras.go
+++ b/internal/extensions/extras.go
@@ -190,7 +190,7 @@
 	*cluster.Bounded
 }
 
-// Bound is node.Bounder.
+// Bound is dispatcher.Bounder.
 func (b *bounder) Bound(host string, held, refused int, acts bool) int {
 	if !b.opened() {
 		return 0
@@ -198,7 +198,7 @@
 	return b.Bounded.Bound(host, held, refused, acts)
 }
 
-// Hosts is node.Bounder.
+// Hosts is dispatcher.Bounder.
 func (b *bounder) Hosts() []string {
 	if !b.opened() {
 		return b.of.told.Fleet.Budgets.Hosts()
--- a/internal/extproc/rules.go
+++ b/internal/extproc/rules.go
@@ -1,6 +1,6 @@
 // Package extproc is the front for proxies that ask for each request what to do with it, by Envoy's external processing
 // (envoy.service.ext_proc.v3). It reads requests into GETs, hands them to the same handler as any front, and tells the proxy
-// where to send them, or answers in its place. What a stream proves and how long a GET waits is decided by calls.
+// where to send them, or answers in its place. What a stream proves and how long a GET waits is decided by core/proxycall.
 package extproc
 
 import (
--- a/internal/multicore/cores.go
+++ b/internal/multicore/cores.go
@@ -1,5 +1,5 @@
-// Package multicore is several nodes in one process, each a shard with a module, a lock and connections to hosts of its own:
-// it hands each GET to the shard that the module shards names, each notice to all, and answers in place of a shard that
+// Package multicore is several dispatchers in one process, each a shard with a module, a lock and connections to hosts of its own:
+// it hands each GET to the shard that the module core/sharding names, each notice to all, and answers in place of a shard that
 // stands still. It decides nothing.
 package multicore
 
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -23,7 +23,7 @@
 	return Decode(path, string(raw))
 }
 
-// Decode takes a scenario's text; what it does not name is as in emulate.Default.
+// Decode takes a scenario's text; what it does not name is as in emulator.Default.
 func Decode(path, text string) (emulator.Scenario, error) {
 	s := emulator.Default()
 	o, f, err := configfile.Open(path, text)
--- a/internal/variantfilter/variants.go
+++ b/internal/variantfilter/variants.go
@@ -1,4 +1,4 @@
-// Package variantfilter drives the module of the same name in the way of a GET: locks around it, that several shards share, and the names
+// Package variantfilter drives the module core/cluster/variant in the way of a GET: locks around it, that several shards share, and the names
 // by which hosts and operators know what it numbers. It decides nothing.
 package variantfilter
 
@@ -139,7 +139,7 @@
 	return &s.services[service]
 }
 
-// Key is node.Variants.
+// Key is dispatcher.Variants.
 func (s *Stage) Key(now float64, in *routing.Request, device string) (v dispatcher.Variant, text string, ok bool) {
 	of := s.of(in.Service)
 	if of == nil {
@@ -159,7 +159,7 @@
 	return v, s.name(in.Object, number, int(v.Asked), k.Beside), true
 }
 
-// Own is node.Variants.
+// Own is dispatcher.Variants.
 func (s *Stage) Own(in *routing.Request, v dispatcher.Variant) string {
 	return s.name(in.Object, v.Number, int(v.Own), 0)
 }
@@ -187,7 +187,7 @@
 	return string(b[:])
 }
 
-// Field is node.Variants.
+// Field is dispatcher.Variants.
 func (s *Stage) Field(service int, class int16) (pair, name string) {
 	of := s.of(service)
 	if of == nil || int(class) >= len(of.names) {
@@ -196,7 +196,7 @@
 	return of.pairs[class], of.names[class]
 }
 
-// Proof is node.Variants.
+// Proof is dispatcher.Variants.
 func (s *Stage) Proof(service int, p hostproto.Proofs, body []byte) uint64 {
 	of := s.of(service)
 	switch {
@@ -220,7 +220,7 @@
 	}
 }
 
-// Answered is node.Variants.
+// Answered is dispatcher.Variants.
 func (s *Stage) Answered(now float64, in *routing.Request, v dispatcher.Variant, e dispatcher.Evidence) (fits bool) {
 	a := answer(in, v, e)
 	p := s.part(v.Number)
@@ -231,7 +231,7 @@
 	return fits
 }
 
-// Fits is node.Variants.
+// Fits is dispatcher.Variants.
 func (s *Stage) Fits(now float64, in *routing.Request, v dispatcher.Variant, e dispatcher.Evidence) bool {
 	if v.Own == e.Asked {
 		return true
@@ -247,7 +247,7 @@
 	return p.module.Fits(now, int(v.Own), variant.Key{Class: a.Class, Presume: v.Presumed}, a)
 }
 
-// Purged is node.Variants.
+// Purged is dispatcher.Variants.
 func (s *Stage) Purged(time int64, order uint64, object string, group int) (names []string) {
 	key, ok := parse(object)
 	if object != "" && !ok {
