--- a/internal/dispatcher/left_test.go
+++ b/internal/dispatcher/client_gone_test.go
@@ -1,13 +1,14 @@
 package dispatcher
 
 import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+
 	"elderwall/internal/call"
 	"elderwall/internal/clock"
 	"elderwall/internal/standin/need"
 	"elderwall/internal/standin/rig"
-	"testing"
-
-	"github.com/stretchr/testify/assert"
 )
 
 // A GET whose client left before its turn came takes nothing, and is settled with its gate.
@@ -31,16 +32,16 @@
 	hosts := rig.NewHosts(t, 2)
 	o, end := rig.Life(t)
 	up := rig.HoldDials(o)
-	n := New(Config{Settings: rig.Settings(100), Clock: clock.New(), Options: o, Connections: 100})
-	n.Take(rig.Whole(hosts.Entries...))
+	d := New(Config{Settings: rig.Settings(100), Clock: clock.New(), Options: o, Connections: 100})
+	d.Take(rig.Whole(hosts.Entries...))
 	c := rig.NewCall(o.Room)
-	n.Process(c, call.GET{Service: "segment", ID: rig.Fresh()[1], Object: rig.Object, PartText: "0", Budget: 20})
+	d.Process(c, call.GET{Service: "segment", ID: rig.Fresh()[1], Object: rig.Object, PartText: "0", Budget: 20})
 	c.Left.Store(true)
 	close(up)
 	need.Soon(t, func() bool { return o.Counts.GivenUp.Load() == 1 })
-	n.GiveUp(c) // now it comes
+	d.GiveUp(c) // now it comes
 	end()
-	assert.Empty(t, n.gets)
+	assert.Empty(t, d.requests)
 	assert.Empty(t, hosts.Asked())
 	assert.Equal(t, []int64{1, 1}, []int64{o.Counts.Forwards.Load(), o.Counts.GivenUp.Load()})
 }
--- a/internal/dispatcher/wall_test.go
+++ b/internal/dispatcher/clock_test.go
@@ -1,11 +1,6 @@
 package dispatcher
 
 import (
-	"elderwall/internal/call"
-	"elderwall/internal/changelog"
-	"elderwall/internal/clock"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/rig"
 	"strconv"
 	"sync/atomic"
 	"testing"
@@ -13,6 +8,12 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/call"
+	"elderwall/internal/changelog"
+	"elderwall/internal/clock"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/rig"
 )
 
 // The wall clock of the machine, and with it that of the change log, is stepped before a purge and a host's start are told: hosts are asked for no copy
@@ -24,21 +25,21 @@
 			wall := func() time.Time { return time.Now().Add(time.Duration(stepped.Load())) }
 			hosts := rig.NewHosts(t, 1)
 			o, _ := rig.Life(t)
-			n := New(Config{Settings: rig.Settings(100), Clock: clock.NewWithWall(wall), Options: o, Connections: 100})
-			w := changelog.Witness{Clock: n.Clock}
-			n.Take(w.Take(rig.Whole(hosts.Entries...), 0))
+			d := New(Config{Settings: rig.Settings(100), Clock: clock.NewWithWall(wall), Options: o, Connections: 100})
+			w := changelog.Witness{Clock: d.Clock}
+			d.Take(w.Take(rig.Whole(hosts.Entries...), 0))
 			upToDate := clock.InstantNow()
 			stepped.Store(int64(step))
 			began := time.Now()
-			n.Take(w.Take(changelog.Event{Purge: &changelog.Purge{Object: rig.Object, Time: wall().UnixMilli()}}, upToDate))
+			d.Take(w.Take(changelog.Event{Purge: &changelog.Purge{Object: rig.Object, Time: wall().UnixMilli()}}, upToDate))
 			fresh := rig.Entry("fresh", "127.0.0.1:1", "DRAINING")
 			fresh.StartedAtMs = wall().UnixMilli()
-			e, err := n.entry(w.Take(rig.Changes(fresh), upToDate).Fleet.Hosts[0], 1)
+			e, err := d.endpoint(w.Take(rig.Changes(fresh), upToDate).Fleet.Hosts[0], 1)
 			require.NoError(t, err)
-			assert.InDelta(t, n.Clock.Now(), e.OnlineSince, 0.2, "it has just started")
+			assert.InDelta(t, d.Clock.Now(), e.OnlineSince, 0.2, "it has just started")
 			time.Sleep(20 * time.Millisecond)
 			c := rig.NewCall(o.Room)
-			n.Process(c, call.GET{Service: "segment", ID: rig.Fresh()[1], Object: rig.Object, PartText: "0", Budget: 20})
+			d.Process(c, call.GET{Service: "segment", ID: rig.Fresh()[1], Object: rig.Object, PartText: "0", Budget: 20})
 			assert.Equal(t, "served bytes", <-c.Got)
 			oldest := need.Of(strconv.Atoi(hosts.Asked()[0].Fields["cap"]))(t)
 			assert.Positive(t, oldest)
--- a/internal/dispatcher/late_test.go
+++ b/internal/dispatcher/deadline_test.go
@@ -1,14 +1,15 @@
 package dispatcher
 
 import (
-	"elderwall/internal/call"
-	"elderwall/internal/clock"
-	"elderwall/internal/standin/rig"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/call"
+	"elderwall/internal/clock"
+	"elderwall/internal/standin/rig"
 )
 
 // A connection comes up when the GET that waits for it is over, or its client has left: nothing of that GET comes to the host.
@@ -29,18 +30,18 @@
 			o, _ := rig.Life(t)
 			o.Dialer.Timeout = time.Minute
 			up := rig.HoldDials(o)
-			n := New(Config{Settings: rig.Settings(100), Clock: clock.New(), Options: o, Connections: 1})
-			o.Group.Go(func() error { return n.Run(o.Context) })
-			n.Take(rig.Whole(hosts.Entries...))
+			d := New(Config{Settings: rig.Settings(100), Clock: clock.New(), Options: o, Connections: 1})
+			o.Group.Go(func() error { return d.Run(o.Context) })
+			d.Take(rig.Whole(hosts.Entries...))
 			get := func(id string, budget float64) *rig.Call {
 				c := rig.NewCall(o.Room)
-				n.Process(c, call.GET{Service: "segment", ID: id, Object: rig.Object, PartText: "0", Budget: budget})
+				d.Process(c, call.GET{Service: "segment", ID: id, Object: rig.Object, PartText: "0", Budget: budget})
 				return c
 			}
 			began := time.Now()
 			c := get("00000000000000a1", map[bool]float64{true: 20, false: 0.3}[tt.givesUp])
 			if tt.givesUp {
-				n.GiveUp(c)
+				d.GiveUp(c)
 			} else {
 				assert.Equal(t, "refused", <-c.Got)
 			}
@@ -52,9 +53,9 @@
 			require.Len(t, asked, 1)
 			assert.Equal(t, "00000000000000b2", asked[0].ID)
 			assert.EqualValues(t, 1, o.Counts.HostConnections.Load(), "on the connection that came up late")
-			n.mu.Lock()
-			defer n.mu.Unlock()
-			assert.Empty(t, n.gets)
+			d.mu.Lock()
+			defer d.mu.Unlock()
+			assert.Empty(t, d.requests)
 		})
 	}
 }
--- a/internal/dispatcher/window_test.go
+++ b/internal/dispatcher/dedup_window_test.go
@@ -1,17 +1,18 @@
 package dispatcher
 
 import (
-	"elderwall/core/routing"
-	"elderwall/internal/call"
-	"elderwall/internal/clock"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/rig"
 	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
+
+	"elderwall/core/routing"
+	"elderwall/internal/call"
+	"elderwall/internal/clock"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/rig"
 )
 
 // One host faults, and the connection to the next comes up after a while: a repeat goes out only where hosts know it for longer than that.
@@ -43,11 +44,11 @@
 			}
 			s := rig.Settings(100)
 			s.Settings.Services[0].Idempotency, s.Settings.Services[0].DedupWindow = routing.IdempotencyKeyed, tt.window
-			n := New(Config{Settings: s, Clock: clock.New(), Options: o, Connections: 100})
-			n.Take(rig.Whole(hosts.Entries...))
+			d := New(Config{Settings: s, Clock: clock.New(), Options: o, Connections: 100})
+			d.Take(rig.Whole(hosts.Entries...))
 			c := rig.NewCall(o.Room)
 			began := time.Now()
-			n.Process(c, call.GET{Service: "segment", ID: rig.Fresh()[1], Object: rig.Object, PartText: "0", Budget: 20})
+			d.Process(c, call.GET{Service: "segment", ID: rig.Fresh()[1], Object: rig.Object, PartText: "0", Budget: 20})
 			for dials.Load() < 2 && time.Since(began) < 5*time.Second {
 				time.Sleep(time.Millisecond)
 			}
--- a/internal/dispatcher/node_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -2,14 +2,6 @@
 
 import (
 	"cmp"
-	"elderwall/core/routing"
-	"elderwall/internal/call"
-	"elderwall/internal/changelog"
-	"elderwall/internal/clock"
-	"elderwall/internal/downstream"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/rig"
 	"fmt"
 	"math/rand/v2"
 	"slices"
@@ -23,40 +15,49 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sync/errgroup"
+
+	"elderwall/core/routing"
+	"elderwall/internal/call"
+	"elderwall/internal/changelog"
+	"elderwall/internal/clock"
+	"elderwall/internal/downstream"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/rig"
 )
 
 // forgetful is a node whose module never hears of a GET, as if it had broken on it.
 type forgetful struct {
-	*Node
+	*Dispatcher
 	taken chan bool
 }
 
 func (f forgetful) Process(c call.Call, _ call.GET) {
-	f.guarded(func(now float64) {
-		g := &get{id: 7, call: c, until: now}
-		f.gets[g.id], f.byCall[c] = g, g
-		g.expiry = f.expiries.Add(g.until, g)
+	f.callRecovering(func(now float64) {
+		q := &request{id: 7, call: c, deadline: now}
+		f.requests[q.id], f.byCall[c] = q, q
+		q.expiry = f.expiries.Add(q.deadline, q)
 		close(f.taken)
 		panic("broken")
 	})
 }
 
-func newNode(t *testing.T) *Node {
+func newNode(t *testing.T) *Dispatcher {
 	return New(Config{Settings: rig.Settings(1), Clock: clock.New(), Options: rig.Options(t.Context(), &errgroup.Group{}), Connections: 9})
 }
 
 func TestAGETThatABrokenModuleLeftIsErroredInItsTime(t *testing.T) {
-	n := newNode(t)
-	f, o := forgetful{n, make(chan bool)}, n.Options
+	d := newNode(t)
+	f, o := forgetful{d, make(chan bool)}, d.Options
 	server, l := &downstream.Server{Handler: f, Log: zerolog.Nop(), Counts: o.Counts, Room: o.Room, Most: 1}, need.Listener(t)
 	life, _ := rig.Life(t)
 	life.Group.Go(func() error { return server.Serve(life.Context, l) })
 	c := need.Client(t, l.Addr().String())
 	need.Sent(t, c)
 	<-f.taken
-	n.guarded(n.tick)
+	d.callRecovering(d.tick)
 	assert.Equal(t, "failed", need.Of(c.Read())(t).Kind)
-	assert.Empty(t, n.gets)
+	assert.Empty(t, d.requests)
 	_ = l.Close()
 }
 
@@ -64,7 +65,7 @@
 	entry := func(id, address, state string) changelog.Host {
 		return rig.Entry(id, "127.0.0.1:"+address, state)
 	}
-	n := newNode(t)
+	d := newNode(t)
 	for _, tt := range []struct {
 		name  string
 		reset bool
@@ -84,59 +85,59 @@
 		{"one comes back", false, []changelog.Host{entry("a", "4", "SERVING")}, map[string]string{"a": "4", "b": "3", "c": "1"}, 3},
 		{"one is no longer in the whole list", true, []changelog.Host{entry("a", "4", "SERVING")}, map[string]string{"a": "4"}, 3},
 	} {
-		n.Take(changelog.Event{Fleet: &changelog.Fleet{Reset: tt.reset, Hosts: tt.list}})
+		d.Take(changelog.Event{Fleet: &changelog.Fleet{Reset: tt.reset, Hosts: tt.list}})
 		got := map[string]string{}
-		for _, h := range n.hosts {
+		for _, h := range d.hosts {
 			if h.phase != routing.Removed {
 				got[h.name] = strings.TrimPrefix(h.address, "127.0.0.1:")
 			}
 		}
 		assert.Equal(t, tt.want, got, tt.name)
-		assert.Equal(t, tt.share, n.Options.PerHost.Load(), tt.name)
+		assert.Equal(t, tt.share, d.Options.PerHost.Load(), tt.name)
 	}
-	n.guarded(func(float64) { n.sweep() })
-	assert.Len(t, n.hosts, 1, "what is gone is forgotten")
-	assert.EqualValues(t, 9, n.Options.PerHost.Load())
-	assert.True(t, n.Ready())
+	d.callRecovering(func(float64) { d.sweep() })
+	assert.Len(t, d.hosts, 1, "what is gone is forgotten")
+	assert.EqualValues(t, 9, d.Options.PerHost.Load())
+	assert.True(t, d.Ready())
 }
 
 func TestAForwardWithNoPlaceIsNotItsHostsFault(t *testing.T) {
-	n := newNode(t)
-	n.Take(rig.Whole(rig.Entry("a", "127.0.0.1:1", "SERVING")))
-	n.Options.PerHost.Store(0)
-	n.gets[7] = &get{id: 7}
-	wire{n}.Forward(routing.Attempt{RequestID: 7, Host: n.hostID("a"), Source: n.hostID("a")})
-	assert.Equal(t, routing.Rejected, n.ended[0].Outcome)
-	assert.EqualValues(t, 1, n.Options.Counts.NoPlace.Load())
+	d := newNode(t)
+	d.Take(rig.Whole(rig.Entry("a", "127.0.0.1:1", "SERVING")))
+	d.Options.PerHost.Store(0)
+	d.requests[7] = &request{id: 7}
+	actions{d}.Forward(routing.Attempt{RequestID: 7, Host: d.hostID("a"), Source: d.hostID("a")})
+	assert.Equal(t, routing.Rejected, d.pendingResults[0].Outcome)
+	assert.EqualValues(t, 1, d.Options.Counts.NoPlace.Load())
 }
 
 func TestGETsGivenUpLateWithNothingWrittenAreCounted(t *testing.T) {
 	for name, tt := range map[string]struct {
 		until    float64 // seconds from when it came, an hour ago
-		forwards []*forward
+		forwards []*attempt
 		want     int64
 	}{
 		"late, nothing sent":         {3601, nil, 1},
-		"late, nothing written":      {3601, []*forward{{}}, 1},
+		"late, nothing written":      {3601, []*attempt{{}}, 1},
 		"within the first half":      {9000, nil, 0},
 		"by its viewer timeout past": {1, nil, 1},
 	} {
-		n := newNode(t)
-		n.unsent(&get{from: n.Clock.Now() - 3600, until: n.Clock.Now() - 3600 + tt.until, forwards: tt.forwards})
-		assert.Equal(t, tt.want, n.Options.Counts.Unsent.Load(), name)
+		d := newNode(t)
+		d.countUnsent(&request{receivedAt: d.Clock.Now() - 3600, deadline: d.Clock.Now() - 3600 + tt.until, attempts: tt.forwards})
+		assert.Equal(t, tt.want, d.Options.Counts.Unsent.Load(), name)
 	}
 }
 
 func TestEntries(t *testing.T) {
-	n := newNode(t)
+	d := newNode(t)
 	started := changelog.Host{ID: "a", Address: "127.0.0.1:1", Zone: "z", Kind: "std", Cell: 2, State: "DRAINING", Weight: 4, StartedAtMs: 1764576000123}
-	e, err := n.entry(started, 1)
+	e, err := d.endpoint(started, 1)
 	require.NoError(t, err)
 	assert.Equal(t, routing.Endpoint{
-		ID: n.hostID("a"), Cell: 2, Phase: routing.Draining, Weight: 4,
+		ID: d.hostID("a"), Cell: 2, Phase: routing.Draining, Weight: 4,
 		OnlineSince: e.OnlineSince, OnlineSinceKnown: true,
 	}, e)
-	assert.InDelta(t, float64(1764576000123)/1e3, float64(time.Now().UnixMicro())/1e6-n.Clock.Now()+e.OnlineSince, 0.01)
+	assert.InDelta(t, float64(1764576000123)/1e3, float64(time.Now().UnixMicro())/1e6-d.Clock.Now()+e.OnlineSince, 0.01)
 	for name, change := range map[string]func(*changelog.Host){
 		"no id":                     func(h *changelog.Host) { h.ID = "" },
 		"an id that splits a field": func(h *changelog.Host) { h.ID = "a,b" },
@@ -148,25 +149,25 @@
 	} {
 		h := started
 		change(&h)
-		_, err := n.entry(h, 1)
+		_, err := d.endpoint(h, 1)
 		assert.Error(t, err, name)
 	}
 }
 
 // Looking whether a shard can go must not leave a task in line that found the lock taken meanwhile.
 func TestNoTaskIsLeftInLineByALookWhetherAShardCanGo(t *testing.T) {
-	n := newNode(t)
-	n.Shard = &Shard{Together: NewTogether()}
+	d := newNode(t)
+	d.Shard = &Shard{Shared: NewShared()}
 	var stop atomic.Bool
 	var all sync.WaitGroup
 	all.Go(func() {
 		for !stop.Load() {
-			n.Close()
+			d.Close()
 		}
 	})
 	for range 20_000 {
 		done := make(chan bool)
-		n.Within(func() { close(done) })
+		d.QueueTask(func() { close(done) })
 		select {
 		case <-done:
 		case <-time.After(time.Second):
@@ -175,15 +176,15 @@
 	}
 	stop.Store(true)
 	all.Wait()
-	for !n.Close() {
+	for !d.Close() {
 	}
-	assert.False(t, n.offer(func(float64) {}), "one that is closed takes nothing new")
+	assert.False(t, d.tryEnqueue(func(float64) {}), "one that is closed takes nothing new")
 }
 
 // A long list is taken in by steps: what stops work comes first, hosts that it does not name are gone, and what it says
 // twice, or of two hosts at one address, changes nothing else.
 func TestALongList(t *testing.T) {
-	n := newNode(t)
+	d := newNode(t)
 	list := func(state string, from, to int) (hosts []changelog.Host) {
 		for i := from; i < to; i++ {
 			hosts = append(hosts, rig.Entry(fmt.Sprint("h", i), fmt.Sprint("127.0.0.1:", 10000+i%200), state))
@@ -191,53 +192,53 @@
 		return hosts
 	}
 	take := func(reset bool, hosts ...changelog.Host) {
-		n.Take(changelog.Event{Fleet: &changelog.Fleet{Reset: reset, Hosts: hosts}})
+		d.Take(changelog.Event{Fleet: &changelog.Fleet{Reset: reset, Hosts: hosts}})
 	}
 	phases := func() map[routing.Phase]int {
 		by := map[routing.Phase]int{}
-		for _, h := range n.hosts {
+		for _, h := range d.hosts {
 			by[h.phase]++
 		}
 		return by
 	}
 	take(true, list("SERVING", 0, 300)...)
-	assert.True(t, n.Ready())
+	assert.True(t, d.Ready())
 	assert.Equal(t, map[routing.Phase]int{routing.Ready: 300}, phases())
-	before := n.hosts[n.hostID("h250")].Host
+	before := d.hosts[d.hostID("h250")].Host
 	take(true, append(list("SERVING", 200, 400), list("DRAINING", 100, 200)...)...)
 	assert.Equal(t, map[routing.Phase]int{routing.Ready: 200, routing.Draining: 100, routing.Removed: 100}, phases())
-	assert.Same(t, before, n.hosts[n.hostID("h250")].Host, "what stays keeps its connections")
+	assert.Same(t, before, d.hosts[d.hostID("h250")].Host, "what stays keeps its connections")
 	take(false, append(list("SERVING", 0, 90), list("DRAINING", 0, 90)...)...)
 	assert.Equal(t, map[routing.Phase]int{routing.Ready: 200, routing.Draining: 190, routing.Removed: 10}, phases(), "draining goes first, and the list ends with that")
-	assert.EqualValues(t, 3, n.Options.Counts.Lists.Load())
+	assert.EqualValues(t, 3, d.Options.Counts.Lists.Load())
 }
 
 // A forward waits for a connection that comes up late, and news comes before that: what forbids it has it decided anew.
 func TestNewsBeforeTheFirstByte(t *testing.T) {
 	told := func(h *host, state, address string) changelog.Event {
-		e := h.told
+		e := h.listed
 		e.State, e.Address = state, cmp.Or(address, e.Address)
 		return rig.Changes(e)
 	}
 	whole := func(all []changelog.Host, but *host) changelog.Event {
 		return rig.Whole(slices.DeleteFunc(slices.Clone(all), func(h changelog.Host) bool { return h.ID == but.name })...)
 	}
-	to, from := func(f *forward) string { return f.to.address }, func(f *forward) string { return f.from.name }
+	to, from := func(a *attempt) string { return a.host.address }, func(a *attempt) string { return a.source.name }
 	for name, tt := range map[string]struct {
-		news   func(f *forward, all []changelog.Host) changelog.Event
-		never  func(f *forward) string // where it must not go to, or be filled from; nil for anywhere
+		news   func(a *attempt, all []changelog.Host) changelog.Event
+		never  func(a *attempt) string // where it must not go to, or be filled from; nil for anywhere
 		purged bool
 	}{
-		"its source drains":         {func(f *forward, _ []changelog.Host) changelog.Event { return told(f.from, "DRAINING", "") }, from, false},
-		"its source is gone":        {func(f *forward, _ []changelog.Host) changelog.Event { return told(f.from, "DELETED", "") }, from, false},
-		"a whole list lacks it":     {func(f *forward, all []changelog.Host) changelog.Event { return whole(all, f.from) }, from, false},
-		"its host drains":           {func(f *forward, _ []changelog.Host) changelog.Event { return told(f.to, "DRAINING", "") }, to, false},
-		"its host is gone":          {func(f *forward, _ []changelog.Host) changelog.Event { return told(f.to, "DELETED", "") }, to, false},
-		"its host moves":            {func(f *forward, _ []changelog.Host) changelog.Event { return told(f.to, "SERVING", "127.0.0.1:1") }, to, false},
-		"its object is purged":      {func(*forward, []changelog.Host) changelog.Event { return rig.Purge(rig.Object) }, nil, true},
-		"its group is purged":       {func(*forward, []changelog.Host) changelog.Event { return rig.Purge("") }, nil, true},
-		"another object is purged":  {func(*forward, []changelog.Host) changelog.Event { return rig.Purge("other") }, nil, false},
-		"its host is told of again": {func(f *forward, _ []changelog.Host) changelog.Event { return rig.Changes(f.to.told) }, nil, false},
+		"its source drains":         {func(a *attempt, _ []changelog.Host) changelog.Event { return told(a.source, "DRAINING", "") }, from, false},
+		"its source is gone":        {func(a *attempt, _ []changelog.Host) changelog.Event { return told(a.source, "DELETED", "") }, from, false},
+		"a whole list lacks it":     {func(a *attempt, all []changelog.Host) changelog.Event { return whole(all, a.source) }, from, false},
+		"its host drains":           {func(a *attempt, _ []changelog.Host) changelog.Event { return told(a.host, "DRAINING", "") }, to, false},
+		"its host is gone":          {func(a *attempt, _ []changelog.Host) changelog.Event { return told(a.host, "DELETED", "") }, to, false},
+		"its host moves":            {func(a *attempt, _ []changelog.Host) changelog.Event { return told(a.host, "SERVING", "127.0.0.1:1") }, to, false},
+		"its object is purged":      {func(*attempt, []changelog.Host) changelog.Event { return rig.Purge(rig.Object) }, nil, true},
+		"its group is purged":       {func(*attempt, []changelog.Host) changelog.Event { return rig.Purge("") }, nil, true},
+		"another object is purged":  {func(*attempt, []changelog.Host) changelog.Event { return rig.Purge("other") }, nil, false},
+		"its host is told of again": {func(a *attempt, _ []changelog.Host) changelog.Event { return rig.Changes(a.host.listed) }, nil, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -245,22 +246,22 @@
 			o, end := rig.Life(t)
 			o.Dialer.Timeout = time.Minute
 			up := rig.HoldDials(o)
-			n, all := New(Config{Settings: rig.Settings(100), Clock: clock.New(), Options: o, Connections: 100}), hosts.Entries
+			d, all := New(Config{Settings: rig.Settings(100), Clock: clock.New(), Options: o, Connections: 100}), hosts.Entries
 			all[2].Kind, all[3].Kind = "parent", "parent"
-			n.Take(rig.Whole(all...))
+			d.Take(rig.Whole(all...))
 			c := rig.NewCall(o.Room)
-			n.Process(c, call.GET{Service: "segment", ID: "9b1f03aa5c7e2d41", Object: rig.Object, PartText: "0", Budget: 20})
-			n.mu.Lock()
-			f := n.byID["9b1f03aa5c7e2d41"].forwards[0]
-			n.mu.Unlock()
-			n.Take(tt.news(f, all))
+			d.Process(c, call.GET{Service: "segment", ID: "9b1f03aa5c7e2d41", Object: rig.Object, PartText: "0", Budget: 20})
+			d.mu.Lock()
+			a := d.byRequestID["9b1f03aa5c7e2d41"].attempts[0]
+			d.mu.Unlock()
+			d.Take(tt.news(a, all))
 			close(up)
 			assert.Equal(t, "served bytes", <-c.Got)
 			end()
 			asked := hosts.Asked()
 			require.Len(t, asked, 1, "what was taken back never went out")
 			if tt.never != nil {
-				assert.NotContains(t, []string{asked[0].Fields["up"], asked[0].Conn.LocalAddr().String()}, tt.never(f))
+				assert.NotContains(t, []string{asked[0].Fields["up"], asked[0].Conn.LocalAddr().String()}, tt.never(a))
 			}
 			assert.Equal(t, tt.purged, asked[0].Fields["cap"] != "")
 			assert.EqualValues(t, map[bool]int{true: 1}[tt.never != nil || tt.purged], o.Counts.Recalled.Load())
@@ -271,7 +272,7 @@
 // jointRig is a node whose GETs share forwards, before hosts that a test holds up.
 type jointRig struct {
 	testing.TB
-	*Node
+	*Dispatcher
 	hosts   *rig.Hosts
 	wait    chan bool
 	clients []*rig.Call
@@ -281,9 +282,9 @@
 	r := &jointRig{TB: t, hosts: rig.NewHosts(t, 2)}
 	r.wait = r.hosts.Hold()
 	o, end := rig.Life(t)
-	r.Node = New(Config{Settings: rig.Settings(100_000), Clock: clock.New(), Options: o, Connections: 100, Joins: joins})
+	r.Dispatcher = New(Config{Settings: rig.Settings(100_000), Clock: clock.New(), Options: o, Connections: 100, Coalesce: joins})
 	r.Take(rig.Whole(r.hosts.Entries...))
-	o.Group.Go(func() error { return r.Node.Run(o.Context) })
+	o.Group.Go(func() error { return r.Dispatcher.Run(o.Context) })
 	t.Cleanup(func() {
 		select {
 		case <-r.wait:
@@ -291,9 +292,9 @@
 			close(r.wait)
 		}
 		end()
-		r.Node.mu.Lock()
-		defer r.Node.mu.Unlock()
-		assert.Empty(t, r.Node.gets, "nothing is held")
+		r.Dispatcher.mu.Lock()
+		defer r.Dispatcher.mu.Unlock()
+		assert.Empty(t, r.Dispatcher.requests, "nothing is held")
 		for _, c := range r.clients {
 			assert.LessOrEqual(t, c.N.Load(), int32(1), "one answer")
 		}
--- a/internal/extensions/extras.go
+++ b/internal/extensions/extras.go
@@ -132,11 +132,11 @@
 func (s spender) Spent(of []string) { s.fleet.Load().Spent(of) }
 
 // Origins gives a module its part in the budgets at the origin; nil where none is divided.
-func (e *Extras) Origins() func() dispatcher.Bounder {
+func (e *Extras) Origins() func() dispatcher.QuotaSource {
 	if !e.divides() {
 		return nil
 	}
-	return func() dispatcher.Bounder { return &bounder{of: e} }
+	return func() dispatcher.QuotaSource { return &bounder{of: e} }
 }
 
 // Changes has purges that the change log tells remembered by the fleet, and those that others tell taken here: they only narrow.
@@ -190,8 +190,8 @@
 	*cluster.Bounded
 }
 
-// Bound is node.Bounder.
-func (b *bounder) Bound(host string, held, refused int, acts bool) int {
+// Exchange is node.Bounder.
+func (b *bounder) Exchange(host string, held, refused int, acts bool) int {
 	if !b.opened() {
 		return 0
 	}
--- a/internal/extproc/extproc_test.go
+++ b/internal/extproc/extproc_test.go
@@ -40,14 +40,14 @@
 
 // paused is a handler that a test can hold up.
 type paused struct {
-	*dispatcher.Node
+	*dispatcher.Dispatcher
 	mu sync.Mutex
 }
 
 func (p *paused) Process(c call.Call, in call.GET) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.Node.Process(c, in)
+	p.Dispatcher.Process(c, in)
 }
 
 // rig is a processor before one module, and the caches that its proxies send to.
@@ -72,7 +72,7 @@
 	r.end, s.NoteDetail, s.MaxRetryAfter = end, routing.FillNotes, 1
 	s.Settings.Services[0].Objective, s.Settings.Services[0].ViewerTimeout = 1, 10
 	n := dispatcher.New(dispatcher.Config{Settings: s, Clock: clock.New(), Options: o, Connections: 400})
-	r.handler = &paused{Node: n}
+	r.handler = &paused{Dispatcher: n}
 	options := Options{Decide: 0.5, Calls: proxycall.Settings{Hold: 0.1, Share: 1, Open: 20_000}, Rules: rules()}
 	if change != nil {
 		change(&options)
--- a/internal/multicore/cores.go
+++ b/internal/multicore/cores.go
@@ -47,7 +47,7 @@
 
 	mu       sync.Mutex // of what follows
 	module   *sharding.Module
-	together *dispatcher.Together
+	together *dispatcher.Shared
 	draining bool
 	past     *counters.Counters // of shards that are gone
 	run      func(func() error) // starts what Run waits for
@@ -56,12 +56,12 @@
 // places is where GETs go. Guards against a table read with the nodes of another moment, which may be fewer.
 type places struct {
 	table *sharding.Table
-	nodes []*dispatcher.Node // by shard
+	nodes []*dispatcher.Dispatcher // by shard
 }
 
 // member is one shard that there is or was.
 type member struct {
-	*dispatcher.Node
+	*dispatcher.Dispatcher
 	counts *counters.Counters
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -75,7 +75,7 @@
 
 // New makes a group of n shards; fail answers what a shard that stands still owes by a moment, and tells how many.
 func New(c dispatcher.Config, n int, way sharding.Way, fail func(shard int, by time.Time) int) *Group {
-	g := &Group{config: c, module: sharding.New(n, way), together: dispatcher.NewTogether(), fail: fail, past: &counters.Counters{}}
+	g := &Group{config: c, module: sharding.New(n, way), together: dispatcher.NewShared(), fail: fail, past: &counters.Counters{}}
 	g.memory.Keep = c.Settings.PurgeGrace
 	g.run = c.Options.Group.Go
 	g.members.Store(&[]*member{})
@@ -85,7 +85,7 @@
 }
 
 // grow makes members until there are n shards; nothing goes to them yet.
-func (g *Group) grow(nodes []*dispatcher.Node, n int) (fresh []*member, all []*dispatcher.Node) {
+func (g *Group) grow(nodes []*dispatcher.Dispatcher, n int) (fresh []*member, all []*dispatcher.Dispatcher) {
 	nodes, members := slices.Clone(nodes), slices.Clone(*g.members.Load())
 	for len(nodes) < n {
 		c, o := g.config, g.config.Options
@@ -96,9 +96,9 @@
 			Streams: o.Streams, Proofs: o.Proofs, Places: o.Places, Dials: o.Dials, Context: m.ctx, Group: o.Group,
 		}
 		c.Connections = max(1, g.config.Connections/n)
-		c.Shard = &dispatcher.Shard{Index: len(members), Shards: n, Peers: &peers{g, len(members)}, Together: g.together, Known: g.known}
-		m.Node = dispatcher.New(c)
-		nodes, members, fresh = append(nodes, m.Node), append(members, m), append(fresh, m)
+		c.Shard = &dispatcher.Shard{Index: len(members), Shards: n, Peers: &peers{g, len(members)}, Shared: g.together, Known: g.known}
+		m.Dispatcher = dispatcher.New(c)
+		nodes, members, fresh = append(nodes, m.Dispatcher), append(members, m), append(fresh, m)
 	}
 	g.members.Store(&members)
 	return fresh, nodes
@@ -144,10 +144,10 @@
 	defer g.mu.Unlock()
 	e = g.remember(e)
 	for _, m := range g.alive() {
-		m.Notice(e)
+		m.QueueEvent(e)
 	}
 	for _, m := range g.alive() {
-		g.run(func() error { m.Serve(); return nil })
+		g.run(func() error { m.RunQueued(); return nil })
 	}
 }
 
@@ -234,19 +234,19 @@
 		kept := slices.Clone(old[:n])
 		g.places.Store(&places{g.module.Resize(n), kept})
 		for _, m := range g.alive() {
-			m.ended.Store(m.ended.Load() || !slices.Contains(kept, m.Node))
+			m.ended.Store(m.ended.Load() || !slices.Contains(kept, m.Dispatcher))
 		}
 		return
 	}
 	fresh, nodes := g.grow(old, n)
 	for _, m := range fresh {
 		for _, e := range g.known() {
-			m.Notice(e)
+			m.QueueEvent(e)
 		}
 		if g.draining {
 			m.Drain()
 		}
-		g.run(func() error { m.Serve(); return m.Run(m.ctx) })
+		g.run(func() error { m.RunQueued(); return m.Run(m.ctx) })
 	}
 	g.places.Store(&places{g.module.Resize(n), nodes})
 }
@@ -303,7 +303,7 @@
 	reports, chans := make([]sharding.Report, len(nodes)), make([]chan sharding.Report, len(nodes))
 	for i, n := range nodes {
 		chans[i] = make(chan sharding.Report, 1)
-		n.Turn(chans[i])
+		n.QueueReport(chans[i])
 	}
 	until := time.After(heardIn)
 	for i := range nodes {
@@ -342,7 +342,7 @@
 		case <-each.C:
 			for i, m := range *g.members.Load() {
 				if m != nil {
-					g.lookAt(i, m.Node, told)
+					g.lookAt(i, m.Dispatcher, told)
 				}
 			}
 		case <-ctx.Done():
@@ -351,7 +351,7 @@
 	}
 }
 
-func (g *Group) lookAt(i int, n *dispatcher.Node, told map[int]bool) {
+func (g *Group) lookAt(i int, n *dispatcher.Dispatcher, told map[int]bool) {
 	stalled := n.Stalled()
 	if stalled < still {
 		if told[i] {
@@ -364,7 +364,7 @@
 		told[i] = true
 		g.config.Options.Log.Warn().Int("shard", i).Dur("for", stalled).Msg("shard stands still")
 	}
-	g.config.Options.Counts.Overdue.Add(int64(g.fail(i, time.Now().Add(dispatcher.Lead()))))
+	g.config.Options.Counts.Overdue.Add(int64(g.fail(i, time.Now().Add(dispatcher.AnswerLead()))))
 }
 
 // peers is what the shards have in common, as one of them sees it.
@@ -402,7 +402,7 @@
 	}
 	for i, m := range *p.members.Load() {
 		if i != p.index && m != nil {
-			m.Told(news)
+			m.QueuePeerUpdate(news)
 		}
 	}
 }
--- a/internal/multicore/cores_test.go
+++ b/internal/multicore/cores_test.go
@@ -80,7 +80,7 @@
 }
 
 // held waits until so many GETs are held.
-func (r *rig) held(n int64) { need.Soon(r, func() bool { return r.together.Held.Load() == n }) }
+func (r *rig) held(n int64) { need.Soon(r, func() bool { return r.together.Open.Load() == n }) }
 
 func (r *rig) byShard() map[int]*counters.Counters { by, _ := r.Counts(); return by }
 
@@ -117,7 +117,7 @@
 // stall holds a shard up, and gives what lets it go on.
 func (r *rig) stall(shard int) (goOn func()) {
 	held, on := make(chan bool), make(chan bool)
-	go r.places.Load().nodes[shard].Within(func() { close(held); <-on })
+	go r.places.Load().nodes[shard].QueueTask(func() { close(held); <-on })
 	<-held
 	return func() { close(on) }
 }
@@ -192,7 +192,7 @@
 func TestAForwardThatANoticeOvertookIsKeptBack(t *testing.T) {
 	r := newRig(t, 2, sharding.ByItem, 1)
 	name, n, c := r.of(0), r.places.Load().nodes[0], rigs.NewCall(r.config.Options.Room)
-	n.Within(func() { // as if in the middle of a decision
+	n.QueueTask(func() { // as if in the middle of a decision
 		r.Take(rigs.Purge(name))
 		n.Process(c, call.GET{Service: "segment", ID: "9b1f03aa5c7e2d41", Object: name, PartText: "0", Budget: 1})
 	})
@@ -268,7 +268,7 @@
 	r.send(a, "obj", name, "nth", "0")
 	r.send(b, "obj", other, "nth", "0")
 	need.Soon(t, func() bool { n, _ := r.hosts.Count(); return n > 0 })
-	r.places.Load().nodes[0].Within(func() { panic("broken") })
+	r.places.Load().nodes[0].QueueTask(func() { panic("broken") })
 	assert.Equal(t, "failed", r.read(a).Kind)
 	close(wait)
 	assert.Equal(t, "served", r.read(b).Kind, "the other goes on")
@@ -362,7 +362,7 @@
 	need.Soon(t, func() bool { n, _ := r.hosts.Count(); return n > 0 })
 	goOn := r.stall(0)
 	for range 5000 {
-		r.places.Load().nodes[0].Turn(make(chan sharding.Report, 1))
+		r.places.Load().nodes[0].QueueReport(make(chan sharding.Report, 1))
 	}
 	r.send(c, "obj", name, "nth", "0")
 	assert.Equal(t, "refused", r.read(c).Kind)
--- a/internal/multicore/held_test.go
+++ b/internal/multicore/held_test.go
@@ -14,7 +14,7 @@
 // settled waits until a shard has done all that is in its line by now.
 func (r *rig) settled(shard int) {
 	done := make(chan bool)
-	r.places.Load().nodes[shard].Within(func() { close(done) })
+	r.places.Load().nodes[shard].QueueTask(func() { close(done) })
 	<-done
 }
 
@@ -66,14 +66,14 @@
 		"the shard breaks": func(r *rig, c *standin.Client, held func() int32) {
 			held()
 			held()
-			r.places.Load().nodes[0].Within(func() { panic("broken") })
+			r.places.Load().nodes[0].QueueTask(func() { panic("broken") })
 			for range 2 {
 				assert.Equal(r, "failed", r.read(c).Kind)
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, 2, sharding.ByItem, 2, func(c *dispatcher.Config) { c.Joins = []bool{true} })
+			r := newRig(t, 2, sharding.ByItem, 2, func(c *dispatcher.Config) { c.Coalesce = []bool{true} })
 			wait, anchor, c := r.hosts.Hold(), r.dial(), r.dial()
 			defer close(wait)
 			r.send(anchor, "obj", r.of(1), "nth", "0")
@@ -85,7 +85,7 @@
 				return seq
 			})
 			r.settled(0)
-			assert.EqualValues(t, 1, r.together.Held.Load())
+			assert.EqualValues(t, 1, r.together.Open.Load())
 		})
 	}
 }
--- a/internal/multicore/left_test.go
+++ b/internal/multicore/left_test.go
@@ -71,7 +71,7 @@
 
 // A client that has left is gone: nothing of its GET begins at a host, wherever that waited. Those who wait with it are served.
 func TestNothingBeginsForAClientThatHasLeft(t *testing.T) {
-	joins := func(c *dispatcher.Config) { c.Joins = []bool{true} }
+	joins := func(c *dispatcher.Config) { c.Coalesce = []bool{true} }
 	for name, tt := range map[string]struct {
 		change func(*dispatcher.Config)
 		waits  func(l *leaver)
@@ -139,7 +139,7 @@
 			l.deciding(1)
 			goOn := l.stalls()
 			l.goes()
-			go l.places.Load().nodes[0].Within(func() { panic("broken") })
+			go l.places.Load().nodes[0].QueueTask(func() { panic("broken") })
 			goOn()
 			need.Soon(l, func() bool { return l.sum().Rebuilt.Load() == 1 })
 			up()
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -55,7 +55,7 @@
 	// Retries bounds forwards after failed ones; the zero value does not.
 	Retries() retrybudget.Settings
 	// Origins makes a module's part in what the fleet lets all dispatchers have at the origin; nil where nothing is shared out.
-	Origins() func() dispatcher.Bounder
+	Origins() func() dispatcher.QuotaSource
 	// Changes is given what takes the change log's events, and gives what takes them from the follower: itself, or one around it that
 	// learns more. After gone seconds no copy is left that is older than a purge.
 	Changes(take func(changelog.Event), gone float64) func(changelog.Event)
@@ -106,7 +106,7 @@
 
 // Gate asks who is calling, for the node and for the fronts.
 type Gate interface {
-	dispatcher.Gate
+	dispatcher.Admission
 	downstream.Callers
 }
 
@@ -229,11 +229,11 @@
 	}
 	n := dispatcher.Config{Settings: c.settings, Clock: clock.New(), Options: o, Connections: c.Limits.Sockets - clients - ownSockets}
 	if gate != nil {
-		n.Gate = gate
+		n.Admission = gate
 	}
 	if e != nil {
-		n.Joins, n.Settings.Retries = e.Joins(), e.Retries()
-		n.Bounders = e.Origins()
+		n.Coalesce, n.Settings.Retries = e.Joins(), e.Retries()
+		n.Quotas = e.Origins()
 	}
 	var devices downstream.Devices
 	if e != nil {
--- a/internal/variantfilter/way_test.go
+++ b/internal/variantfilter/way_test.go
@@ -73,7 +73,7 @@
 type way struct {
 	testing.TB
 	*truth
-	*dispatcher.Node
+	*dispatcher.Dispatcher
 	stage   *later
 	address string
 	ids     atomic.Int64
@@ -93,16 +93,16 @@
 	one := pure.Service{Classes: classes, Proof: proof, Witnesses: max(1, len(witnesses)), Repeats: true, Fresh: math.Inf(1)}
 	w.stage = &later{Stage: need.Of(variantfilter.New(variantfilter.Settings{Module: pure.Settings{Services: []pure.Service{one, one}, Objects: 1000, Seed: 7, Self: "d1"}, Fields: []string{"dev", "dev"}}))(t)}
 	o.Proofs = true
-	w.Node = dispatcher.New(dispatcher.Config{Settings: s, Clock: clock.New(), Options: o, Connections: 100, Variants: w.stage, Joins: []bool{joins, joins}})
+	w.Dispatcher = dispatcher.New(dispatcher.Config{Settings: s, Clock: clock.New(), Options: o, Connections: 100, Variants: w.stage, Coalesce: []bool{joins, joins}})
 	w.take(rig.Whole(w.hosts.Entries...))
 	l := need.Listener(t)
 	w.address = l.Addr().String()
 	named := downstream.Device{Classes: map[string]string{"tv": "tv", "phone": "phone", "car": "car"}}
 	server := &downstream.Server{
-		Handler: w.Node, Log: zerolog.Nop(), Counts: o.Counts, Room: o.Room, Most: 100,
+		Handler: w.Dispatcher, Log: zerolog.Nop(), Counts: o.Counts, Room: o.Room, Most: 100,
 		Devices: downstream.Devices{Fields: []string{"device"}, By: map[string]downstream.Device{"segment": named, "order": named}},
 	}
-	o.Group.Go(func() error { return w.Node.Run(o.Context) })
+	o.Group.Go(func() error { return w.Dispatcher.Run(o.Context) })
 	o.Group.Go(func() error { return server.Serve(o.Context, l) })
 	return w
 }
