--- a/core/routing/cache_fill_test.go
+++ b/core/routing/cache_fill_test.go
@@ -9,36 +9,36 @@
 )
 
 func TestSourceFaults(t *testing.T) {
-	for note, next := range map[Note]bool{SourceRejected: true, SourceFailed: true, FillsExhausted: false} {
-		d, r := newCluster(nil)
-		ask(d, 1, 7, "a")
-		answer(d, 1.1, 7, 0, Rejected, note)
-		require.Len(t, r.forwards, 2)
-		assert.Equal(t, next, r.forwards[0].Source != r.forwards[1].Source, "a source at fault is passed over")
-		assert.Equal(t, next, r.forwards[0].Host == r.forwards[1].Host, "a cache at fault is passed over")
+	for note, sourceFault := range map[Note]bool{SourceRejected: true, SourceFailed: true, FillsExhausted: false} {
+		r, rec := newCluster(nil)
+		submit(r, 1, 7, "a")
+		respond(r, 1.1, 7, 0, Rejected, note)
+		require.Len(t, rec.attempts, 2)
+		assert.Equal(t, sourceFault, rec.attempts[0].Source != rec.attempts[1].Source, "a retry avoids a faulty source")
+		assert.Equal(t, sourceFault, rec.attempts[0].Host == rec.attempts[1].Host, "a retry avoids a faulty cache")
 	}
 }
 
 func TestTheFirstFillLimitIsAShareOfTheZone(t *testing.T) {
-	for _, alike := range []int{1, 12} {
-		d, r := newCluster(func(s *Settings) { s.DispatchersByZone = []int{alike} })
-		for i := range uint32(200) { // nothing has come back yet
-			ask(d, 1, i, fmt.Sprint("o", i))
+	for _, routers := range []int{1, 12} {
+		r, rec := newCluster(func(s *Settings) { s.DispatchersByZone = []int{routers} })
+		for i := range uint32(200) { // no result is back yet
+			submit(r, 1, i, fmt.Sprint("o", i))
 		}
-		assert.Positive(t, d.limits.fills.count)
-		assert.LessOrEqual(t, d.limits.fills.count, 200/alike)
-		assert.Len(t, r.forwards, 200, "the rest looks")
+		assert.Positive(t, r.limits.fills.count)
+		assert.LessOrEqual(t, r.limits.fills.count, 200/routers)
+		assert.Len(t, rec.attempts, 200, "requests beyond the fill limit are sent as lookups, not shed")
 	}
 }
 
 func TestAtALimitAMissIsShedAtOnce(t *testing.T) {
-	for _, held := range []bool{false, true} { // a look at the cache, or at what the parent holds
-		d, r := newCluster(nil)
-		l := map[bool]*concurrencyLimit{false: &d.limits.fills, true: &d.limits.origin}[held]
-		l.max, l.count = 0.1, 1
-		ask(d, 1, 7, "a")
-		require.Equal(t, []bool{held, held}, []bool{r.last().Host != r.last().Source, r.last().CachedOnly})
-		answer(d, 1.01, 7, 0, NotCached, map[bool]Note{true: SourceNotCached}[held])
-		assert.Equal(t, []uint32{7}, r.shed)
+	for _, cachedOnly := range []bool{false, true} { // a lookup at the cache, or at the parent
+		r, rec := newCluster(nil)
+		limit := map[bool]*concurrencyLimit{false: &r.limits.fills, true: &r.limits.origin}[cachedOnly]
+		limit.max, limit.count = 0.1, 1
+		submit(r, 1, 7, "a")
+		require.Equal(t, []bool{cachedOnly, cachedOnly}, []bool{rec.last().Host != rec.last().Source, rec.last().CachedOnly})
+		respond(r, 1.01, 7, 0, NotCached, map[bool]Note{true: SourceNotCached}[cachedOnly])
+		assert.Equal(t, []uint32{7}, rec.shed)
 	}
 }
--- a/core/routing/congestion_test.go
+++ b/core/routing/congestion_test.go
@@ -10,214 +10,257 @@
 	"github.com/stretchr/testify/assert"
 )
 
-const clip, pace = 3.0, 0.1 // KB, and s a KB at the usual pace
+const (
+	objectKB     = 3.0
+	secondsPerKB = 0.1 // s/KB; the usual transfer time
+)
+
+// usualTime is how long the transfer of an object usually takes, in seconds.
+const usualTime = objectKB * secondsPerKB
 
-// sparseRouter is one dispatcher of 300: it sees few GETs, whose answers tell their bytes.
+// sparseRouter is one router of 300: it sees few requests, and their results tell their sizes.
 type sparseRouter struct {
 	*Router
-	r    *recorder
-	now  float64
-	id   uint32
-	slow func(f Attempt) float64           // times as slow as usual that a forward is; nil for once
-	end  func(f Attempt, a *AttemptResult) // what else is to be said of it; nil for nothing
+	rec      *recorder
+	now      float64
+	id       uint32
+	slowdown func(a Attempt) float64                // how many times the usual time an attempt takes; nil for 1
+	adjust   func(a Attempt, result *AttemptResult) // changes the result of an attempt; nil for no change
 }
 
 func newSparseRouter() *sparseRouter {
-	d, r := newCluster(func(s *Settings) { s.DispatchersByZone, s.Dispatchers = []int{10}, 300 })
-	c := &sparseRouter{Router: d, r: r}
-	c.play("known", 20, false)
-	c.play("known", 20, true)
-	return c
+	r, rec := newCluster(func(s *Settings) { s.DispatchersByZone, s.Dispatchers = []int{10}, 300 })
+	sparse := &sparseRouter{Router: r, rec: rec}
+	sparse.run("known", 20, false)
+	sparse.run("known", 20, true)
+	return sparse
 }
 
-// play plays GETs to their ends, half a second after each other, and gives how many were shed.
-func (c *sparseRouter) play(name string, gets int, hits bool) int {
-	shed := len(c.r.shed)
-	for i := range gets {
-		c.get(fmt.Sprint(name, i), hits)
+// run runs requests one after another, half a second apart, and returns how many were shed.
+func (s *sparseRouter) run(name string, requests int, hits bool) int {
+	shed := len(s.rec.shed)
+	for i := range requests {
+		s.request(fmt.Sprint(name, i), hits)
 	}
-	return len(c.r.shed) - shed
+	return len(s.rec.shed) - shed
 }
 
-// get plays one GET, and gives its last forward. With hits its cache holds the object.
-func (c *sparseRouter) get(object string, hits bool) Attempt {
-	c.now, c.id = c.now+0.5, c.id+1
-	sent, first := len(c.r.forwards), len(c.r.forwards)
-	c.HandleRequest(c.now, Request{ID: c.id, Object: object, Deadline: c.now + 5})
-	for c.RunRetries(c.now); sent < len(c.r.forwards); sent++ {
-		f := c.r.forwards[sent]
-		a := AttemptResult{RequestID: f.RequestID, Attempt: sent - first, Outcome: Succeeded, Final: true, SizeKB: clip, Note: CacheHit, Elapsed: clip * pace}
-		if c.slow != nil {
-			a.Elapsed *= c.slow(f)
-		}
-		switch {
-		case !hits && f.Source == f.Host:
-			a = AttemptResult{RequestID: f.RequestID, Attempt: sent - first, Outcome: NotCached}
-		case !hits:
-			a.Note = Filled
-		}
-		if c.end != nil {
-			c.end(f, &a)
-		}
-		c.HandleResult(c.now+a.Elapsed, a)
-		c.RunRetries(c.now + a.Elapsed)
-		c.HandleTimer(c.now + a.Elapsed)
+// request runs one request to its end and returns its last attempt. With hits, its cache has the object.
+func (s *sparseRouter) request(object string, hits bool) Attempt {
+	s.now, s.id = s.now+0.5, s.id+1
+	first := len(s.rec.attempts)
+	s.HandleRequest(s.now, Request{ID: s.id, Object: object, Deadline: s.now + 5})
+	s.RunRetries(s.now)
+	for next := first; next < len(s.rec.attempts); next++ {
+		result := s.result(s.rec.attempts[next], next-first, hits)
+		s.HandleResult(s.now+result.Elapsed, result)
+		s.RunRetries(s.now + result.Elapsed)
+		s.HandleTimer(s.now + result.Elapsed)
+	}
+	return s.rec.last()
+}
+
+// result is how an attempt ends.
+func (s *sparseRouter) result(a Attempt, number int, hits bool) AttemptResult {
+	result := AttemptResult{
+		RequestID: a.RequestID, Attempt: number, Outcome: Succeeded, Note: CacheHit,
+		Elapsed: usualTime, SizeKB: objectKB, Final: true,
+	}
+	if s.slowdown != nil {
+		result.Elapsed *= s.slowdown(a)
 	}
-	return c.r.last()
+	switch {
+	case !hits && a.Source == a.Host:
+		result = AttemptResult{RequestID: a.RequestID, Attempt: number, Outcome: NotCached}
+	case !hits:
+		result.Note = Filled
+	}
+	if s.adjust != nil {
+		s.adjust(a, &result)
+	}
+	return result
 }
 
-// Guards against a way in that 300 dispatchers keep full of fills that all come late, each within its least limit.
+// Guards against an ingress that 300 routers keep congested with fills that are all late, each router within its own
+// smallest limit.
 func TestFewMissesFillWhileTheIngressIsCongested(t *testing.T) {
-	c := newSparseRouter()
-	c.slow = func(f Attempt) float64 { return map[bool]float64{true: 8, false: 1}[f.Source != f.Host] }
-	c.play("late", 12, false)
-	most := c.limits.fills.max
-	assert.Greater(t, c.play("new", 20, false), 8, "most misses are shed at once")
-	assert.LessOrEqual(t, c.limits.fills.max, most)
-	assert.Greater(t, c.limits.origin.max, 1e9, "the origin is not to blame")
-	c.slow = nil
-	c.play("then", 40, false)
-	assert.Zero(t, c.play("after", 20, false), "and it opens again by itself")
+	sparse := newSparseRouter()
+	sparse.slowdown = func(a Attempt) float64 { return map[bool]float64{true: 8, false: 1}[a.Source != a.Host] }
+	sparse.run("late", 12, false)
+	fillLimit := sparse.limits.fills.max
+	assert.Greater(t, sparse.run("new", 20, false), 8, "most misses are shed at once")
+	assert.LessOrEqual(t, sparse.limits.fills.max, fillLimit, "the fill limit does not grow")
+	assert.Greater(t, sparse.limits.origin.max, 1e9, "the origin limit is not cut")
+	sparse.slowdown = nil
+	sparse.run("then", 40, false)
+	assert.Zero(t, sparse.run("after", 20, false), "the fill limit recovers by itself")
 }
 
-// Guards against a host or a parent whose link is full of what others ask of it: a dispatcher of 300 hears of it once in
-// seconds, and never has so much out there that a limit of its own could fall. What is known fades, or it stays empty.
+// Guards against a host or a parent whose link is congested by other routers: one router of 300 hears of it once in seconds,
+// and never has so much in flight there that a limit of its own could be cut. What is learned fades, or the host would stay
+// unused.
 func TestACongestedHostIsAvoided(t *testing.T) {
 	for name, tt := range map[string]struct {
 		hits bool
-		of   func(f Attempt) uint32
+		of   func(a Attempt) uint32 // the host that may be congested
 	}{
-		"a cache":  {true, func(f Attempt) uint32 { return f.Host }},
-		"a parent": {false, func(f Attempt) uint32 { return f.Source }},
+		"a cache":  {true, func(a Attempt) uint32 { return a.Host }},
+		"a parent": {false, func(a Attempt) uint32 { return a.Source }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newSparseRouter()
-			busy := tt.of(c.get("object", tt.hits))
-			c.slow = func(f Attempt) float64 { return map[bool]float64{true: 9, false: 1}[tt.of(f) == busy] }
-			c.get("object", tt.hits)
-			c.get("object", tt.hits)
-			other := tt.of(c.get("object", tt.hits))
-			assert.NotEqual(t, busy, other)
+			sparse := newSparseRouter()
+			congested := tt.of(sparse.request("object", tt.hits))
+			sparse.slowdown = func(a Attempt) float64 {
+				return map[bool]float64{true: 9, false: 1}[tt.of(a) == congested]
+			}
+			sparse.request("object", tt.hits)
+			sparse.request("object", tt.hits)
+			other := tt.of(sparse.request("object", tt.hits))
+			assert.NotEqual(t, congested, other)
 			assert.NotEqual(t, uint32(origin), other)
-			assert.Zero(t, c.play("other", 10, tt.hits), "nothing is shed for it")
-			c.slow = nil
-			c.now += 60
-			assert.Equal(t, busy, tt.of(c.get("object", tt.hits)))
+			assert.Zero(t, sparse.run("other", 10, tt.hits), "no request is shed because of it")
+			sparse.slowdown = nil
+			sparse.now += 60
+			assert.Equal(t, congested, tt.of(sparse.request("object", tt.hits)), "the host is used again")
 		})
 	}
 }
 
-// A source that turns fills away tells of itself, and an error of nothing: no limit on all fills falls, and the bytes of an error are no size.
+// A source that rejects fills tells only of itself, and an error tells of nothing: the limit on all fills is not cut, and the
+// bytes of an error do not count as an object's size.
 func TestRejectionsAndErrorsTellOfNothingElse(t *testing.T) {
-	for name, end := range map[string]func(f Attempt, a *AttemptResult){
-		"refused": func(_ Attempt, a *AttemptResult) { a.Outcome, a.Note, a.SizeKB = Rejected, SourceRejected, 0 },
-		"errors":  func(_ Attempt, a *AttemptResult) { a.Outcome, a.Note, a.SizeKB = HostFailed, Filled, 200 },
+	for name, fail := range map[string]func(result *AttemptResult){
+		"rejections": func(result *AttemptResult) {
+			result.Outcome, result.Note, result.SizeKB = Rejected, SourceRejected, 0
+		},
+		"errors": func(result *AttemptResult) {
+			result.Outcome, result.Note, result.SizeKB = HostFailed, Filled, 200
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newSparseRouter()
-			most, kb := c.limits.fills.max, c.costs.services[0].sizeKB.mean
-			c.end = func(f Attempt, a *AttemptResult) { a.Final = false; end(f, a) }
-			c.play(name, 30, false)
-			if name == "refused" {
-				assert.GreaterOrEqual(t, c.limits.fills.max, most)
+			sparse := newSparseRouter()
+			fillLimit, sizeKB := sparse.limits.fills.max, sparse.costs.services[0].sizeKB.mean
+			sparse.adjust = func(_ Attempt, result *AttemptResult) {
+				result.Final = false
+				fail(result)
 			}
-			assert.Equal(t, kb, c.costs.services[0].sizeKB.mean)
+			sparse.run(name, 30, false)
+			if name == "rejections" {
+				assert.GreaterOrEqual(t, sparse.limits.fills.max, fillLimit, "the fill limit is not cut")
+			}
+			assert.Equal(t, sizeKB, sparse.costs.services[0].sizeKB.mean, "the mean size is unchanged")
 		})
 	}
 }
 
-// Guards against turns that end only when a burst is over: the limit on fills falls with the fills that tell of a crowded
-// way in, and grows with each that comes in time, though a turn's worth is far more than this dispatcher sees of it.
+// Guards against rounds that end only after a burst is over: the fill limit is cut by each fill that shows a congested
+// ingress, and grows with each that is in time, though one round takes far more fills than this router sees.
 func TestTheFillLimitMovesBySingleFills(t *testing.T) {
-	c := newSparseRouter()
-	c.limits.fills.max, c.limits.fills.roundWork = 20, 20
-	c.slow = func(Attempt) float64 { return 8 }
-	c.play("late", 6, false)
-	assert.Less(t, c.limits.fills.max, 4.0)
-	c.slow = nil
-	c.now += 30
+	sparse := newSparseRouter()
+	sparse.limits.fills.max, sparse.limits.fills.roundWork = 20, 20
+	sparse.slowdown = func(Attempt) float64 { return 8 }
+	sparse.run("late", 6, false)
+	assert.Less(t, sparse.limits.fills.max, 4.0, "cut by late fills")
+	sparse.slowdown = nil
+	sparse.now += 30
 	for i := range 3 {
-		before := c.limits.fills.max
-		c.limits.fills.roundFull = true // it turns GETs away
-		c.play(fmt.Sprint("then", i), 1, false)
-		assert.Greater(t, c.limits.fills.max, before)
+		before := sparse.limits.fills.max
+		sparse.limits.fills.roundFull = true // it has rejected requests
+		sparse.run(fmt.Sprint("then", i), 1, false)
+		assert.Greater(t, sparse.limits.fills.max, before, "grown by a fill in time")
 	}
 }
 
-// Where no note tells by whom a fill was turned away, a source is left that several caches are refused by while another gives; caches that are
-// full refuse whatever the source, and no source is left for that.
+// Where no note tells who rejected a fill, a source is ejected if several caches report rejections from it while another source
+// serves. Caches without capacity reject whatever the source; no source is ejected for that.
 func TestASourceThatAloneIsRejectedIsEjected(t *testing.T) {
 	for name, tt := range map[string]struct {
-		refused func(f Attempt) bool
-		most    int // fills from parent A in 4 s that are refused
-		left    bool
+		rejected      func(a Attempt) bool
+		maxRejections int // fills from parent A in 4 s that are rejected
+		ejected       bool
 	}{
-		"one source":        {func(f Attempt) bool { return f.Source == parentA }, 10, true},
-		"whatever it is":    {func(f Attempt) bool { return f.Source != f.Host }, math.MaxInt, false},
-		"one cache":         {func(f Attempt) bool { return f.Host == cacheA }, math.MaxInt, false},
-		"now and then only": {func(f Attempt) bool { return f.Source == parentA && f.RequestID%8 == 0 }, math.MaxInt, false},
+		"one source":        {func(a Attempt) bool { return a.Source == parentA }, 10, true},
+		"every source":      {func(a Attempt) bool { return a.Source != a.Host }, math.MaxInt, false},
+		"one cache":         {func(a Attempt) bool { return a.Host == cacheA }, math.MaxInt, false},
+		"now and then only": {func(a Attempt) bool { return a.Source == parentA && a.RequestID%8 == 0 }, math.MaxInt, false},
 	} {
-		d, r := newCluster(func(s *Settings) { s.NoteDetail = NoNotes })
-		n := 0
-		play(d, r, 1, 5, 0.02, 1, func(_ uint32, f Attempt) (Outcome, Note) {
-			if !tt.refused(f) {
+		r, rec := newCluster(func(s *Settings) { s.NoteDetail = NoNotes })
+		rejections := 0
+		reject := func(_ uint32, a Attempt) (Outcome, Note) {
+			if !tt.rejected(a) {
 				return Succeeded, NoNote
 			}
-			if f.Source == parentA {
-				n++
+			if a.Source == parentA {
+				rejections++
 			}
 			return Rejected, NoNote
-		})
-		assert.LessOrEqual(t, n, tt.most, name)
-		left := slices.ContainsFunc(r.calls, func(text string) bool { return strings.HasSuffix(text, "ejected") })
-		assert.Equal(t, tt.left, left, name)
+		}
+		traffic{from: 1, to: 5, interval: 0.02, firstID: 1, respond: reject}.run(r, rec)
+		assert.LessOrEqual(t, rejections, tt.maxRejections, name)
+		ejected := slices.ContainsFunc(rec.events, func(event string) bool { return strings.HasSuffix(event, "ejected") })
+		assert.Equal(t, tt.ejected, ejected, "%s: a host is ejected", name)
 	}
 }
 
-// Where no note tells of fills, what never came to its host, or came late for its size alone, says nothing of the way in. Guards against a
-// limit on fills that such ends close in calm, so that a burst, or hosts that start cold, find it shut.
+// Where no note tells of fills, an attempt that never reached its host, or was late for its size alone, says nothing of the
+// ingress. Guards against a fill limit that such results cut in quiet times, so that a burst, or hosts in slow start, find it
+// too low.
 func TestTheFillLimitStandsWhereNothingTellsOfFills(t *testing.T) {
 	for name, tt := range map[string]struct {
-		end  func(f Attempt, a *AttemptResult)
-		cuts bool
+		adjust func(a Attempt, result *AttemptResult)
+		cut    bool
 	}{
-		"connections that do not come up": {end: func(f Attempt, a *AttemptResult) {
-			if f.RequestID%4 == 0 && a.Attempt == 0 {
-				*a = AttemptResult{RequestID: f.RequestID, Outcome: Unreachable, Elapsed: 0.4}
-			}
-		}},
-		"connections that break": {end: func(f Attempt, a *AttemptResult) {
-			if f.RequestID%4 == 0 && a.Attempt == 0 {
-				*a = AttemptResult{RequestID: f.RequestID, Outcome: ConnectionLost, Elapsed: 0.1}
-			}
-		}},
-		"large objects": {end: func(f Attempt, a *AttemptResult) {
-			if (f.RequestID-1)%12 > 8 { // of the last object; quick at first, when no size is known
-				a.SizeKB, a.Elapsed = 8*clip, 8*clip*pace*map[bool]float64{true: 0.3, false: 1}[f.RequestID <= 24]
-			}
-		}},
-		"fills that are slow": {cuts: true, end: func(f Attempt, a *AttemptResult) {
-			if f.Source != f.Host {
-				a.Elapsed *= 8
-			}
-		}},
+		"connections that are not established": {adjust: failEveryFourth(Unreachable, 0.4)},
+		"connections that are lost":            {adjust: failEveryFourth(ConnectionLost, 0.1)},
+		"large objects":                        {adjust: enlargeLastObject},
+		"fills that are slow":                  {adjust: slowDownFills, cut: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d, r := newCluster(func(s *Settings) { s.NoteDetail, s.Services[0].Stretch = NoNotes, 2 })
-			c := &sparseRouter{Router: d, r: r}
-			c.end = func(f Attempt, a *AttemptResult) {
-				a.Note = NoNote
-				tt.end(f, a)
-			}
-			for range 6 { // of three GETs each the first may be a fill, as far as the dispatcher knows
-				for i := range 4 {
-					for range 3 {
-						c.get(fmt.Sprint("o", i), true)
-					}
-				}
-				c.now += 30
+			r, rec := newCluster(func(s *Settings) { s.NoteDetail, s.Services[0].Stretch = NoNotes, 2 })
+			sparse := &sparseRouter{Router: r, rec: rec}
+			sparse.adjust = func(a Attempt, result *AttemptResult) {
+				result.Note = NoNote
+				tt.adjust(a, result)
 			}
-			assert.Equal(t, tt.cuts, d.limits.fills.borne > 0, "that it was cut")
+			sparse.runRepeated(6)
+			assert.Equal(t, tt.cut, r.limits.fills.borne > 0, "the fill limit was cut")
 		})
 	}
 }
+
+// runRepeated runs rounds of three requests for each of four objects, half a minute apart. As far as the router knows, the
+// first of the three may be a fill.
+func (s *sparseRouter) runRepeated(rounds int) {
+	for range rounds {
+		for i := range 4 {
+			for range 3 {
+				s.request(fmt.Sprint("o", i), true)
+			}
+		}
+		s.now += 30
+	}
+}
+
+// failEveryFourth fails the first attempt of every fourth request.
+func failEveryFourth(outcome Outcome, elapsed float64) func(a Attempt, result *AttemptResult) {
+	return func(a Attempt, result *AttemptResult) {
+		if a.RequestID%4 == 0 && result.Attempt == 0 {
+			*result = AttemptResult{RequestID: a.RequestID, Outcome: outcome, Elapsed: elapsed}
+		}
+	}
+}
+
+// enlargeLastObject makes the last of the four objects of runRepeated a large one, fast at first, while no size is known.
+func enlargeLastObject(a Attempt, result *AttemptResult) {
+	if (a.RequestID-1)%12 > 8 {
+		result.SizeKB = 8 * objectKB
+		result.Elapsed = 8 * objectKB * secondsPerKB * map[bool]float64{true: 0.3, false: 1}[a.RequestID <= 24]
+	}
+}
+
+// slowDownFills has fills take eight times as long.
+func slowDownFills(a Attempt, result *AttemptResult) {
+	if a.Source != a.Host {
+		result.Elapsed *= 8
+	}
+}
--- a/core/routing/grouphealth/grouphealth_test.go
+++ b/core/routing/grouphealth/grouphealth_test.go
@@ -13,12 +13,12 @@
 )
 
 // racks is so many hosts in each of some racks.
-func racks(n, each int) (b *Tracker, members []*Member) {
-	b = &Tracker{}
+func racks(n, each int) (tracker *Tracker, members []*Member) {
+	tracker = &Tracker{}
 	for i := range n * each {
-		members = append(members, b.Add(Group{Cell: i / each}))
+		members = append(members, tracker.Add(Group{Cell: i / each}))
 	}
-	return b, members
+	return tracker, members
 }
 
 // unsuspected counts the members that are not doubted.
@@ -38,149 +38,149 @@
 	}
 }
 
-var lose, hear = (*Member).ObserveLoss, (*Member).ObserveSuccess
+var lose, answer = (*Member).ObserveLoss, (*Member).ObserveSuccess
 
 func TestFewHostsSpeakForThemselves(t *testing.T) {
-	b := &Tracker{}
+	tracker := &Tracker{}
 	var m *Member
-	b.Remove(m)
+	tracker.Remove(m)
 	m.ObserveSuccess(1)
 	m.ObserveLoss(1)
 	m.SpendProbe()
-	b.CountRequest(1)
+	tracker.CountRequest(1)
 	assert.Equal(t, []any{false, true, false, 0.4, 7.0, false},
 		[]any{m.Suspected(), m.ProbeAllowed(), m.RecoveredSince(0), m.LossWeight(1, 0.4, 0.5), m.ShrinkServingTime(1, 7, 1, 3), m.ObserveSilence(1)})
-	assert.Zero(t, testing.AllocsPerRun(100, func() { m.ObserveSuccess(1); b.CountRequest(1); m.LossWeight(1, 0.4, 0.5) }))
+	assert.Zero(t, testing.AllocsPerRun(100, func() { m.ObserveSuccess(1); tracker.CountRequest(1); m.LossWeight(1, 0.4, 0.5) }))
 }
 
 func TestARackThatFallsSilentIsSeenAsOne(t *testing.T) {
-	_, m := racks(10, 20)
-	each(hear, 1, m...)
-	each(lose, 5, m[:2]...)
-	assert.Equal(t, 200, unsuspected(m), "two may be chance")
-	m[2].ObserveLoss(5.1)
-	assert.Equal(t, 180, unsuspected(m), "all of the rack, also those not asked")
-	m[19].ObserveSuccess(5.2)
-	assert.False(t, m[19].Suspected(), "its own word goes before that of its rack")
-	assert.True(t, m[18].Suspected())
-	each(hear, 9, m[3:5]...)
-	assert.True(t, m[18].Suspected(), "two that answer may be the part that stays")
-	m[5].ObserveSuccess(9)
-	assert.Equal(t, 200, unsuspected(m), "believed again by trials")
-	assert.True(t, m[0].RecoveredSince(5))
-	assert.False(t, m[0].RecoveredSince(10), "left after that")
-	assert.False(t, m[100].RecoveredSince(5))
+	_, members := racks(10, 20)
+	each(answer, 1, members...)
+	each(lose, 5, members[:2]...)
+	assert.Equal(t, 200, unsuspected(members), "two may be chance")
+	members[2].ObserveLoss(5.1)
+	assert.Equal(t, 180, unsuspected(members), "all of the rack, also those not asked")
+	members[19].ObserveSuccess(5.2)
+	assert.False(t, members[19].Suspected(), "its own word goes before that of its rack")
+	assert.True(t, members[18].Suspected())
+	each(answer, 9, members[3:5]...)
+	assert.True(t, members[18].Suspected(), "two that answer may be the part that stays")
+	members[5].ObserveSuccess(9)
+	assert.Equal(t, 200, unsuspected(members), "believed again by trials")
+	assert.True(t, members[0].RecoveredSince(5))
+	assert.False(t, members[0].RecoveredSince(10), "left after that")
+	assert.False(t, members[100].RecoveredSince(5))
 }
 
 func TestARackOfWhichSomeAreLostStays(t *testing.T) {
-	_, m := racks(10, 20)
-	each(hear, 1, m[:8]...)
-	each(lose, 1.5, m[8:15]...)
-	assert.Equal(t, 200, unsuspected(m), "no more lost than heard")
+	_, members := racks(10, 20)
+	each(answer, 1, members[:8]...)
+	each(lose, 1.5, members[8:15]...)
+	assert.Equal(t, 200, unsuspected(members), "no more lost than heard")
 }
 
 func TestARouterToWhichMostAreSilentHasLostItsOwnNetwork(t *testing.T) {
-	_, m := racks(10, 20)
+	_, members := racks(10, 20)
 	for rack := range 5 {
-		each(lose, 1, m[rack*20:rack*20+minLostHosts]...)
+		each(lose, 1, members[rack*20:rack*20+minLostHosts]...)
 	}
-	assert.Equal(t, 100, unsuspected(m))
-	each(lose, 1, m[5*20:5*20+minLostHosts]...)
-	assert.Equal(t, 200, unsuspected(m), "more than half: none is doubted for its rack")
-	assert.Equal(t, 0.4, m[7].LossWeight(1, 0.4, 0.5), "and one loss says less of its host")
-	assert.False(t, m[8].ObserveSilence(1))
+	assert.Equal(t, 100, unsuspected(members))
+	each(lose, 1, members[5*20:5*20+minLostHosts]...)
+	assert.Equal(t, 200, unsuspected(members), "more than half: none is doubted for its rack")
+	assert.Equal(t, 0.4, members[7].LossWeight(1, 0.4, 0.5), "and one loss says less of its host")
+	assert.False(t, members[8].ObserveSilence(1))
 }
 
 func TestOneOfManyIsEjectedAtOnce(t *testing.T) {
-	_, m := racks(10, 20)
-	assert.Equal(t, 0.5, m[7].LossWeight(1, 0.4, 0.5))
-	assert.True(t, m[8].ObserveSilence(1))
-	each(lose, 1, m[:150]...)
-	each(hear, 1, m[150:]...)
-	assert.False(t, m[160].ObserveSilence(1), "where all are slow, one that is says little")
+	_, members := racks(10, 20)
+	assert.Equal(t, 0.5, members[7].LossWeight(1, 0.4, 0.5))
+	assert.True(t, members[8].ObserveSilence(1))
+	each(lose, 1, members[:150]...)
+	each(answer, 1, members[150:]...)
+	assert.False(t, members[160].ObserveSilence(1), "where all are slow, one that is says little")
 }
 
 func TestTrialsAreRationed(t *testing.T) {
-	b, m := racks(10, 20)
+	tracker, members := racks(10, 20)
 	tried := func() (n int) {
-		for m[0].ProbeAllowed() {
-			m[0].SpendProbe()
+		for members[0].ProbeAllowed() {
+			members[0].SpendProbe()
 			n++
 		}
 		return n
 	}
-	b.CountRequest(1)
+	tracker.CountRequest(1)
 	tried()
 	for i := range 1000 {
-		b.CountRequest(1 + float64(i)*1e-6)
-		m[0].ProbeAllowed()
+		tracker.CountRequest(1 + float64(i)*1e-6)
+		members[0].ProbeAllowed()
 	}
 	assert.Equal(t, int(maxSavedTrials), tried(), "no more are saved up")
-	b.CountRequest(1e6)
+	tracker.CountRequest(1e6)
 	assert.Equal(t, int(maxSavedTrials), tried(), "nor by a jump of time")
-	b.CountRequest(5)
+	tracker.CountRequest(5)
 	assert.Zero(t, tried(), "time that goes back gives none")
-	each(lose, 6, m[:minLostHosts]...)
-	assert.True(t, m[10].Suspected())
-	m[10].ObserveSuccess(7)
+	each(lose, 6, members[:minLostHosts]...)
+	assert.True(t, members[10].Suspected())
+	members[10].ObserveSuccess(7)
 	assert.Equal(t, int(trialsPerAnswer), tried(), "one that is answered allows more")
-	m[10].ObserveSuccess(7.1)
+	members[10].ObserveSuccess(7.1)
 	assert.Zero(t, tried(), "once")
 }
 
 func TestShrinkServingTime(t *testing.T) {
-	_, m := racks(10, 20)
-	m[0].ObserveSuccess(10)
-	assert.InDelta(t, 1.0, m[0].ShrinkServingTime(10, 1, 0, 1), 1e-9)
-	few, some := m[0].ShrinkServingTime(10, 3, 1, 1), m[0].ShrinkServingTime(10, 3, 100, 1)
+	_, members := racks(10, 20)
+	members[0].ObserveSuccess(10)
+	assert.InDelta(t, 1.0, members[0].ShrinkServingTime(10, 1, 0, 1), 1e-9)
+	few, some := members[0].ShrinkServingTime(10, 3, 1, 1), members[0].ShrinkServingTime(10, 3, 100, 1)
 	assert.True(t, 1 < few && few < some && some < 3, "%g %g", few, some)
-	assert.InDelta(t, 1.0, m[0].ShrinkServingTime(1000, 3, 100, 1), 1e-3, "what it said long ago says nothing")
-	assert.Equal(t, 3.0, m[0].ShrinkServingTime(10, 3, 100, 0), "nothing is known of all")
+	assert.InDelta(t, 1.0, members[0].ShrinkServingTime(1000, 3, 100, 1), 1e-3, "what it said long ago says nothing")
+	assert.Equal(t, 3.0, members[0].ShrinkServingTime(10, 3, 100, 0), "nothing is known of all")
 }
 
 // Whatever is heard, lost, listed and tried, at whatever times: no host is doubted that has answered since, no more than
 // half are, the books of groups are those of their members, and trials stay within their share.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := &Tracker{}
+		tracker := &Tracker{}
 		cells := rapid.IntRange(1, 6).Draw(t, "cells")
-		var m []*Member
+		var members []*Member
 		for i := range rapid.IntRange(MinHosts, 100).Draw(t, "hosts") {
-			m = append(m, b.Add(Group{Cell: i % cells}))
+			members = append(members, tracker.Add(Group{Cell: i % cells}))
 		}
 		now, gets, tried, passed, start := 10.0, 0.0, 0.0, 0.0, 10.0
 		lately := map[*Member]float64{}
-		b.CountRequest(now)
+		tracker.CountRequest(now)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += rapid.SampledFrom([]float64{0, 0, 0.001, 0.1, 1, 5, 3600, -1}).Draw(t, "passes")
-			i := rapid.IntRange(0, len(m)-1).Draw(t, "host")
+			i := rapid.IntRange(0, len(members)-1).Draw(t, "host")
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				if m[i].Suspected() {
+				if members[i].Suspected() {
 					passed += trialsPerAnswer
 				}
-				m[i].ObserveSuccess(now)
-				lately[m[i]] = now
+				members[i].ObserveSuccess(now)
+				lately[members[i]] = now
 			case 1, 2:
 				for k := range rapid.IntRange(1, 12).Draw(t, "lost") {
-					m[(i+k*cells)%len(m)].ObserveLoss(now)
+					members[(i+k*cells)%len(members)].ObserveLoss(now)
 				}
 			case 3:
-				b.CountRequest(now)
+				tracker.CountRequest(now)
 				gets++
 			case 4:
-				if m[i].ProbeAllowed() {
-					m[i].SpendProbe()
+				if members[i].ProbeAllowed() {
+					members[i].SpendProbe()
 					tried++
 				}
 			case 5:
-				b.Remove(m[i])
-				if m = append(m[:i:i], m[i+1:]...); len(m) < MinHosts {
-					m = append(m, b.Add(Group{Cell: cells}))
+				tracker.Remove(members[i])
+				if members = append(members[:i:i], members[i+1:]...); len(members) < MinHosts {
+					members = append(members, tracker.Add(Group{Cell: cells}))
 				}
 			}
 			groups := map[*group]int{}
-			for _, one := range m {
+			for _, one := range members {
 				if groups[one.group]++; one.Suspected() && lately[one] >= one.group.silentSince && lately[one] > 0 {
 					t.Fatalf("a host is doubted that has answered since")
 				}
@@ -197,9 +197,9 @@
 					}
 				}
 			}
-			require.Equal(t, b.suspected, doubted, "%d are doubted by their groups, counted as %d", doubted, b.suspected)
-			n := unsuspected(m)
-			require.False(t, 2*n < len(m), "only %d of %d are believed", n, len(m))
+			require.Equal(t, tracker.suspected, doubted, "%d are doubted by their groups, counted as %d", doubted, tracker.suspected)
+			n := unsuspected(members)
+			require.False(t, 2*n < len(members), "only %d of %d are believed", n, len(members))
 			back := 200.0 * trialsPerSecond // time that goes back passes twice
 			most := maxSavedTrials + trialsPerRequest*gets + trialsPerSecond*math.Max(0, now-start) + passed + back
 			require.False(t, tried > most, "%g trials, at most %g", tried, most)
@@ -210,12 +210,12 @@
 // BenchmarkObserveSuccess is what an answer costs a dispatcher of many hosts, and a loss.
 func BenchmarkObserveSuccess(b *testing.B) {
 	for _, n := range []int{1000, 10_000} {
-		all, m := racks(n/20, 20)
+		all, members := racks(n/20, 20)
 		need.Bench(b, fmt.Sprint(n), func(i int) {
 			now := float64(i) * 1e-4
 			all.CountRequest(now)
-			if m[i%n].ObserveSuccess(now); i%100 == 0 {
-				m[i%n].ObserveLoss(now)
+			if members[i%n].ObserveSuccess(now); i%100 == 0 {
+				members[i%n].ObserveLoss(now)
 			}
 		})
 	}
--- a/core/routing/harness_test.go
+++ b/core/routing/harness_test.go
@@ -2,117 +2,162 @@
 
 import "fmt"
 
+// Identifiers of the hosts in newCluster.
 const cacheA, cacheB, cacheC, parentA, parentB, origin = 11, 12, 13, 21, 22, 31
 
-// recorder is an Actions that keeps what went out.
+// recorder is an Actions that records what the router decided.
 type recorder struct {
-	forwards         []Attempt
-	shed, errored    []uint32
-	retryAfter       float64
-	cancelled, calls []string
+	attempts          []Attempt
+	shed, failed      []uint32 // request identifiers
+	retryAfter        float64  // s; of the request that was shed last
+	cancelled, events []string
 }
 
-func (r *recorder) Forward(f Attempt) { r.forwards = append(r.forwards, f) }
+func (rec *recorder) Forward(a Attempt) { rec.attempts = append(rec.attempts, a) }
 
-func (r *recorder) Cancel(get uint32, forward int) {
-	r.cancelled = append(r.cancelled, fmt.Sprint(get, "/", forward))
+func (rec *recorder) Cancel(requestID uint32, attempt int) {
+	rec.cancelled = append(rec.cancelled, fmt.Sprint(requestID, "/", attempt))
 }
 
-func (r *recorder) Shed(get uint32, retryAfter float64) {
-	r.shed, r.retryAfter = append(r.shed, get), retryAfter
+func (rec *recorder) Shed(requestID uint32, retryAfter float64) {
+	rec.shed, rec.retryAfter = append(rec.shed, requestID), retryAfter
 }
 
-func (r *recorder) Fail(get uint32) { r.errored = append(r.errored, get) }
+func (rec *recorder) Fail(requestID uint32) { rec.failed = append(rec.failed, requestID) }
 
-func (r *recorder) Schedule(float64, string) {}
+func (rec *recorder) Schedule(float64, string) {}
 
-func (r *recorder) PollEndpoints() { r.calls = append(r.calls, "subscribe") }
+func (rec *recorder) PollEndpoints() { rec.events = append(rec.events, "poll") }
 
-func (r *recorder) HostEjected(host uint32) { r.calls = append(r.calls, ejected(host)) }
+func (rec *recorder) HostEjected(host uint32) { rec.events = append(rec.events, ejectedEvent(host)) }
 
-func (r *recorder) HostRecovered(host uint32) { r.calls = append(r.calls, recovered(host)) }
+func (rec *recorder) HostRecovered(host uint32) {
+	rec.events = append(rec.events, recoveredEvent(host))
+}
+
+// last returns the attempt that was sent last.
+func (rec *recorder) last() Attempt { return rec.attempts[len(rec.attempts)-1] }
+
+// ejectedEvent is what a recorder records of a host that was ejected.
+func ejectedEvent(host uint32) string { return fmt.Sprintf("host %d ejected", host) }
 
-func (r *recorder) last() Attempt { return r.forwards[len(r.forwards)-1] }
+// recoveredEvent is what a recorder records of a host that has recovered.
+func recoveredEvent(host uint32) string { return fmt.Sprintf("host %d recovered", host) }
 
-func settings() Settings {
+// testSettings returns the settings that tests start from.
+func testSettings() Settings {
 	return Settings{
-		Dispatchers: 2, DispatchersByZone: []int{1}, ParentKind: 1, OriginKind: 2, NoteDetail: FillNotes,
+		Dispatchers:       2,
+		DispatchersByZone: []int{1},
+		ParentKind:        1,
+		OriginKind:        2,
+		NoteDetail:        FillNotes,
 		Services: []DeliveryService{{
-			Objective: 0.5, Stretch: 1, ViewerTimeout: 5, PriorityWeight: 1,
-			Idempotency: Idempotent, DedupScope: AllHosts, DedupWindow: 2,
-		}}, MaxAttempts: 6, CanCancel: true, Hedging: true, PurgeGrace: 6,
-		SlowStartInitial: 0.2, SlowStartRamp: 10, OverloadMultiple: 2, OverloadWindow: 1, ParentSlowStartInitial: 0.1, ParentSlowStartRamp: 20, ParentOverloadMultiple: 2,
+			Objective:      0.5,
+			Stretch:        1,
+			ViewerTimeout:  5,
+			PriorityWeight: 1,
+			Idempotency:    Idempotent,
+			DedupScope:     AllHosts,
+			DedupWindow:    2,
+		}},
+		MaxAttempts:            6,
+		CanCancel:              true,
+		Hedging:                true,
+		PurgeGrace:             6,
+		SlowStartInitial:       0.2,
+		SlowStartRamp:          10,
+		OverloadMultiple:       2,
+		OverloadWindow:         1,
+		ParentSlowStartInitial: 0.1,
+		ParentSlowStartRamp:    20,
+		ParentOverloadMultiple: 2,
 	}
 }
 
-func entry(id uint32, kind int, phase Phase) Endpoint {
+// endpoint returns a list entry for a host in a cell of its own.
+func endpoint(id uint32, kind int, phase Phase) Endpoint {
 	return Endpoint{ID: id, Kind: kind, Cell: int(id), Phase: phase, Weight: 1}
 }
 
-// ask hands in a GET and settles the moment.
-func ask(d *Router, now float64, id uint32, object string) {
-	d.HandleRequest(now, Request{ID: id, Object: object, Deadline: now + 5})
-	d.RunRetries(now)
+// newCluster starts a router that knows three caches, two parents and the origin.
+func newCluster(change func(*Settings)) (*Router, *recorder) {
+	settings := testSettings()
+	if change != nil {
+		change(&settings)
+	}
+	rec := &recorder{}
+	r := New(settings, 0, rec)
+	r.UpdateEndpoints(0, ListCached, []Endpoint{
+		endpoint(cacheA, 0, Ready), endpoint(cacheB, 0, Ready), endpoint(cacheC, 0, Ready),
+		endpoint(parentA, 1, Ready), endpoint(parentB, 1, Ready), endpoint(origin, 2, Ready),
+	})
+	return r, rec
+}
+
+// submit has the router handle a request and the retries that are due.
+func submit(r *Router, now float64, id uint32, object string) {
+	r.HandleRequest(now, Request{ID: id, Object: object, Deadline: now + 5})
+	r.RunRetries(now)
+}
+
+// respond has the router handle the result of an attempt and the retries that are due.
+func respond(r *Router, now float64, id uint32, attempt int, outcome Outcome, note Note) {
+	r.HandleResult(now, AttemptResult{
+		RequestID: id, Attempt: attempt, Outcome: outcome, Note: note, Elapsed: 0.1, Final: outcome == Succeeded,
+	})
+	r.RunRetries(now)
 }
 
-func answer(d *Router, now float64, id uint32, forward int, outcome Outcome, note Note) {
-	d.HandleResult(now, AttemptResult{RequestID: id, Attempt: forward, Outcome: outcome, Note: note, Elapsed: 0.1, Final: outcome == Succeeded})
-	d.RunRetries(now)
+// runTimer has the router handle its periodic timer and the retries that are due.
+func runTimer(r *Router, now float64) {
+	r.HandleTimer(now)
+	r.RunRetries(now)
 }
 
-// tickTo plays the periodic timer from one instant to another.
-func tickTo(d *Router, from, to float64) {
+// runTimers runs the periodic timer from one time to another.
+func runTimers(r *Router, from, to float64) {
 	for now := from; now <= to; now += 0.01 {
-		tickAt(d, now)
+		runTimer(r, now)
 	}
 }
 
-const noAnswer = Outcome(-1)
+// noResponse is the outcome of an attempt that the host never answers.
+const noResponse = Outcome(-1)
 
-func hit(uint32, Attempt) (Outcome, Note) { return Succeeded, CacheHit }
+// hostBehavior gives the result of an attempt for the request of a position, from 0.
+type hostBehavior func(position uint32, a Attempt) (Outcome, Note)
 
-// play asks a GET at each step and answers all forwards as told; those with no answer are revoked in the end.
-func play(d *Router, r *recorder, from, to, step float64, first uint32, reply func(uint32, Attempt) (Outcome, Note)) {
-	done, number, open := len(r.forwards), map[uint32]int{}, []AttemptResult(nil)
-	for i := uint32(0); from+float64(i)*step < to; i++ {
-		now := from + float64(i)*step
-		ask(d, now, first+i, fmt.Sprint("o", i%60))
-		for ; done < len(r.forwards); done++ {
-			f := r.forwards[done]
-			if outcome, note := reply(i, f); outcome != noAnswer {
-				answer(d, now+0.01, f.RequestID, number[f.RequestID], outcome, note)
+func alwaysHit(uint32, Attempt) (Outcome, Note) { return Succeeded, CacheHit }
+
+// traffic is requests at a steady rate.
+type traffic struct {
+	from, to float64 // s
+	interval float64 // s; between two requests
+	firstID  uint32
+	respond  hostBehavior
+}
+
+// run submits the requests and responds to all attempts. Attempts with no response are canceled in the end.
+func (t traffic) run(r *Router, rec *recorder) {
+	handled, attempts := len(rec.attempts), map[uint32]int{}
+	var unanswered []AttemptResult
+	for i := uint32(0); t.from+float64(i)*t.interval < t.to; i++ {
+		now := t.from + float64(i)*t.interval
+		submit(r, now, t.firstID+i, fmt.Sprint("o", i%60))
+		for ; handled < len(rec.attempts); handled++ {
+			a := rec.attempts[handled]
+			number := attempts[a.RequestID]
+			if outcome, note := t.respond(i, a); outcome != noResponse {
+				respond(r, now+0.01, a.RequestID, number, outcome, note)
 			} else {
-				open = append(open, AttemptResult{RequestID: f.RequestID, Attempt: number[f.RequestID], Outcome: Canceled})
+				unanswered = append(unanswered, AttemptResult{RequestID: a.RequestID, Attempt: number, Outcome: Canceled})
 			}
-			number[f.RequestID]++
+			attempts[a.RequestID]++
 		}
-		tickTo(d, now+0.01, now+step-0.01)
+		runTimers(r, now+0.01, now+t.interval-0.01)
 	}
-	for _, a := range open {
-		d.HandleResult(to, a)
-	}
-}
-
-// ejected is what a recorder keeps of a host that was ejected.
-func ejected(host uint32) string { return fmt.Sprintf("host %d ejected", host) }
-
-// newCluster starts a dispatcher that knows three caches, two parents and the origin.
-func newCluster(change func(*Settings)) (*Router, *recorder) {
-	s := settings()
-	if change != nil {
-		change(&s)
+	for _, result := range unanswered {
+		r.HandleResult(t.to, result)
 	}
-	r := &recorder{}
-	d := New(s, 0, r)
-	d.UpdateEndpoints(0, ListCached, []Endpoint{
-		entry(cacheA, 0, Ready), entry(cacheB, 0, Ready), entry(cacheC, 0, Ready),
-		entry(parentA, 1, Ready), entry(parentB, 1, Ready), entry(origin, 2, Ready),
-	})
-	return d, r
 }
-
-// recovered is what a recorder keeps of a host that has recovered.
-func recovered(host uint32) string { return fmt.Sprintf("host %d recovered", host) }
-
-// tickAt has a timer come, and settles the moment.
-func tickAt(d *Router, now float64) { d.HandleTimer(now); d.RunRetries(now) }
--- a/core/routing/object_size_test.go
+++ b/core/routing/object_size_test.go
@@ -10,125 +10,125 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// sized is a kind of object of one class: its part of the GETs, and the sending time of one.
-type sized struct{ part, work float64 }
+// sizeClass is a kind of object of one class: its part of the GETs, and the sending time of one.
+type sizeClass struct{ share, work float64 }
 
 // sizes are such that the largest tenth takes six times the mean of the class and half of its work.
-var sizes = []sized{{0.7, 0.03}, {0.2, 0.2}, {0.1, 1}}
+var sizeClasses = []sizeClass{{0.7, 0.03}, {0.2, 0.2}, {0.1, 1}}
 
-const sizesMean = 0.161 // s
+const meanSendingTime = 0.161 // s
 
 // sizeRun has processes ask hosts of four places each, that take GETs in their order; a GET keeps its place to its end.
 type sizeRun struct {
-	random  *rand.Rand
-	note    Note
-	hurry   bool // put in: hosts end what takes three times the mean
-	wires   []*recorder
-	d       []*Router
-	numbers map[uint32]int
-	kind    map[uint32]int // of each GET
-	first   uint32         // that is counted
-	free    map[uint32][]float64
-	out     map[string]bool
-	due     map[int][]AttemptResult
-	asked   [3]float64
-	given   [3]float64
+	random       *rand.Rand
+	note         Note
+	abortLarge   bool // put in: hosts end what takes three times the mean
+	recorders    []*recorder
+	routers      []*Router
+	attempts     map[uint32]int
+	classOf      map[uint32]int // of each GET
+	firstCounted uint32         // that is counted
+	freeAt       map[uint32][]float64
+	inFlight     map[string]bool
+	due          map[int][]AttemptResult
+	requested    [3]float64
+	answered     [3]float64
 }
 
 const sizeStep = 0.01
 
-// playSizes gives the share of the GETs of each kind that is answered, under a load that is a multiple of what the hosts bear.
-func playSizes(processes int, load float64, note Note, hurry bool, seed uint64) (shares [3]float64, all float64) {
+// runSizes gives the share of the GETs of each kind that is answered, under a load that is a multiple of what the hosts bear.
+func runSizes(processes int, load float64, note Note, hurry bool, seed uint64) (shares [3]float64, all float64) {
 	const hosts, places, from, to = 6, 4, 10, 40
 	c := &sizeRun{
-		random: rand.New(rand.NewPCG(seed, 2)), first: math.MaxUint32, note: note, hurry: hurry, numbers: map[uint32]int{}, kind: map[uint32]int{}, free: map[uint32][]float64{},
-		out: map[string]bool{}, due: map[int][]AttemptResult{},
+		random: rand.New(rand.NewPCG(seed, 2)), firstCounted: math.MaxUint32, note: note, abortLarge: hurry, attempts: map[uint32]int{}, classOf: map[uint32]int{}, freeAt: map[uint32][]float64{},
+		inFlight: map[string]bool{}, due: map[int][]AttemptResult{},
 	}
 	var entries []Endpoint
 	for i := range hosts {
-		entries = append(entries, entry(uint32(100+i), 0, Ready))
-		c.free[uint32(100+i)] = make([]float64, places)
+		entries = append(entries, endpoint(uint32(100+i), 0, Ready))
+		c.freeAt[uint32(100+i)] = make([]float64, places)
 	}
-	entries = append(entries, entry(parentA, 1, Ready), entry(parentB, 1, Ready), entry(origin, 2, Ready))
+	entries = append(entries, endpoint(parentA, 1, Ready), endpoint(parentB, 1, Ready), endpoint(origin, 2, Ready))
 	for i := range processes {
-		s := settings()
+		s := testSettings()
 		s.Index, s.Dispatchers, s.DispatchersByZone, s.Seed = i, processes, []int{processes}, seed*1000+uint64(i)
-		c.wires = append(c.wires, &recorder{})
-		c.d = append(c.d, New(s, 0, c.wires[i]))
-		c.d[i].UpdateEndpoints(0, ListCached, entries)
+		c.recorders = append(c.recorders, &recorder{})
+		c.routers = append(c.routers, New(s, 0, c.recorders[i]))
+		c.routers[i].UpdateEndpoints(0, ListCached, entries)
 	}
 	id := uint32(0)
 	for step := 0; float64(step)*sizeStep < to+5; step++ {
 		now := float64(step) * sizeStep
-		for i, d := range c.d {
-			tickAt(d, now)
-			c.drain(i, now)
+		for i, r := range c.routers {
+			runTimer(r, now)
+			c.flush(i, now)
 		}
-		for _, a := range c.due[step] {
-			i := int(a.RequestID) % processes
-			if name := fmt.Sprint(a.RequestID, "/", a.Attempt); c.out[name] {
-				delete(c.out, name)
-				if a.Outcome == Succeeded && a.RequestID >= c.first {
-					c.given[c.kind[a.RequestID]]++
+		for _, result := range c.due[step] {
+			i := int(result.RequestID) % processes
+			if name := fmt.Sprint(result.RequestID, "/", result.Attempt); c.inFlight[name] {
+				delete(c.inFlight, name)
+				if result.Outcome == Succeeded && result.RequestID >= c.firstCounted {
+					c.answered[c.classOf[result.RequestID]]++
 				}
-				c.d[i].HandleResult(now, a)
-				c.d[i].RunRetries(now)
-				c.drain(i, now)
+				c.routers[i].HandleResult(now, result)
+				c.routers[i].RunRetries(now)
+				c.flush(i, now)
 			}
 		}
 		delete(c.due, step)
 		if now >= to {
 			continue
 		}
-		for range poisson(c.random, load*hosts*places/sizesMean*sizeStep) {
+		for range poisson(c.random, load*hosts*places/meanSendingTime*sizeStep) {
 			id++
 			object := c.random.IntN(2000)
-			kind := slices.IndexFunc(sizes, func(s sized) bool { object -= int(s.part * 2000); return object < 0 })
-			if c.kind[id] = kind; now >= from {
-				c.asked[kind]++
-				c.first = min(c.first, id)
+			kind := slices.IndexFunc(sizeClasses, func(s sizeClass) bool { object -= int(s.share * 2000); return object < 0 })
+			if c.classOf[id] = kind; now >= from {
+				c.requested[kind]++
+				c.firstCounted = min(c.firstCounted, id)
 			}
 			i := int(id) % processes
-			ask(c.d[i], now, id, fmt.Sprint(kind, object))
-			c.drain(i, now)
+			submit(c.routers[i], now, id, fmt.Sprint(kind, object))
+			c.flush(i, now)
 		}
 	}
 	for k := range shares {
-		shares[k] = c.given[k] / c.asked[k]
-		all += c.given[k] / (c.asked[0] + c.asked[1] + c.asked[2])
+		shares[k] = c.answered[k] / c.requested[k]
+		all += c.answered[k] / (c.requested[0] + c.requested[1] + c.requested[2])
 	}
 	return shares, all
 }
 
-// drain has hosts take what a process sends, and end what it cancels.
-func (c *sizeRun) drain(i int, now float64) {
-	r := c.wires[i]
-	for len(r.forwards)+len(r.cancelled) > 0 {
-		forwards, cancelled := r.forwards, r.cancelled
-		r.forwards, r.cancelled = nil, nil
-		for _, f := range forwards {
-			number := c.numbers[f.RequestID]
-			c.numbers[f.RequestID]++
-			work, outcome := sizes[c.kind[f.RequestID]].work, Succeeded
-			if c.hurry && work > 3*sizesMean {
-				work, outcome = 3*sizesMean, TimedOut
+// flush has hosts take what a process sends, and end what it cancels.
+func (c *sizeRun) flush(i int, now float64) {
+	rec := c.recorders[i]
+	for len(rec.attempts)+len(rec.cancelled) > 0 {
+		forwards, cancelled := rec.attempts, rec.cancelled
+		rec.attempts, rec.cancelled = nil, nil
+		for _, a := range forwards {
+			number := c.attempts[a.RequestID]
+			c.attempts[a.RequestID]++
+			work, outcome := sizeClasses[c.classOf[a.RequestID]].work, Succeeded
+			if c.abortLarge && work > 3*meanSendingTime {
+				work, outcome = 3*meanSendingTime, TimedOut
 			}
-			places := c.free[f.Host]
+			places := c.freeAt[a.Host]
 			place := slices.Index(places, slices.Min(places))
 			places[place] = max(places[place], now) + work
 			took := places[place] - now
-			c.out[fmt.Sprint(f.RequestID, "/", number)] = true
+			c.inFlight[fmt.Sprint(a.RequestID, "/", number)] = true
 			at := int((now+took)/sizeStep) + 1
-			c.due[at] = append(c.due[at], AttemptResult{RequestID: f.RequestID, Attempt: number, Outcome: outcome, Note: c.note, Elapsed: took, SizeKB: work * 1000, Final: outcome == Succeeded})
+			c.due[at] = append(c.due[at], AttemptResult{RequestID: a.RequestID, Attempt: number, Outcome: outcome, Note: c.note, Elapsed: took, SizeKB: work * 1000, Final: outcome == Succeeded})
 		}
 		for _, name := range cancelled {
-			if c.out[name] {
-				delete(c.out, name)
-				var a AttemptResult
-				_, _ = fmt.Sscanf(name, "%d/%d", &a.RequestID, &a.Attempt)
-				a.Outcome, a.Elapsed = Canceled, 1
-				c.d[i].HandleResult(now, a)
-				c.d[i].RunRetries(now)
+			if c.inFlight[name] {
+				delete(c.inFlight, name)
+				var result AttemptResult
+				_, _ = fmt.Sscanf(name, "%d/%d", &result.RequestID, &result.Attempt)
+				result.Outcome, result.Elapsed = Canceled, 1
+				c.routers[i].HandleResult(now, result)
+				c.routers[i].RunRetries(now)
 			}
 		}
 	}
@@ -141,7 +141,7 @@
 		for load, least := range map[float64]float64{0.5: 2.0 / 3, 1.3: 0.5, 2.5: 0.5} {
 			for _, note := range []Note{CacheHit, Filled} {
 				name := fmt.Sprintf("%d processes, load %.1f, note %d", processes, load, note)
-				shares, all := playSizes(processes, load, note, false, 1)
+				shares, all := runSizes(processes, load, note, false, 1)
 				t.Logf("%s: answered %.3f, by size %.3f", name, all, shares)
 				assert.GreaterOrEqual(t, shares[2], least*all, "%s: the largest tenth", name)
 				assert.GreaterOrEqual(t, shares[1], least*all, "%s: the next fifth", name)
@@ -152,6 +152,6 @@
 
 // The checker finds hosts that end what takes three times the mean.
 func TestLargeObjectsThatAreEndedEarlyAreFound(t *testing.T) {
-	shares, all := playSizes(3, 0.5, CacheHit, true, 1)
+	shares, all := runSizes(3, 0.5, CacheHit, true, 1)
 	assert.Less(t, shares[2], 2.0/3*all)
 }
--- a/core/routing/object_table_test.go
+++ b/core/routing/object_table_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// heldBy is the bytes that stay in use for what a function keeps alive.
-func heldBy(make func() any) float64 {
+// heapUsedBy is the bytes that stay in use for what a function keeps alive.
+func heapUsedBy(make func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -26,26 +26,26 @@
 func TestMemoryLevelsOffOnALongDay(t *testing.T) {
 	held := map[int]float64{}
 	for _, objects := range []int{8000, 16000, 32000, 64000} {
-		held[objects] = heldBy(func() any {
-			r := &recorder{}
-			d := New(settings(), 0, r)
-			d.UpdateEndpoints(0, ListComplete, []Endpoint{entry(1<<30, 1, Ready), entry(1<<30+1, 2, Ready)})
+		held[objects] = heapUsedBy(func() any {
+			rec := &recorder{}
+			r := New(testSettings(), 0, rec)
+			r.UpdateEndpoints(0, ListComplete, []Endpoint{endpoint(1<<30, 1, Ready), endpoint(1<<30+1, 2, Ready)})
 			for i := range 20 {
-				d.UpdateEndpoints(0, ListChanges, []Endpoint{entry(uint32(i+1)*7919, 0, Ready)})
+				r.UpdateEndpoints(0, ListChanges, []Endpoint{endpoint(uint32(i+1)*7919, 0, Ready)})
 			}
 			for i := range objects {
 				now := float64(i) * 0.05
 				if i%720 == 0 {
 					k := i / 720
-					d.UpdateEndpoints(now, ListChanges, []Endpoint{entry(uint32(k+1)*7919, 0, Removed), entry(uint32(k+21)*7919, 0, Ready)})
+					r.UpdateEndpoints(now, ListChanges, []Endpoint{endpoint(uint32(k+1)*7919, 0, Removed), endpoint(uint32(k+21)*7919, 0, Ready)})
 				}
-				d.HandleTimer(now)
-				ask(d, now, uint32(i+1), fmt.Sprintf("%016x", i*7919))
-				answer(d, now, uint32(i+1), 0, Succeeded, CacheHit)
-				r.forwards, r.shed, r.calls = r.forwards[:0], nil, nil
+				r.HandleTimer(now)
+				submit(r, now, uint32(i+1), fmt.Sprintf("%016x", i*7919))
+				respond(r, now, uint32(i+1), 0, Succeeded, CacheHit)
+				rec.attempts, rec.shed, rec.events = rec.attempts[:0], nil, nil
 			}
-			assert.Equal(t, min(objects, objectTableSize), d.demand.objects.byRecency.Len()+d.demand.objects.idle.Len(), "as many are remembered as before")
-			return d
+			assert.Equal(t, min(objects, objectTableSize), r.demand.objects.byRecency.Len()+r.demand.objects.idle.Len(), "as many are remembered as before")
+			return r
 		})
 		t.Logf("%d objects asked for: %.2f MB", objects, held[objects]/1e6)
 	}
@@ -56,28 +56,28 @@
 
 // An object that was not asked for in a while is known again, with its size; one that is beyond the size of all is not.
 func TestAnIdleObjectIsKnownAgain(t *testing.T) {
-	d, r := newCluster(nil)
-	ask(d, 0, 1, "a")
-	d.HandleResult(0.1, AttemptResult{RequestID: 1, Outcome: Succeeded, Note: CacheHit, Elapsed: 0.1, SizeKB: 12, Final: true})
-	ask(d, 40, 2, "b")
-	require.Equal(t, 1, d.demand.objects.byRecency.Len(), "a rests")
-	require.Equal(t, 1, d.demand.objects.idle.Len())
-	ask(d, 41, 3, "a")
-	assert.Equal(t, 2, r.last().CachePriority, "asked for before")
-	assert.Equal(t, 12.0, d.requests.byID[3].object.sizeKB)
-	assert.Zero(t, d.demand.objects.idle.Len())
+	r, rec := newCluster(nil)
+	submit(r, 0, 1, "a")
+	r.HandleResult(0.1, AttemptResult{RequestID: 1, Outcome: Succeeded, Note: CacheHit, Elapsed: 0.1, SizeKB: 12, Final: true})
+	submit(r, 40, 2, "b")
+	require.Equal(t, 1, r.demand.objects.byRecency.Len(), "a rests")
+	require.Equal(t, 1, r.demand.objects.idle.Len())
+	submit(r, 41, 3, "a")
+	assert.Equal(t, 2, rec.last().CachePriority, "asked for before")
+	assert.Equal(t, 12.0, r.requests.byID[3].object.sizeKB)
+	assert.Zero(t, r.demand.objects.idle.Len())
 	for i := range objectTableSize {
 		now := 100 + float64(i)*0.01
-		ask(d, now, uint32(10+i), fmt.Sprint("c", i))
-		answer(d, now, uint32(10+i), 0, Succeeded, CacheHit)
+		submit(r, now, uint32(10+i), fmt.Sprint("c", i))
+		respond(r, now, uint32(10+i), 0, Succeeded, CacheHit)
 	}
-	ask(d, 1000, 4, "a")
-	assert.Equal(t, 1, r.last().CachePriority, "forgotten")
+	submit(r, 1000, 4, "a")
+	assert.Equal(t, 1, rec.last().CachePriority, "forgotten")
 }
 
 // Objects that the table has let go come back with their counts.
 func TestCountsOutliveEviction(t *testing.T) {
-	tb := New(settings(), 0, &recorder{}).demand.objects
+	tb := New(testSettings(), 0, &recorder{}).demand.objects
 	for range 20 {
 		tb.touch(1, "hot", 0, 1)
 	}
--- a/core/routing/outlier_detection_test.go
+++ b/core/routing/outlier_detection_test.go
@@ -10,111 +10,112 @@
 )
 
 func TestAFailingOriginIsEjectedBehindItsParents(t *testing.T) {
-	d, r := newCluster(nil)
-	for i := range uint32(4) { // parents speak, the origin behind them fails fast
-		ask(d, 1, i, fmt.Sprint("o", i))
-		for f := 0; len(r.shed) <= int(i) && f < 6; f++ {
-			answer(d, 1.01, i, f, HostFailed, OriginFailed)
+	r, rec := newCluster(nil)
+	for i := range uint32(4) { // parents respond, the origin behind them fails fast
+		submit(r, 1, i, fmt.Sprint("o", i))
+		for number := 0; len(rec.shed) <= int(i) && number < 6; number++ {
+			respond(r, 1.01, i, number, HostFailed, OriginFailed)
 		}
 	}
-	require.True(t, d.endpoints.origin.health.ejected)
-	for _, parent := range d.endpoints.parents {
+	require.True(t, r.endpoints.origin.health.ejected)
+	for _, parent := range r.endpoints.parents {
 		assert.False(t, parent.health.ejected)
 	}
-	ask(d, 1.2, 10, "p")
-	assert.True(t, r.last().CachedOnly, "parents give what they hold")
+	submit(r, 1.2, 10, "p")
+	assert.True(t, rec.last().CachedOnly, "parents serve only cached copies while the origin is ejected")
 	for i := range uint32(3) {
-		ask(d, 10+float64(i), 20+i, fmt.Sprint("q", i))
-		assert.False(t, r.last().CachedOnly, "a trial")
-		ask(d, 10+float64(i), 30+i, fmt.Sprint("r", i))
-		assert.True(t, r.last().CachedOnly, "one at a time")
-		answer(d, 10.1+float64(i), 20+i, 0, Succeeded, FilledByOrigin)
+		submit(r, 10+float64(i), 20+i, fmt.Sprint("q", i))
+		assert.False(t, rec.last().CachedOnly, "one request is a health check")
+		submit(r, 10+float64(i), 30+i, fmt.Sprint("r", i))
+		assert.True(t, rec.last().CachedOnly, "one health check at a time")
+		respond(r, 10.1+float64(i), 20+i, 0, Succeeded, FilledByOrigin)
 	}
-	assert.False(t, d.endpoints.origin.health.ejected)
+	assert.False(t, r.endpoints.origin.health.ejected)
 }
 
 func TestHostsAreEjectedAndRecover(t *testing.T) {
 	for _, tt := range []struct {
 		name string
-		fail func(uint32, Attempt) (Outcome, Note)
+		fail hostBehavior
 		host uint32
 	}{
-		{"a cache that errs", func(_ uint32, f Attempt) (Outcome, Note) {
-			return map[bool]Outcome{true: HostFailed}[f.Host == cacheA], map[bool]Note{false: CacheHit}[f.Host == cacheA]
+		{"a cache that returns errors", func(_ uint32, a Attempt) (Outcome, Note) {
+			return map[bool]Outcome{true: HostFailed}[a.Host == cacheA], map[bool]Note{false: CacheHit}[a.Host == cacheA]
 		}, cacheA},
-		{"a cache that answers nothing", func(_ uint32, f Attempt) (Outcome, Note) {
-			return map[bool]Outcome{true: noAnswer}[f.Host == cacheA], CacheHit
+		{"a cache that never responds", func(_ uint32, a Attempt) (Outcome, Note) {
+			return map[bool]Outcome{true: noResponse}[a.Host == cacheA], CacheHit
 		}, cacheA},
-		{"a parent that fails", func(_ uint32, f Attempt) (Outcome, Note) {
-			bad := f.Source == parentA
-			return map[bool]Outcome{true: HostFailed}[bad], map[bool]Note{true: SourceFailed, false: Filled}[bad]
+		{"a parent that fails", func(_ uint32, a Attempt) (Outcome, Note) {
+			faulty := a.Source == parentA
+			return map[bool]Outcome{true: HostFailed}[faulty], map[bool]Note{true: SourceFailed, false: Filled}[faulty]
 		}, parentA},
-		{"a parent that answers nothing, while hits and the other's fills come back", func(i uint32, f Attempt) (Outcome, Note) {
-			return map[bool]Outcome{true: noAnswer}[i%4 > 0 && f.Source == parentA], map[bool]Note{true: CacheHit, false: Filled}[i%4 == 0]
+		{"a parent that never responds, while hits and fills from the other succeed", func(i uint32, a Attempt) (Outcome, Note) {
+			return map[bool]Outcome{true: noResponse}[i%4 > 0 && a.Source == parentA], map[bool]Note{true: CacheHit, false: Filled}[i%4 == 0]
 		}, parentA},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			d, r := newCluster(nil)
-			play(d, r, 1, 6, 0.05, 0, tt.fail)
-			require.Equal(t, []string{ejected(tt.host)}, r.calls[:1])
-			assert.True(t, d.endpoints.byID[tt.host].health.ejected)
-			assert.Empty(t, r.shed)
-			assert.True(t, d.limits.fills.hasCapacity(1), "the way in stays open")
-			for _, o := range append(d.endpoints.caches, d.endpoints.parents...) {
-				assert.Equal(t, o.ID == tt.host, slices.Contains(r.calls, ejected(o.ID)), "host %d", o.ID)
+			r, rec := newCluster(nil)
+			traffic{from: 1, to: 6, interval: 0.05, respond: tt.fail}.run(r, rec)
+			require.Equal(t, []string{ejectedEvent(tt.host)}, rec.events[:1])
+			assert.True(t, r.endpoints.byID[tt.host].health.ejected)
+			assert.Empty(t, rec.shed)
+			assert.True(t, r.limits.fills.hasCapacity(1), "the fill limit is not cut")
+			for _, h := range append(r.endpoints.caches, r.endpoints.parents...) {
+				assert.Equal(t, h.ID == tt.host, slices.Contains(rec.events, ejectedEvent(h.ID)), "host %d ejected", h.ID)
 			}
-			play(d, r, 6, 30, 0.1, 1000, func(uint32, Attempt) (Outcome, Note) { return Succeeded, Filled })
-			assert.Contains(t, r.calls, recovered(tt.host))
+			alwaysFill := func(uint32, Attempt) (Outcome, Note) { return Succeeded, Filled }
+			traffic{from: 6, to: 30, interval: 0.1, firstID: 1000, respond: alwaysFill}.run(r, rec)
+			assert.Contains(t, rec.events, recoveredEvent(tt.host))
 		})
 	}
 }
 
 func TestWhatIsNoFault(t *testing.T) {
 	for _, tt := range []struct {
-		name string
-		one  func(d *Router, r *recorder, now float64, id uint32)
+		name   string
+		finish func(r *Router, rec *recorder, now float64, id uint32)
 	}{
-		{"GETs that no host can use", func(d *Router, r *recorder, now float64, id uint32) {
-			for number := 0; len(r.shed) < int(id); number++ {
-				answer(d, now, id, number, HostFailed, NoNote)
+		{"requests that fail at every host", func(r *Router, rec *recorder, now float64, id uint32) {
+			for number := 0; len(rec.shed) < int(id); number++ {
+				respond(r, now, id, number, HostFailed, NoNote)
 			}
 		}},
-		{"GETs taken back at once by their clients", func(d *Router, _ *recorder, now float64, id uint32) {
-			d.HandleClientGone(now, id)
-			d.HandleResult(now, AttemptResult{RequestID: id, Outcome: Canceled, Elapsed: 0.001, Final: true})
+		{"requests that clients abandon at once", func(r *Router, _ *recorder, now float64, id uint32) {
+			r.HandleClientGone(now, id)
+			r.HandleResult(now, AttemptResult{RequestID: id, Outcome: Canceled, Elapsed: 0.001, Final: true})
 		}},
-		{"a connection that breaks now and then", func(d *Router, r *recorder, now float64, id uint32) {
-			if host := r.last().Host; id%6 == 0 {
-				answer(d, now, id, 0, ConnectionLost, NoNote)
-				assert.Equal(t, host, r.last().Host, "the GET goes there once more")
+		{"a connection that is lost now and then", func(r *Router, rec *recorder, now float64, id uint32) {
+			if host := rec.last().Host; id%6 == 0 {
+				respond(r, now, id, 0, ConnectionLost, NoNote)
+				assert.Equal(t, host, rec.last().Host, "the request is retried at the same host")
 			}
-			answer(d, now, id, len(d.requests.byID[id].attempts)-1, Succeeded, CacheHit)
+			respond(r, now, id, len(r.requests.byID[id].attempts)-1, Succeeded, CacheHit)
 		}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			d, r := newCluster(nil)
-			most := d.limits.fills.max
+			r, rec := newCluster(nil)
+			fillLimit := r.limits.fills.max
 			for id := uint32(1); id <= 60; id++ {
 				now := 1 + float64(id)/100
-				ask(d, now, id, fmt.Sprint("o", id))
-				tt.one(d, r, now, id)
+				submit(r, now, id, fmt.Sprint("o", id))
+				tt.finish(r, rec, now, id)
 			}
-			assert.Empty(t, r.calls, "no host is left")
-			assert.GreaterOrEqual(t, d.limits.fills.max, most, "the way in stays open")
-			assert.Empty(t, d.requests.byID)
+			assert.Empty(t, rec.events, "no host is ejected")
+			assert.GreaterOrEqual(t, r.limits.fills.max, fillLimit, "the fill limit is not cut")
+			assert.Empty(t, r.requests.byID)
 		})
 	}
 }
 
 func TestASingleOverdueAttemptIsNoSilence(t *testing.T) {
-	for forwards, left := range map[int]bool{1: false, 2: true, 4: true} {
+	for attempts, ejected := range map[int]bool{1: false, 2: true, 4: true} {
 		for _, detail := range []NoteDetail{NoNotes, FillNotes} {
-			d, r := newCluster(func(s *Settings) { s.NoteDetail = detail })
-			for i := range forwards {
-				ask(d, 1+float64(i)/10, uint32(i), "a")
+			r, rec := newCluster(func(s *Settings) { s.NoteDetail = detail })
+			for i := range attempts {
+				submit(r, 1+float64(i)/10, uint32(i), "a")
 			}
-			tickTo(d, 1, 5.9)
-			assert.Equal(t, left, len(r.calls) > 0, "%d forwards, detail %d", forwards, detail)
+			runTimers(r, 1, 5.9)
+			assert.Equal(t, ejected, len(rec.events) > 0, "ejected after %d overdue attempts, note detail %d", attempts, detail)
 		}
 	}
 }
--- a/core/routing/rendezvous/rendezvous_test.go
+++ b/core/routing/rendezvous/rendezvous_test.go
@@ -14,8 +14,8 @@
 	"elderwall/internal/standin/need"
 )
 
-// count is 0 to n-1.
-func count(n int) []int {
+// positions is 0 to n-1.
+func positions(n int) []int {
 	places := make([]int, n)
 	for i := range places {
 		places[i] = i
@@ -23,17 +23,17 @@
 	return places
 }
 
-// plain is the order as it is written: all hosts hashed and sorted.
-func plain(ids []uint32, hash uint64) []int {
-	places := count(len(ids))
+// sortedOrder is the order as it is written: all hosts hashed and sorted.
+func sortedOrder(ids []uint32, hash uint64) []int {
+	places := positions(len(ids))
 	sort.Slice(places, func(i, j int) bool {
 		return Mix(hash^Mix(uint64(ids[places[i]]))) > Mix(hash^Mix(uint64(ids[places[j]])))
 	})
 	return places
 }
 
-// many is so many hosts.
-func many(n int) []uint32 {
+// manyHosts is so many hosts.
+func manyHosts(n int) []uint32 {
 	ids := make([]uint32, n)
 	for i := range ids {
 		ids[i] = uint32(i) * 7919
@@ -44,9 +44,9 @@
 // hashOf is that of an object.
 func hashOf(i int) uint64 { return uint64(i) * 0x9e3779b97f4a7c15 }
 
-// set gives each host its place as a value.
-func set(x *Index[int], ids []uint32) {
-	x.Set(ids, count(len(ids)))
+// setHosts gives each host its place as a value.
+func setHosts(x *Index[int], ids []uint32) {
+	x.Set(ids, positions(len(ids)))
 }
 
 func walk(x *Index[int], hash uint64, first **Prefix, most int) []int {
@@ -65,12 +65,12 @@
 		first, hashes := map[uint64]**Prefix{}, rapid.SliceOfN(rapid.Uint64(), 1, 5).Draw(t, "hashes")
 		for range 5 {
 			ids := rapid.SliceOfNDistinct(rapid.Uint32Range(0, 200), 0, 60, rapid.ID[uint32]).Draw(t, "ids")
-			set(&x, ids)
+			setHosts(&x, ids)
 			for _, hash := range hashes {
 				if first[hash] == nil {
 					first[hash] = new(*Prefix)
 				}
-				most, want := rapid.IntRange(1, 70).Draw(t, "most"), plain(ids, hash)
+				most, want := rapid.IntRange(1, 70).Draw(t, "most"), sortedOrder(ids, hash)
 				want = want[:min(len(want), most)]
 				for _, keep := range []**Prefix{first[hash], first[hash], nil} {
 					got := walk(&x, hash, keep, most)
@@ -91,7 +91,7 @@
 			next++
 			ids = append(ids, next*7919)
 		}
-		set(&x, ids)
+		setHosts(&x, ids)
 		first := make([]*Prefix, 3)
 		for range 12 {
 			for range rapid.IntRange(0, 6).Draw(t, "go") {
@@ -107,13 +107,13 @@
 				next++
 				ids = slices.Insert(ids, rapid.IntRange(0, len(ids)).Draw(t, "where"), next*7919)
 			}
-			set(&x, ids)
+			setHosts(&x, ids)
 			for k := range first {
 				if rapid.IntRange(0, 2).Draw(t, "asked for") == 0 {
 					continue // it lags by several lists
 				}
 				hash, most := uint64(k+1)*0x9e3779b97f4a7c15, rapid.SampledFrom([]int{1, 2, 5, 6, 7, 9, 40, 130, 900}).Draw(t, "most")
-				want, from := plain(ids, hash), rapid.SampledFrom([]int{0, 0, 3, 6, 200}).Draw(t, "from")
+				want, from := sortedOrder(ids, hash), rapid.SampledFrom([]int{0, 0, 3, 6, 200}).Draw(t, "from")
 				for _, from := range []int{from, 0} {
 					want := want[min(len(want), from):]
 					want = want[:min(len(want), most)]
@@ -129,8 +129,8 @@
 func BenchmarkAfterAChange(b *testing.B) {
 	for _, n := range []int{1000, 10000} {
 		var x Index[int]
-		ids := many(n)
-		set(&x, ids)
+		ids := manyHosts(n)
+		setHosts(&x, ids)
 		changed, firsts, places := slices.Clone(ids), make([]*Prefix, 4096), make([]int, n)
 		for i := range n / 100 {
 			changed[i*100] = uint32(n+i) * 7919
@@ -149,10 +149,10 @@
 }
 
 func TestOneHostLessMovesOnlyItsOwnObjects(t *testing.T) {
-	ids := many(1000)
+	ids := manyHosts(1000)
 	var all, less Index[int]
-	set(&all, ids)
-	set(&less, slices.Delete(slices.Clone(ids), 990, 1000)) // two lists that differ by 1%
+	setHosts(&all, ids)
+	setHosts(&less, slices.Delete(slices.Clone(ids), 990, 1000)) // two lists that differ by 1%
 	chance, moved, owned, count := rand.New(rand.NewPCG(1, 2)), 0, 0, make([]int, len(ids))
 	const objects = 50000
 	for range objects {
@@ -173,13 +173,13 @@
 func BenchmarkOrder(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		var x Index[int]
-		ids, firsts := many(n), make([]*Prefix, 4096)
-		set(&x, ids)
+		ids, firsts := manyHosts(n), make([]*Prefix, 4096)
+		setHosts(&x, ids)
 		for name, do := range map[string]func(i int){
 			"known":       func(i int) { walk(&x, hashOf(i&4095), &firsts[i&4095], 1) },
 			"new":         func(i int) { var f *Prefix; walk(&x, hashOf(i), &f, 1) },
 			"100 of them": func(i int) { walk(&x, hashOf(i&31), &firsts[i&4095], 100) },
-			"sort":        func(i int) { plain(ids, hashOf(i)) },
+			"sort":        func(i int) { sortedOrder(ids, hashOf(i)) },
 		} {
 			need.Bench(b, fmt.Sprintf("%d/%s", n, name), do)
 		}
--- a/core/routing/request_test.go
+++ b/core/routing/request_test.go
@@ -8,51 +8,53 @@
 
 func TestOneFinalAnswer(t *testing.T) {
 	for _, tt := range []struct {
-		name          string
-		effect        Idempotency
-		shed, errored int
+		name         string
+		idempotency  Idempotency
+		shed, failed int
 	}{
-		{"idempotent is shed at its viewer timeout", Idempotent, 1, 0},
-		{"non-idempotent still out is errored at it", NonIdempotent, 0, 1},
+		{"idempotent: shed at its viewer timeout", Idempotent, 1, 0},
+		{"non-idempotent in flight: failed at its viewer timeout", NonIdempotent, 0, 1},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			d, r := newCluster(func(s *Settings) { s.Services[0].Idempotency = tt.effect })
-			ask(d, 1, 7, "a")
-			tickTo(d, 1, 5.93)
-			assert.Empty(t, append(r.shed, r.errored...))
-			tickTo(d, 5.94, 5.96) // a delayed acknowledgement before the client leaves
-			assert.Equal(t, []int{tt.shed, tt.errored}, []int{len(r.shed), len(r.errored)})
-			forwards := len(r.forwards)
-			for i := range r.forwards {
-				answer(d, 6.1, 7, i, Canceled, NoNote)
+			r, rec := newCluster(func(s *Settings) { s.Services[0].Idempotency = tt.idempotency })
+			submit(r, 1, 7, "a")
+			runTimers(r, 1, 5.93)
+			assert.Empty(t, append(rec.shed, rec.failed...), "no answer before the viewer timeout")
+			runTimers(r, 5.94, 5.96) // one delayed acknowledgement (answerMargin) before the viewer timeout
+			assert.Equal(t, []int{tt.shed, tt.failed}, []int{len(rec.shed), len(rec.failed)})
+			attempts := len(rec.attempts)
+			for i := range rec.attempts {
+				respond(r, 6.1, 7, i, Canceled, NoNote)
 			}
-			tickTo(d, 6.1, 8)
-			assert.Len(t, r.forwards, forwards, "nothing is sent after the final answer")
-			assert.Equal(t, 1, len(r.shed)+len(r.errored))
-			assert.Empty(t, d.requests.byID)
-			assert.False(t, d.HandleResult(8, AttemptResult{RequestID: 7}), "the GET is forgotten")
+			runTimers(r, 6.1, 8)
+			assert.Len(t, rec.attempts, attempts, "no attempt is sent after the final answer")
+			assert.Equal(t, 1, len(rec.shed)+len(rec.failed), "exactly one answer")
+			assert.Empty(t, r.requests.byID)
+			assert.False(t, r.HandleResult(8, AttemptResult{RequestID: 7}), "the request is forgotten")
 		})
 	}
 }
 
 func TestShedsAtOnceWithRetryAfter(t *testing.T) {
-	for honoured, want := range map[float64]float64{0: 0, 0.1: 0.1, 3: 0.125} {
-		d, r := newCluster(func(s *Settings) { s.MaxRetryAfter = honoured })
-		d.UpdateEndpoints(1, ListChanges, []Endpoint{entry(cacheA, 0, Removed), entry(cacheB, 0, Draining), entry(cacheC, 0, Removed)})
-		ask(d, 1, 7, "a")
-		assert.Equal(t, []uint32{7}, r.shed)
-		assert.Equal(t, want, r.retryAfter)
-		assert.Empty(t, r.forwards)
+	for maxRetryAfter, want := range map[float64]float64{0: 0, 0.1: 0.1, 3: 0.125} {
+		r, rec := newCluster(func(s *Settings) { s.MaxRetryAfter = maxRetryAfter })
+		r.UpdateEndpoints(1, ListChanges, []Endpoint{
+			endpoint(cacheA, 0, Removed), endpoint(cacheB, 0, Draining), endpoint(cacheC, 0, Removed),
+		})
+		submit(r, 1, 7, "a")
+		assert.Equal(t, []uint32{7}, rec.shed)
+		assert.Equal(t, want, rec.retryAfter, "Retry-After of at most %v s", maxRetryAfter)
+		assert.Empty(t, rec.attempts)
 	}
 }
 
 func TestARequestWithLittleTimeKeepsMostOfIt(t *testing.T) {
-	for budget, last := range map[float64]float64{5: 4.95, 0.2: 0.15, 0.1: 0.075} {
-		d, r := newCluster(nil)
-		d.HandleRequest(1, Request{ID: 7, Object: "a", Deadline: 1 + budget})
-		tickTo(d, 1, 1+last-0.001)
-		assert.Empty(t, r.shed, "%v s", budget)
-		tickTo(d, 1+last, 1+last+tickInterval)
-		assert.Equal(t, []uint32{7}, r.shed, "%v s", budget)
+	for timeLeft, shedAfter := range map[float64]float64{5: 4.95, 0.2: 0.15, 0.1: 0.075} {
+		r, rec := newCluster(nil)
+		r.HandleRequest(1, Request{ID: 7, Object: "a", Deadline: 1 + timeLeft})
+		runTimers(r, 1, 1+shedAfter-0.001)
+		assert.Empty(t, rec.shed, "%v s to the deadline: shed too early", timeLeft)
+		runTimers(r, 1+shedAfter, 1+shedAfter+tickInterval)
+		assert.Equal(t, []uint32{7}, rec.shed, "%v s to the deadline: shed once", timeLeft)
 	}
 }
--- a/core/routing/retrybudget/retrybudget_test.go
+++ b/core/routing/retrybudget/retrybudget_test.go
@@ -9,9 +9,9 @@
 )
 
 func TestBudget(t *testing.T) {
-	b := New(Settings{Share: 0.1, Floor: 2}, 0)
+	budget := New(Settings{Share: 0.1, Floor: 2}, 0)
 	spend := func(now float64) (n int) {
-		for b.Spend(now) {
+		for budget.Spend(now) {
 			n++
 		}
 		return n
@@ -19,7 +19,7 @@
 	assert.Equal(t, 9, spend(0), "two seconds of the floor and a tenth of fifty answers")
 	assert.Equal(t, 1, spend(0.5))
 	for range 30 {
-		b.Earn()
+		budget.Earn()
 	}
 	assert.Equal(t, 3, spend(0.5))
 	assert.Equal(t, 9, spend(3600), "an hour saves up no more")
@@ -32,20 +32,20 @@
 func TestNeverMore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Settings{Share: rapid.Float64Range(0.01, 1).Draw(t, "share"), Floor: rapid.Float64Range(0, 10).Draw(t, "floor")}
-		b, now, earned := New(s, 0), 0.0, 0.0
+		budget, now, earned := New(s, 0), 0.0, 0.0
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
 				now += rapid.SampledFrom([]float64{0, 0.01, 1}).Draw(t, "passes")
 			case 1:
-				b.Earn()
+				budget.Earn()
 				earned += s.Share
 			case 2:
-				b.Spend(now)
+				budget.Spend(now)
 			}
 		}
 		most := s.capacity() + earned + s.Floor*now + 1e-6
-		require.False(t, float64(b.Spent) > most, "%d spent, at most %g", b.Spent, most)
+		require.False(t, float64(budget.Spent) > most, "%d spent, at most %g", budget.Spent, most)
 	})
 }
 
@@ -57,9 +57,9 @@
 	}{{Settings{}, 2, 2, 5}, {Settings{Floor: 1}, 9, 2, 2}, {Settings{Floor: 1}, 1, 1, 5}} {
 		went, asked, left := 0, 0, tt.left
 		tt.own.Fleet = func() bool { asked++; left--; return left >= 0 }
-		b := New(tt.own, 0)
+		budget := New(tt.own, 0)
 		for range 5 {
-			if b.Spend(0) {
+			if budget.Spend(0) {
 				went++
 			}
 		}
--- a/core/routing/sketch/sketch_test.go
+++ b/core/routing/sketch/sketch_test.go
@@ -61,12 +61,12 @@
 	assert.LessOrEqual(t, New(windowBuckets, span, 1<<20).Bytes(), 1<<20)
 }
 
-// table is the plain one: exact, so many objects, the least lately used go.
-type table struct {
-	most   int
-	byUse  *list.List
+// countTable is the plain one: exact, so many objects, the least lately used go.
+type countTable struct {
+	capacity   int
+	byRecency  *list.List
 	byName map[uint64]*list.Element
-	memory *Sketch // that gives back what a table has let go; nil for none
+	sketch *Sketch // that gives back what a table has let go; nil for none
 }
 
 type entry struct {
@@ -75,22 +75,22 @@
 	epoch int
 }
 
-func (t *table) count(now float64, hash uint64) float64 {
+func (t *countTable) count(now float64, hash uint64) float64 {
 	epoch := int(now / span)
 	e := t.byName[hash]
 	if e == nil {
 		one := &entry{hash: hash, epoch: epoch}
-		if t.memory != nil {
-			t.memory.Buckets(now, hash, one.sums[:])
+		if t.sketch != nil {
+			t.sketch.Buckets(now, hash, one.sums[:])
 		}
-		e = t.byUse.PushFront(one)
-		if t.byName[hash] = e; t.byUse.Len() > t.most {
-			delete(t.byName, t.byUse.Remove(t.byUse.Back()).(*entry).hash)
+		e = t.byRecency.PushFront(one)
+		if t.byName[hash] = e; t.byRecency.Len() > t.capacity {
+			delete(t.byName, t.byRecency.Remove(t.byRecency.Back()).(*entry).hash)
 		}
 	}
-	t.byUse.MoveToFront(e)
-	if t.memory != nil {
-		t.memory.Add(now, hash)
+	t.byRecency.MoveToFront(e)
+	if t.sketch != nil {
+		t.sketch.Add(now, hash)
 	}
 	return e.Value.(*entry).add(epoch)
 }
@@ -108,19 +108,19 @@
 	return sum
 }
 
-// stream is GETs for ten million objects by Zipf, half of all of them in a scan: each once.
-type stream struct {
+// requestStream is GETs for ten million objects by Zipf, half of all of them in a scan: each once.
+type requestStream struct {
 	zipf *rand.Zipf
 	r    *rand.Rand
 	next uint64
 }
 
-func newStream() *stream {
+func newStream() *requestStream {
 	r := rand.New(rand.NewPCG(1, 2))
-	return &stream{zipf: rand.NewZipf(r, 1.1, 1, 10_000_000-1), r: r, next: 1 << 40}
+	return &requestStream{zipf: rand.NewZipf(r, 1.1, 1, 10_000_000-1), r: r, next: 1 << 40}
 }
 
-func (s *stream) ask() (rank, hash uint64) {
+func (s *requestStream) nextRequest() (rank, hash uint64) {
 	if s.r.IntN(2) == 0 {
 		s.next++
 		return s.next, rendezvous.Mix(s.next)
@@ -129,14 +129,14 @@
 	return rank, rendezvous.Mix(rank)
 }
 
-// counted tells by rank how far counts are off, for 20,000 GETs a second over three windows; only objects asked for at
+// relativeErrors tells by rank how far counts are off, for 20,000 GETs a second over three windows; only objects asked for at
 // least six times in the window count, as no other ever gets a second copy.
-func counted(count func(now float64, hash uint64) float64) (off [6]float64) {
+func relativeErrors(count func(now float64, hash uint64) float64) (off [6]float64) {
 	s, exact := newStream(), map[uint64]*entry{}
 	var n [6]float64
 	for i := range 600_000 {
 		now := float64(i) / 20_000
-		rank, hash := s.ask()
+		rank, hash := s.nextRequest()
 		got, epoch := count(now, hash), int(now/span)
 		if exact[hash] == nil {
 			exact[hash] = &entry{epoch: epoch}
@@ -155,13 +155,13 @@
 	return off
 }
 
-func newTable(most int, memory *Sketch) *table {
-	return &table{most: most, byUse: list.New(), byName: map[uint64]*list.Element{}, memory: memory}
+func newCountTable(most int, memory *Sketch) *countTable {
+	return &countTable{capacity: most, byRecency: list.New(), byName: map[uint64]*list.Element{}, sketch: memory}
 }
 
 // The table alone forgets objects in a scan; with the sketch behind it they keep their counts.
 func TestAScanLeavesTheCountsOfOthers(t *testing.T) {
-	plain, behind := counted(newTable(1<<15, nil).count), counted(newTable(1<<15, New(windowBuckets, span, 1<<21)).count)
+	plain, behind := relativeErrors(newCountTable(1<<15, nil).count), relativeErrors(newCountTable(1<<15, New(windowBuckets, span, 1<<21)).count)
 	t.Logf("off by decade of rank: table %.3f, with sketch %.3f", plain, behind)
 	assert.Less(t, slices.Max(behind[:]), 0.1)
 	assert.Greater(t, slices.Max(plain[:]), 2*slices.Max(behind[:]), "what it is for")
@@ -170,10 +170,10 @@
 func BenchmarkCount(b *testing.B) {
 	hashes, s := make([]uint64, 1<<20), newStream()
 	for i := range hashes {
-		_, hashes[i] = s.ask()
+		_, hashes[i] = s.nextRequest()
 	}
 	for name, sketch := range map[string]*Sketch{"table": nil, "withSketch": New(windowBuckets, span, 1<<21)} {
-		table := newTable(1<<15, sketch)
+		table := newCountTable(1<<15, sketch)
 		need.Bench(b, name, func(i int) { table.count(float64(i)/20_000, hashes[i&(1<<20-1)]) })
 	}
 }
--- a/core/routing/slow_start_test.go
+++ b/core/routing/slow_start_test.go
@@ -13,22 +13,22 @@
 
 // What many processes that know nothing of one another send a cold host, together, it bears.
 func TestAWarmingHostBearsWhatAllSend(t *testing.T) {
-	for _, day := range []slowStartDay{
-		{name: "weights told", cold: 1, told: true},
-		{name: "weights not told", cold: 1},
-		{name: "a quiet stretch and a burst", cold: 1, told: true, load: quietThenBurst},
-		{name: "restarts in a burst", cold: 1, told: true, load: burst, restarts: true},
-		{name: "half of the caches, and a burst", cold: 4, load: burst},
-		{name: "a silent cache, retries", cold: 1, told: true, silent: true},
-		{name: "parents", parents: 2, told: true, load: burst},
-		{name: "parents, weights not told", parents: 2, load: burst},
-		{name: "nothing heard before", cold: hostCount, unheard: true},
-		{name: "a quiet stretch, then all others drain under a burst", cold: 1, told: true, load: burstTwice, leaves: 6},
+	for _, day := range []slowStartScenario{
+		{name: "weights told", warmingCaches: 1, weightsKnown: true},
+		{name: "weights not told", warmingCaches: 1},
+		{name: "a quiet stretch and a burst", warmingCaches: 1, weightsKnown: true, load: quietThenBurst},
+		{name: "restarts in a burst", warmingCaches: 1, weightsKnown: true, load: burst, restarts: true},
+		{name: "half of the caches, and a burst", warmingCaches: 4, load: burst},
+		{name: "a silent cache, retries", warmingCaches: 1, weightsKnown: true, silentCache: true},
+		{name: "parents", warmingParents: 2, weightsKnown: true, load: burst},
+		{name: "parents, weights not told", warmingParents: 2, load: burst},
+		{name: "nothing heard before", warmingCaches: hostCount, noHistory: true},
+		{name: "a quiet stretch, then all others drain under a burst", warmingCaches: 1, weightsKnown: true, load: twoBursts, drainAfter: 6},
 	} {
 		for _, day.processes = range []int{3, 30, 300} {
 			t.Run(fmt.Sprint(day.name, ", ", day.processes), func(t *testing.T) {
-				day.atFirst = 30
-				falls, most := playSlowStart(day, 1).falls()
+				day.initialRequests = 30
+				falls, most := runSlowStart(day, 1).overloads()
 				assert.Zero(t, falls)
 				assert.Less(t, most, 0.9)
 			})
@@ -39,24 +39,24 @@
 // The rule binds however few or many processes there are, and whatever a cold host bears: one GET in a window or a thousand. Processes restart in the
 // middle, traffic is uneven, and some are told another number of processes than there are.
 func TestTheRuleBindsForFewAndMany(t *testing.T) {
-	days := []slowStartDay{
-		{name: "burst", cold: 1, told: true, load: burst},
-		{name: "burst, weights not told", cold: 1, load: burst},
-		{name: "restarts", cold: 1, told: true, load: burst, restarts: true},
-		{name: "told of twice as many", cold: 1, told: true, load: burst, misled: 2},
-		{name: "told of half as many, weights not told", cold: 1, load: burst, misled: 0.5},
-		{name: "a quiet stretch, and all others drain", cold: 1, told: true, load: burstTwice, leaves: 6},
+	days := []slowStartScenario{
+		{name: "burst", warmingCaches: 1, weightsKnown: true, load: burst},
+		{name: "burst, weights not told", warmingCaches: 1, load: burst},
+		{name: "restarts", warmingCaches: 1, weightsKnown: true, load: burst, restarts: true},
+		{name: "told of twice as many", warmingCaches: 1, weightsKnown: true, load: burst, countError: 2},
+		{name: "told of half as many, weights not told", warmingCaches: 1, load: burst, countError: 0.5},
+		{name: "a quiet stretch, and all others drain", warmingCaches: 1, weightsKnown: true, load: twoBursts, drainAfter: 6},
 	}
 	for _, day := range days {
 		for _, day.processes = range []int{1, 2, 3, 30, 300, 900} {
-			for _, day.atFirst = range []float64{1, 5, 30, 200, 1000} {
-				if (day.processes > 300 || day.atFirst > 30) && os.Getenv("ELDERWALL_COLD") == "" { // which take minutes, together
+			for _, day.initialRequests = range []float64{1, 5, 30, 200, 1000} {
+				if (day.processes > 300 || day.initialRequests > 30) && os.Getenv("ELDERWALL_COLD") == "" { // which take minutes, together
 					continue
 				}
 				day := day // the plays run side by side
-				t.Run(fmt.Sprint(day.name, ", ", day.processes, " processes, N ", day.atFirst), func(t *testing.T) {
+				t.Run(fmt.Sprint(day.name, ", ", day.processes, " processes, N ", day.initialRequests), func(t *testing.T) {
 					t.Parallel()
-					falls, most := playSlowStart(day, 1).falls()
+					falls, most := runSlowStart(day, 1).overloads()
 					assert.Zero(t, falls)
 					t.Logf("%.2f of what it bears", most)
 				})
@@ -76,7 +76,7 @@
 			t.Parallel()
 			var worst []float64
 			for seed := range uint64(max(1, seeds)) {
-				_, most := playSlowStart(slowStartDay{processes: size.processes, atFirst: size.atFirst, cold: 1, told: true, load: burstTwice, leaves: 6, restarts: true}, seed+1).falls()
+				_, most := runSlowStart(slowStartScenario{processes: size.processes, initialRequests: size.atFirst, warmingCaches: 1, weightsKnown: true, load: twoBursts, drainAfter: 6, restarts: true}, seed+1).overloads()
 				worst = append(worst, most)
 			}
 			mean, spread := 0.0, 0.0
@@ -103,11 +103,11 @@
 // The checker finds a fault that is put in: each process may send at least one GET in a window.
 func TestOneRequestByEachProcessIsTooMuch(t *testing.T) {
 	for processes, bears := range map[int]float64{30: 5, 300: 30} {
-		day := slowStartDay{processes: processes, atFirst: bears, cold: 1, told: true, load: func(float64) float64 { return 4 }, leaves: 1}
-		falls, most := playSlowStart(day, 1).falls()
+		day := slowStartScenario{processes: processes, initialRequests: bears, warmingCaches: 1, weightsKnown: true, load: func(float64) float64 { return 4 }, drainAfter: 1}
+		falls, most := runSlowStart(day, 1).overloads()
 		assert.Zero(t, falls, "%d processes, %.2f of what it bears", processes, most)
-		day.roundUp = true
-		falls, most = playSlowStart(day, 1).falls()
+		day.sendAtLeastOne = true
+		falls, most = runSlowStart(day, 1).overloads()
 		assert.Equal(t, 1, falls, "%d processes, %.2f of what it bears", processes, most)
 	}
 }
@@ -117,7 +117,7 @@
 	for _, processes := range []int{3, 30, 300} {
 		var got, bears []float64
 		for seed := range uint64(4) {
-			c := playSlowStart(slowStartDay{processes: processes, atFirst: 30, cold: 1, told: true, load: burstTwice, leaves: 6}, seed+1)
+			c := runSlowStart(slowStartScenario{processes: processes, initialRequests: 30, warmingCaches: 1, weightsKnown: true, load: twoBursts, drainAfter: 6}, seed+1)
 			for from := warmingStart + 6.0; from < warmingEnd; from++ {
 				sent := 0.0
 				for _, at := range c.sends[c.hosts[0].ID] {
@@ -125,7 +125,7 @@
 						sent++
 					}
 				}
-				got, bears = append(got, sent), append(bears, c.bears(from+0.5, 0))
+				got, bears = append(got, sent), append(bears, c.sustainable(from+0.5, 0))
 			}
 		}
 		mean, spread := 0.0, 0.0
@@ -143,20 +143,20 @@
 
 // Where the settings name no time in which a cold host falls, it is sent something all the same, by however many.
 func TestAWarmingHostWithNoOverloadWindowIsNotShutOut(t *testing.T) {
-	d, r := newCluster(func(s *Settings) { s.OverloadWindow, s.DispatchersByZone, s.WeightsKnown = 0, []int{300}, true })
-	d.now = 1
-	h := d.endpoints.caches[0]
+	r, rec := newCluster(func(s *Settings) { s.OverloadWindow, s.DispatchersByZone, s.WeightsKnown = 0, []int{300}, true })
+	r.now = 1
+	h := r.endpoints.caches[0]
 	h.warmUp.active, h.OnlineSince, h.Weight = true, 1, 3000
 	sent := 0
-	for now := 1.0; now < 1+d.SlowStartRamp-1; now += 0.05 {
-		d.now = now
-		if d.available(h, 0.1) {
+	for now := 1.0; now < 1+r.SlowStartRamp-1; now += 0.05 {
+		r.now = now
+		if r.available(h, 0.1) {
 			h.warmUp.credit -= 0.1
 			sent++
 		}
 	}
 	assert.Positive(t, sent)
-	assert.Empty(t, r.forwards)
+	assert.Empty(t, rec.attempts)
 }
 
 func TestHostsInSlowStartGetTheirShare(t *testing.T) {
@@ -180,20 +180,20 @@
 		t.Run(tt.name, func(t *testing.T) {
 			sent := 0
 			for index := range tt.alike {
-				d, r := newCluster(func(s *Settings) {
+				r, rec := newCluster(func(s *Settings) {
 					s.WeightsKnown, s.Index, s.Dispatchers = tt.told, index, tt.alike
 					s.DispatchersByZone = []int{max(1, tt.alike*(1-tt.kind))}
 				})
-				play(d, r, 0, 20, 0.1, 0, hit) // the warm rate: ten GETs a second over three caches
-				cold := entry(tt.id, tt.kind, Ready)
+				traffic{from: 0, to: 20, interval: 0.1, respond: alwaysHit}.run(r, rec) // the warm rate: ten requests a second over three caches
+				cold := endpoint(tt.id, tt.kind, Ready)
 				cold.Weight, cold.OnlineSince, cold.OnlineSinceKnown = 4, tt.since, true
-				d.UpdateEndpoints(20, ListChanges, []Endpoint{cold})
-				before := len(r.forwards)
+				r.UpdateEndpoints(20, ListChanges, []Endpoint{cold})
+				before := len(rec.attempts)
 				for i := range uint32(200) {
-					ask(d, 20+float64(i)/100, 1000+i, fmt.Sprint("o", i))
+					submit(r, 20+float64(i)/100, 1000+i, fmt.Sprint("o", i))
 				}
-				for _, f := range r.forwards[before:] {
-					if f.Host == tt.id || f.Source == tt.id {
+				for _, a := range rec.attempts[before:] {
+					if a.Host == tt.id || a.Source == tt.id {
 						sent++
 					}
 				}
