--- a/core/routing/slow_start_test.go
+++ b/core/routing/slow_start_test.go
@@ -11,137 +11,175 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// What many processes that know nothing of one another send a cold host, together, it bears.
+// What many processes that know nothing of one another send, together, to a host in slow start does not overload it.
 func TestAWarmingHostBearsWhatAllSend(t *testing.T) {
-	for _, day := range []slowStartScenario{
-		{name: "weights told", warmingCaches: 1, weightsKnown: true},
-		{name: "weights not told", warmingCaches: 1},
+	for _, scenario := range []slowStartScenario{
+		{name: "weights known", warmingCaches: 1, weightsKnown: true},
+		{name: "weights unknown", warmingCaches: 1},
 		{name: "a quiet stretch and a burst", warmingCaches: 1, weightsKnown: true, load: quietThenBurst},
 		{name: "restarts in a burst", warmingCaches: 1, weightsKnown: true, load: burst, restarts: true},
 		{name: "half of the caches, and a burst", warmingCaches: 4, load: burst},
 		{name: "a silent cache, retries", warmingCaches: 1, weightsKnown: true, silentCache: true},
 		{name: "parents", warmingParents: 2, weightsKnown: true, load: burst},
-		{name: "parents, weights not told", warmingParents: 2, load: burst},
-		{name: "nothing heard before", warmingCaches: hostCount, noHistory: true},
-		{name: "a quiet stretch, then all others drain under a burst", warmingCaches: 1, weightsKnown: true, load: twoBursts, drainAfter: 6},
+		{name: "parents, weights unknown", warmingParents: 2, load: burst},
+		{name: "no history", warmingCaches: hostCount, noHistory: true},
+		{
+			name:          "a quiet stretch, then all others drain under a burst",
+			warmingCaches: 1, weightsKnown: true, load: twoBursts, drainAfter: 6,
+		},
 	} {
-		for _, day.processes = range []int{3, 30, 300} {
-			t.Run(fmt.Sprint(day.name, ", ", day.processes), func(t *testing.T) {
-				day.initialRequests = 30
-				falls, most := runSlowStart(day, 1).overloads()
-				assert.Zero(t, falls)
-				assert.Less(t, most, 0.9)
+		for _, scenario.processes = range []int{3, 30, 300} {
+			t.Run(fmt.Sprint(scenario.name, ", ", scenario.processes), func(t *testing.T) {
+				scenario.initialRequests = 30
+				overloaded, worst := runSlowStart(scenario, 1).overloads()
+				assert.Zero(t, overloaded, "hosts overloaded")
+				assert.Less(t, worst, 0.9, "share of what the rule allows, in the worst window")
 			})
 		}
 	}
 }
 
-// The rule binds however few or many processes there are, and whatever a cold host bears: one GET in a window or a thousand. Processes restart in the
-// middle, traffic is uneven, and some are told another number of processes than there are.
+// The rule holds however few or many processes there are, and whatever a host sustains at first: one request in a window or a
+// thousand. Processes restart in the middle, traffic is uneven, and some are configured with a wrong number of processes.
 func TestTheRuleBindsForFewAndMany(t *testing.T) {
-	days := []slowStartScenario{
+	scenarios := []slowStartScenario{
 		{name: "burst", warmingCaches: 1, weightsKnown: true, load: burst},
-		{name: "burst, weights not told", warmingCaches: 1, load: burst},
+		{name: "burst, weights unknown", warmingCaches: 1, load: burst},
 		{name: "restarts", warmingCaches: 1, weightsKnown: true, load: burst, restarts: true},
-		{name: "told of twice as many", warmingCaches: 1, weightsKnown: true, load: burst, countError: 2},
-		{name: "told of half as many, weights not told", warmingCaches: 1, load: burst, countError: 0.5},
+		{name: "configured with twice as many", warmingCaches: 1, weightsKnown: true, load: burst, countError: 2},
+		{name: "configured with half as many, weights unknown", warmingCaches: 1, load: burst, countError: 0.5},
 		{name: "a quiet stretch, and all others drain", warmingCaches: 1, weightsKnown: true, load: twoBursts, drainAfter: 6},
 	}
-	for _, day := range days {
-		for _, day.processes = range []int{1, 2, 3, 30, 300, 900} {
-			for _, day.initialRequests = range []float64{1, 5, 30, 200, 1000} {
-				if (day.processes > 300 || day.initialRequests > 30) && os.Getenv("ELDERWALL_COLD") == "" { // which take minutes, together
+	for _, scenario := range scenarios {
+		for _, scenario.processes = range []int{1, 2, 3, 30, 300, 900} {
+			for _, scenario.initialRequests = range []float64{1, 5, 30, 200, 1000} {
+				takesLong := scenario.processes > 300 || scenario.initialRequests > 30 // minutes, all of them together
+				if takesLong && os.Getenv("ELDERWALL_COLD") == "" {
 					continue
 				}
-				day := day // the plays run side by side
-				t.Run(fmt.Sprint(day.name, ", ", day.processes, " processes, N ", day.initialRequests), func(t *testing.T) {
-					t.Parallel()
-					falls, most := runSlowStart(day, 1).overloads()
-					assert.Zero(t, falls)
-					t.Logf("%.2f of what it bears", most)
-				})
+				testNeverOverloads(t, scenario)
 			}
 		}
 	}
 }
 
-// The worst window over a whole ramp, over many seeds: how far it is from a fall. Run by hand, as it takes minutes (docs/fleets.md has its figures).
+// testNeverOverloads runs a scenario in parallel with others.
+func testNeverOverloads(t *testing.T, scenario slowStartScenario) {
+	name := fmt.Sprint(scenario.name, ", ", scenario.processes, " processes, N ", scenario.initialRequests)
+	t.Run(name, func(t *testing.T) {
+		t.Parallel()
+		overloaded, worst := runSlowStart(scenario, 1).overloads()
+		assert.Zero(t, overloaded, "hosts overloaded")
+		t.Logf("%.2f of what the rule allows, in the worst window", worst)
+	})
+}
+
+// The worst window over a whole ramp, over many seeds: how far it is from an overload. Many seeds take minutes and are run by
+// hand (docs/fleets.md has the figures).
 func TestTheWorstWindowOfARamp(t *testing.T) {
 	seeds, _ := strconv.Atoi(os.Getenv("ELDERWALL_COLD_SEEDS"))
 	for _, size := range []struct {
-		processes int
-		atFirst   float64
+		processes       int
+		initialRequests float64
 	}{{1, 30}, {3, 30}, {30, 30}, {300, 5}, {300, 30}, {3, 1000}} {
-		t.Run(fmt.Sprint(size.processes, " processes, N ", size.atFirst), func(t *testing.T) {
+		t.Run(fmt.Sprint(size.processes, " processes, N ", size.initialRequests), func(t *testing.T) {
 			t.Parallel()
 			var worst []float64
 			for seed := range uint64(max(1, seeds)) {
-				_, most := runSlowStart(slowStartScenario{processes: size.processes, initialRequests: size.atFirst, warmingCaches: 1, weightsKnown: true, load: twoBursts, drainAfter: 6, restarts: true}, seed+1).overloads()
-				worst = append(worst, most)
-			}
-			mean, spread := 0.0, 0.0
-			for _, x := range worst {
-				mean += x / float64(len(worst))
+				_, share := runSlowStart(slowStartScenario{
+					processes: size.processes, initialRequests: size.initialRequests, warmingCaches: 1,
+					weightsKnown: true, load: twoBursts, drainAfter: 6, restarts: true,
+				}, seed+1).overloads()
+				worst = append(worst, share)
 			}
-			for _, x := range worst {
-				spread += (x - mean) * (x - mean) / float64(len(worst))
-			}
-			spread = math.Sqrt(spread)
-			// The largest of many windows has a longer tail than a normal one: that of an extreme value with the same mean and spread (Gumbel).
-			scale := math.Max(1e-9, spread*math.Sqrt(6)/math.Pi)
-			chance := 1 - math.Exp(-math.Exp(-(1-(mean-0.5772*scale))/scale))
-			t.Logf("%d plays: mean %.3f, spread %.3f, largest %.3f of what the rule bears; chance of a fall %.1e", len(worst), mean, spread, slices.Max(worst), chance)
-			// Few processes save up and draw nothing: what each may send in a window is bounded, (1+savedShare)*slowStartShare of its share.
+			mean, spread := meanAndDeviation(worst)
+			chance := chanceOfOverload(mean, spread)
+			t.Logf("%d runs: mean %.3f, spread %.3f, largest %.3f of what the rule allows; chance of an overload %.1e",
+				len(worst), mean, spread, slices.Max(worst), chance)
+			// Few processes save up credit and draw nothing: what each may send in a window is bounded by its share.
 			assert.Less(t, slices.Max(worst), (1+savedShare)*slowStartShare)
 			if seeds > 10 && size.processes >= 30 {
-				assert.Less(t, chance, 1e-4)
+				assert.Less(t, chance, 1e-4, "chance of an overload")
 			}
 		})
 	}
 }
 
-// The checker finds a fault that is put in: each process may send at least one GET in a window.
+// meanAndDeviation is the mean and the standard deviation of values.
+func meanAndDeviation(values []float64) (mean, deviation float64) {
+	for _, x := range values {
+		mean += x / float64(len(values))
+	}
+	variance := 0.0
+	for _, x := range values {
+		variance += (x - mean) * (x - mean) / float64(len(values))
+	}
+	return mean, math.Sqrt(variance)
+}
+
+// chanceOfOverload is the chance that the worst window of a run is over 1. The largest of many windows has a longer tail than a
+// normal distribution: that of an extreme value (Gumbel) with the same mean and deviation.
+func chanceOfOverload(mean, deviation float64) float64 {
+	scale := math.Max(1e-9, deviation*math.Sqrt(6)/math.Pi)
+	return 1 - math.Exp(-math.Exp(-(1-(mean-0.5772*scale))/scale))
+}
+
+// The check finds an injected fault: each process sends at least one request in a window.
 func TestOneRequestByEachProcessIsTooMuch(t *testing.T) {
-	for processes, bears := range map[int]float64{30: 5, 300: 30} {
-		day := slowStartScenario{processes: processes, initialRequests: bears, warmingCaches: 1, weightsKnown: true, load: func(float64) float64 { return 4 }, drainAfter: 1}
-		falls, most := runSlowStart(day, 1).overloads()
-		assert.Zero(t, falls, "%d processes, %.2f of what it bears", processes, most)
-		day.sendAtLeastOne = true
-		falls, most = runSlowStart(day, 1).overloads()
-		assert.Equal(t, 1, falls, "%d processes, %.2f of what it bears", processes, most)
+	for processes, initialRequests := range map[int]float64{30: 5, 300: 30} {
+		scenario := slowStartScenario{
+			processes: processes, initialRequests: initialRequests, warmingCaches: 1, weightsKnown: true,
+			load: func(float64) float64 { return 4 }, drainAfter: 1,
+		}
+		overloaded, worst := runSlowStart(scenario, 1).overloads()
+		assert.Zero(t, overloaded, "%d processes, %.2f of what the rule allows", processes, worst)
+		scenario.sendAtLeastOne = true
+		overloaded, worst = runSlowStart(scenario, 1).overloads()
+		assert.Equal(t, 1, overloaded, "%d processes, %.2f of what the rule allows", processes, worst)
 	}
 }
 
-// Under a burst that has each process look all the time, what all send has the mean that is told, and its root as spread at most.
+// Under a burst that has each process see requests all the time, what all send has the configured mean, and a deviation of its
+// square root at most.
 func TestTheSumOfWhatAllSend(t *testing.T) {
 	for _, processes := range []int{3, 30, 300} {
-		var got, bears []float64
+		var sent, sustainable []float64
 		for seed := range uint64(4) {
-			c := runSlowStart(slowStartScenario{processes: processes, initialRequests: 30, warmingCaches: 1, weightsKnown: true, load: twoBursts, drainAfter: 6}, seed+1)
+			run := runSlowStart(slowStartScenario{
+				processes: processes, initialRequests: 30, warmingCaches: 1, weightsKnown: true,
+				load: twoBursts, drainAfter: 6,
+			}, seed+1)
 			for from := warmingStart + 6.0; from < warmingEnd; from++ {
-				sent := 0.0
-				for _, at := range c.sends[c.hosts[0].ID] {
-					if at > from && at <= from+1 {
-						sent++
-					}
-				}
-				got, bears = append(got, sent), append(bears, c.sustainable(from+0.5, 0))
+				sent = append(sent, run.sentWithin(run.hosts[0].ID, from, from+1))
+				sustainable = append(sustainable, run.sustainable(from+0.5, 0))
 			}
 		}
-		mean, spread := 0.0, 0.0
-		for i := range got {
-			mean += got[i] / bears[i] / float64(len(got))
+		mean, variance := 0.0, 0.0
+		for i := range sent {
+			mean += sent[i] / sustainable[i] / float64(len(sent))
 		}
-		for i := range got {
-			spread += (got[i] - mean*bears[i]) * (got[i] - mean*bears[i]) / bears[i] / float64(len(got))
+		for i := range sent {
+			off := sent[i] - mean*sustainable[i]
+			variance += off * off / sustainable[i] / float64(len(sent))
 		}
-		t.Logf("%d processes: mean %.3f of what it bears, spread %.2f of its root", processes, mean, math.Sqrt(spread))
-		assert.InDelta(t, 0.65, mean, 0.15, "%d processes", processes)
-		assert.Less(t, math.Sqrt(spread), 1.0, "%d processes", processes)
+		deviation := math.Sqrt(variance)
+		t.Logf("%d processes: mean %.3f of what the host sustains, deviation %.2f of its root", processes, mean, deviation)
+		assert.InDelta(t, 0.65, mean, 0.15, "%d processes: mean", processes)
+		assert.Less(t, deviation, 1.0, "%d processes: deviation", processes)
 	}
 }
 
-// Where the settings name no time in which a cold host falls, it is sent something all the same, by however many.
+// sentWithin counts the attempts that a host was sent after one time, up to another.
+func (run *slowStartRun) sentWithin(host uint32, from, to float64) (sent float64) {
+	for _, at := range run.sends[host] {
+		if at > from && at <= to {
+			sent++
+		}
+	}
+	return sent
+}
+
+// Where no overload window is configured, a host in slow start is sent something all the same, however many routers there are.
 func TestAWarmingHostWithNoOverloadWindowIsNotShutOut(t *testing.T) {
 	r, rec := newCluster(func(s *Settings) { s.OverloadWindow, s.DispatchersByZone, s.WeightsKnown = 0, []int{300}, true })
 	r.now = 1
@@ -155,51 +193,57 @@
 			sent++
 		}
 	}
-	assert.Positive(t, sent)
+	assert.Positive(t, sent, "requests that the host may be sent")
 	assert.Empty(t, rec.attempts)
 }
 
 func TestHostsInSlowStartGetTheirShare(t *testing.T) {
 	for _, tt := range []struct {
-		name       string
-		kind       int
-		id         uint32
-		told       bool
-		since      float64
-		alike      int // dispatchers that are told of the start together
-		least, max int // GETs of 0.1 s that all send in two windows; the rule bears a tenth more
+		name         string
+		kind         int
+		id           uint32
+		weightsKnown bool
+		onlineSince  float64
+		routers      int // that are notified of the start together
+		least, most  int // requests of 0.1 s that all send in two windows; the rule allows a tenth more
 	}{
-		{"cold cache of told weight", 0, cacheA, true, 20, 1, 10, 40},
-		{"cold cache of told weight, many dispatchers", 0, cacheA, true, 20, 40, 10, 40},
-		{"cold cache of unknown weight", 0, cacheA, false, 20, 1, 1, 4},
-		{"cold cache of unknown weight, many dispatchers", 0, cacheA, false, 20, 40, 40, 140},
-		{"cold parent", 1, parentA, true, 20, 1, 5, 20},
-		{"cold parent, many dispatchers", 1, parentA, true, 20, 40, 5, 20},
-		{"cache that is warm by now", 0, cacheA, true, 5, 1, 30, 200},
+		{"cache of known weight", 0, cacheA, true, 20, 1, 10, 40},
+		{"cache of known weight, many routers", 0, cacheA, true, 20, 40, 10, 40},
+		{"cache of unknown weight", 0, cacheA, false, 20, 1, 1, 4},
+		{"cache of unknown weight, many routers", 0, cacheA, false, 20, 40, 40, 140},
+		{"parent", 1, parentA, true, 20, 1, 5, 20},
+		{"parent, many routers", 1, parentA, true, 20, 40, 5, 20},
+		{"cache whose slow start is over", 0, cacheA, true, 5, 1, 30, 200},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
+			started := endpoint(tt.id, tt.kind, Ready)
+			started.Weight, started.OnlineSince, started.OnlineSinceKnown = 4, tt.onlineSince, true
 			sent := 0
-			for index := range tt.alike {
+			for index := range tt.routers {
 				r, rec := newCluster(func(s *Settings) {
-					s.WeightsKnown, s.Index, s.Dispatchers = tt.told, index, tt.alike
-					s.DispatchersByZone = []int{max(1, tt.alike*(1-tt.kind))}
+					s.WeightsKnown, s.Index, s.Dispatchers = tt.weightsKnown, index, tt.routers
+					s.DispatchersByZone = []int{max(1, tt.routers*(1-tt.kind))}
 				})
-				traffic{from: 0, to: 20, interval: 0.1, respond: alwaysHit}.run(r, rec) // the warm rate: ten requests a second over three caches
-				cold := endpoint(tt.id, tt.kind, Ready)
-				cold.Weight, cold.OnlineSince, cold.OnlineSinceKnown = 4, tt.since, true
-				r.UpdateEndpoints(20, ListChanges, []Endpoint{cold})
-				before := len(rec.attempts)
-				for i := range uint32(200) {
-					submit(r, 20+float64(i)/100, 1000+i, fmt.Sprint("o", i))
-				}
-				for _, a := range rec.attempts[before:] {
-					if a.Host == tt.id || a.Source == tt.id {
-						sent++
-					}
-				}
+				traffic{from: 0, to: 20, interval: 0.1, respond: alwaysHit}.run(r, rec) // the rate of warm hosts is learned
+				r.UpdateEndpoints(20, ListChanges, []Endpoint{started})
+				sent += sentToStartedHost(r, rec, tt.id)
 			}
-			assert.LessOrEqual(t, sent, tt.max)
+			assert.LessOrEqual(t, sent, tt.most)
 			assert.GreaterOrEqual(t, sent, tt.least)
 		})
 	}
 }
+
+// sentToStartedHost submits a hundred requests a second over two seconds and counts the attempts that a host is sent.
+func sentToStartedHost(r *Router, rec *recorder, host uint32) (sent int) {
+	before := len(rec.attempts)
+	for i := range uint32(200) {
+		submit(r, 20+float64(i)/100, 1000+i, fmt.Sprint("o", i))
+	}
+	for _, a := range rec.attempts[before:] {
+		if a.Host == host || a.Source == host {
+			sent++
+		}
+	}
+	return sent
+}
