--- a/core/routing/grouphealth/grouphealth_test.go
+++ b/core/routing/grouphealth/grouphealth_test.go
@@ -12,17 +12,19 @@
 	"elderwall/internal/standin/need"
 )
 
-// racks is so many hosts in each of some racks.
-func racks(n, each int) (tracker *Tracker, members []*Member) {
+const hostsPerRack = 20
+
+// newRacks returns a tracker of some racks of hosts, and its members in the order of their racks.
+func newRacks(racks int) (tracker *Tracker, members []*Member) {
 	tracker = &Tracker{}
-	for i := range n * each {
-		members = append(members, tracker.Add(Group{Cell: i / each}))
+	for i := range racks * hostsPerRack {
+		members = append(members, tracker.Add(Group{Cell: i / hostsPerRack}))
 	}
 	return tracker, members
 }
 
-// unsuspected counts the members that are not doubted.
-func unsuspected(members []*Member) (n int) {
+// countUnsuspected counts the members that are not suspected.
+func countUnsuspected(members []*Member) (n int) {
 	for _, m := range members {
 		if !m.Suspected() {
 			n++
@@ -31,14 +33,19 @@
 	return n
 }
 
-// each has each of some members lost, or answer.
-func each(do func(*Member, float64), now float64, members ...*Member) {
+// answerAll has members answer.
+func answerAll(now float64, members []*Member) {
 	for _, m := range members {
-		do(m, now)
+		m.ObserveSuccess(now)
 	}
 }
 
-var lose, answer = (*Member).ObserveLoss, (*Member).ObserveSuccess
+// loseAll has requests to members lost.
+func loseAll(now float64, members []*Member) {
+	for _, m := range members {
+		m.ObserveLoss(now)
+	}
+}
 
 func TestFewHostsSpeakForThemselves(t *testing.T) {
 	tracker := &Tracker{}
@@ -48,61 +55,69 @@
 	m.ObserveLoss(1)
 	m.SpendProbe()
 	tracker.CountRequest(1)
-	assert.Equal(t, []any{false, true, false, 0.4, 7.0, false},
-		[]any{m.Suspected(), m.ProbeAllowed(), m.RecoveredSince(0), m.LossWeight(1, 0.4, 0.5), m.ShrinkServingTime(1, 7, 1, 3), m.ObserveSilence(1)})
-	assert.Zero(t, testing.AllocsPerRun(100, func() { m.ObserveSuccess(1); tracker.CountRequest(1); m.LossWeight(1, 0.4, 0.5) }))
+	got := []any{
+		m.Suspected(), m.ProbeAllowed(), m.RecoveredSince(0),
+		m.LossWeight(1, 0.4, 0.5), m.ShrinkServingTime(1, 7, 1, 3), m.ObserveSilence(1),
+	}
+	assert.Equal(t, []any{false, true, false, 0.4, 7.0, false}, got)
+	assert.Zero(t, testing.AllocsPerRun(100, func() {
+		m.ObserveSuccess(1)
+		tracker.CountRequest(1)
+		m.LossWeight(1, 0.4, 0.5)
+	}))
 }
 
 func TestARackThatFallsSilentIsSeenAsOne(t *testing.T) {
-	_, members := racks(10, 20)
-	each(answer, 1, members...)
-	each(lose, 5, members[:2]...)
-	assert.Equal(t, 200, unsuspected(members), "two may be chance")
+	_, members := newRacks(10)
+	answerAll(1, members)
+	loseAll(5, members[:2])
+	assert.Equal(t, 200, countUnsuspected(members), "two lost may be chance")
 	members[2].ObserveLoss(5.1)
-	assert.Equal(t, 180, unsuspected(members), "all of the rack, also those not asked")
+	assert.Equal(t, 180, countUnsuspected(members), "all of the rack are suspected, also those with no requests")
 	members[19].ObserveSuccess(5.2)
-	assert.False(t, members[19].Suspected(), "its own word goes before that of its rack")
+	assert.False(t, members[19].Suspected(), "its own answer counts more than its rack")
 	assert.True(t, members[18].Suspected())
-	each(answer, 9, members[3:5]...)
-	assert.True(t, members[18].Suspected(), "two that answer may be the part that stays")
+	answerAll(9, members[3:5])
+	assert.True(t, members[18].Suspected(), "two that answer are too few")
 	members[5].ObserveSuccess(9)
-	assert.Equal(t, 200, unsuspected(members), "believed again by trials")
+	assert.Equal(t, 200, countUnsuspected(members), "the rack has recovered by answers to trials")
 	assert.True(t, members[0].RecoveredSince(5))
-	assert.False(t, members[0].RecoveredSince(10), "left after that")
+	assert.False(t, members[0].RecoveredSince(10), "ejected after the rack recovered")
 	assert.False(t, members[100].RecoveredSince(5))
 }
 
 func TestARackOfWhichSomeAreLostStays(t *testing.T) {
-	_, members := racks(10, 20)
-	each(answer, 1, members[:8]...)
-	each(lose, 1.5, members[8:15]...)
-	assert.Equal(t, 200, unsuspected(members), "no more lost than heard")
+	_, members := newRacks(10)
+	answerAll(1, members[:8])
+	loseAll(1.5, members[8:15])
+	assert.Equal(t, 200, countUnsuspected(members), "no more are lost than answer")
 }
 
 func TestARouterToWhichMostAreSilentHasLostItsOwnNetwork(t *testing.T) {
-	_, members := racks(10, 20)
+	_, members := newRacks(10)
 	for rack := range 5 {
-		each(lose, 1, members[rack*20:rack*20+minLostHosts]...)
+		first := rack * hostsPerRack
+		loseAll(1, members[first:first+minLostHosts])
 	}
-	assert.Equal(t, 100, unsuspected(members))
-	each(lose, 1, members[5*20:5*20+minLostHosts]...)
-	assert.Equal(t, 200, unsuspected(members), "more than half: none is doubted for its rack")
-	assert.Equal(t, 0.4, members[7].LossWeight(1, 0.4, 0.5), "and one loss says less of its host")
+	assert.Equal(t, 100, countUnsuspected(members))
+	loseAll(1, members[5*hostsPerRack:5*hostsPerRack+minLostHosts])
+	assert.Equal(t, 200, countUnsuspected(members), "more than half: none is suspected for its rack")
+	assert.Equal(t, 0.4, members[7].LossWeight(1, 0.4, 0.5), "a loss says less of its host")
 	assert.False(t, members[8].ObserveSilence(1))
 }
 
 func TestOneOfManyIsEjectedAtOnce(t *testing.T) {
-	_, members := racks(10, 20)
+	_, members := newRacks(10)
 	assert.Equal(t, 0.5, members[7].LossWeight(1, 0.4, 0.5))
 	assert.True(t, members[8].ObserveSilence(1))
-	each(lose, 1, members[:150]...)
-	each(answer, 1, members[150:]...)
-	assert.False(t, members[160].ObserveSilence(1), "where all are slow, one that is says little")
+	loseAll(1, members[:150])
+	answerAll(1, members[150:])
+	assert.False(t, members[160].ObserveSilence(1), "where most are silent, one that is says little")
 }
 
 func TestTrialsAreRationed(t *testing.T) {
-	tracker, members := racks(10, 20)
-	tried := func() (n int) {
+	tracker, members := newRacks(10)
+	spendTrials := func() (n int) {
 		for members[0].ProbeAllowed() {
 			members[0].SpendProbe()
 			n++
@@ -110,110 +125,163 @@
 		return n
 	}
 	tracker.CountRequest(1)
-	tried()
+	spendTrials()
 	for i := range 1000 {
 		tracker.CountRequest(1 + float64(i)*1e-6)
 		members[0].ProbeAllowed()
 	}
-	assert.Equal(t, int(maxSavedTrials), tried(), "no more are saved up")
+	assert.Equal(t, int(maxSavedTrials), spendTrials(), "no more than that are saved up")
 	tracker.CountRequest(1e6)
-	assert.Equal(t, int(maxSavedTrials), tried(), "nor by a jump of time")
+	assert.Equal(t, int(maxSavedTrials), spendTrials(), "no more by a jump of time")
 	tracker.CountRequest(5)
-	assert.Zero(t, tried(), "time that goes back gives none")
-	each(lose, 6, members[:minLostHosts]...)
+	assert.Zero(t, spendTrials(), "time that goes back allows none")
+	loseAll(6, members[:minLostHosts])
 	assert.True(t, members[10].Suspected())
 	members[10].ObserveSuccess(7)
-	assert.Equal(t, int(trialsPerAnswer), tried(), "one that is answered allows more")
+	assert.Equal(t, int(trialsPerAnswer), spendTrials(), "a trial that is answered allows more")
 	members[10].ObserveSuccess(7.1)
-	assert.Zero(t, tried(), "once")
+	assert.Zero(t, spendTrials(), "it allows them once")
 }
 
 func TestShrinkServingTime(t *testing.T) {
-	_, members := racks(10, 20)
+	_, members := newRacks(10)
 	members[0].ObserveSuccess(10)
 	assert.InDelta(t, 1.0, members[0].ShrinkServingTime(10, 1, 0, 1), 1e-9)
-	few, some := members[0].ShrinkServingTime(10, 3, 1, 1), members[0].ShrinkServingTime(10, 3, 100, 1)
-	assert.True(t, 1 < few && few < some && some < 3, "%g %g", few, some)
-	assert.InDelta(t, 1.0, members[0].ShrinkServingTime(1000, 3, 100, 1), 1e-3, "what it said long ago says nothing")
-	assert.Equal(t, 3.0, members[0].ShrinkServingTime(10, 3, 100, 0), "nothing is known of all")
+	few, many := members[0].ShrinkServingTime(10, 3, 1, 1), members[0].ShrinkServingTime(10, 3, 100, 1)
+	assert.True(t, 1 < few && few < many && many < 3, "%g after one answer, %g after 100", few, many)
+	assert.InDelta(t, 1.0, members[0].ShrinkServingTime(1000, 3, 100, 1), 1e-3, "its own old answers count for nothing")
+	assert.Equal(t, 3.0, members[0].ShrinkServingTime(10, 3, 100, 0), "with no mean of all hosts its own time stands")
+}
+
+// invariants drives a tracker and checks what must hold of it after each step.
+type invariants struct {
+	*rapid.T
+	tracker     *Tracker
+	cells       int
+	members     []*Member
+	now         float64 // s
+	lastSuccess map[*Member]float64
+	requests    float64
+	trials      float64 // that were spent
+	earned      float64 // trials that successes of suspected hosts allow
+}
+
+const invariantsStart = 10.0 // s
+
+func newInvariants(t *rapid.T) *invariants {
+	v := &invariants{T: t, tracker: &Tracker{}, now: invariantsStart, lastSuccess: map[*Member]float64{}}
+	v.cells = rapid.IntRange(1, 6).Draw(t, "cells")
+	for i := range rapid.IntRange(MinHosts, 100).Draw(t, "hosts") {
+		v.members = append(v.members, v.tracker.Add(Group{Cell: i % v.cells}))
+	}
+	v.tracker.CountRequest(v.now)
+	return v
+}
+
+// step lets time pass and does one thing.
+func (v *invariants) step() {
+	v.now += rapid.SampledFrom([]float64{0, 0, 0.001, 0.1, 1, 5, 3600, -1}).Draw(v.T, "passes")
+	i := rapid.IntRange(0, len(v.members)-1).Draw(v.T, "host")
+	switch rapid.IntRange(0, 5).Draw(v.T, "what") {
+	case 0:
+		v.succeed(v.members[i])
+	case 1, 2:
+		for k := range rapid.IntRange(1, 12).Draw(v.T, "lost") {
+			v.members[(i+k*v.cells)%len(v.members)].ObserveLoss(v.now)
+		}
+	case 3:
+		v.tracker.CountRequest(v.now)
+		v.requests++
+	case 4:
+		if v.members[i].ProbeAllowed() {
+			v.members[i].SpendProbe()
+			v.trials++
+		}
+	case 5:
+		v.remove(i)
+	}
+}
+
+func (v *invariants) succeed(m *Member) {
+	if m.Suspected() {
+		v.earned += trialsPerAnswer
+	}
+	m.ObserveSuccess(v.now)
+	v.lastSuccess[m] = v.now
+}
+
+// remove removes a host, and adds one to a cell of its own where they would be too few.
+func (v *invariants) remove(i int) {
+	v.tracker.Remove(v.members[i])
+	v.members = append(v.members[:i:i], v.members[i+1:]...)
+	if len(v.members) < MinHosts {
+		v.members = append(v.members, v.tracker.Add(Group{Cell: v.cells}))
+	}
+}
+
+func (v *invariants) check() {
+	v.checkGroups(v.checkMembers())
+	unsuspected := countUnsuspected(v.members)
+	require.False(v.T, 2*unsuspected < len(v.members), "only %d of %d are unsuspected", unsuspected, len(v.members))
+	v.checkTrials()
+}
+
+// checkMembers checks that no host is suspected that has answered since its group fell silent, and counts the hosts of groups.
+func (v *invariants) checkMembers() map[*group]int {
+	hosts := map[*group]int{}
+	for _, m := range v.members {
+		hosts[m.group]++
+		last := v.lastSuccess[m]
+		if m.Suspected() && last >= m.group.silentSince && last > 0 {
+			v.Fatalf("a host is suspected that has answered since its group fell silent")
+		}
+	}
+	return hosts
+}
+
+// checkGroups checks that the counts of groups, and of suspected hosts, are those of their members.
+func (v *invariants) checkGroups(hosts map[*group]int) {
+	suspected := 0
+	for g, n := range hosts {
+		require.Equal(v.T, n, g.hosts, "a group of %d counts %d", n, g.hosts)
+		if g.silent {
+			suspected += n
+		}
+		for _, said := range g.words.counts {
+			if said[answered] < 0 || said[lost] < 0 {
+				v.Fatal("a count of last words is negative")
+			}
+		}
+	}
+	require.Equal(v.T, v.tracker.suspected, suspected, "%d are suspected for their groups, counted as %d", suspected, v.tracker.suspected)
+}
+
+// checkTrials checks that trials stay within their share.
+func (v *invariants) checkTrials() {
+	passedTwice := 200.0 * trialsPerSecond // by time that went back
+	most := maxSavedTrials + trialsPerRequest*v.requests + trialsPerSecond*math.Max(0, v.now-invariantsStart) + v.earned + passedTwice
+	require.False(v.T, v.trials > most, "%g trials, at most %g", v.trials, most)
 }
 
-// Whatever is heard, lost, listed and tried, at whatever times: no host is doubted that has answered since, no more than
-// half are, the books of groups are those of their members, and trials stay within their share.
+// Whatever answers, is lost, added, removed and tried, at whatever times: no host is suspected that has answered since, no more
+// than half are, the counts of groups are those of their members, and trials stay within their share.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tracker := &Tracker{}
-		cells := rapid.IntRange(1, 6).Draw(t, "cells")
-		var members []*Member
-		for i := range rapid.IntRange(MinHosts, 100).Draw(t, "hosts") {
-			members = append(members, tracker.Add(Group{Cell: i % cells}))
-		}
-		now, gets, tried, passed, start := 10.0, 0.0, 0.0, 0.0, 10.0
-		lately := map[*Member]float64{}
-		tracker.CountRequest(now)
+		v := newInvariants(t)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
-			now += rapid.SampledFrom([]float64{0, 0, 0.001, 0.1, 1, 5, 3600, -1}).Draw(t, "passes")
-			i := rapid.IntRange(0, len(members)-1).Draw(t, "host")
-			switch rapid.IntRange(0, 5).Draw(t, "what") {
-			case 0:
-				if members[i].Suspected() {
-					passed += trialsPerAnswer
-				}
-				members[i].ObserveSuccess(now)
-				lately[members[i]] = now
-			case 1, 2:
-				for k := range rapid.IntRange(1, 12).Draw(t, "lost") {
-					members[(i+k*cells)%len(members)].ObserveLoss(now)
-				}
-			case 3:
-				tracker.CountRequest(now)
-				gets++
-			case 4:
-				if members[i].ProbeAllowed() {
-					members[i].SpendProbe()
-					tried++
-				}
-			case 5:
-				tracker.Remove(members[i])
-				if members = append(members[:i:i], members[i+1:]...); len(members) < MinHosts {
-					members = append(members, tracker.Add(Group{Cell: cells}))
-				}
-			}
-			groups := map[*group]int{}
-			for _, one := range members {
-				if groups[one.group]++; one.Suspected() && lately[one] >= one.group.silentSince && lately[one] > 0 {
-					t.Fatalf("a host is doubted that has answered since")
-				}
-			}
-			doubted := 0
-			for g, n := range groups {
-				require.Equal(t, n, g.hosts, "a group of %d counts %d", n, g.hosts)
-				if g.silent {
-					doubted += n
-				}
-				for _, said := range g.words.counts {
-					if said[answered] < 0 || said[lost] < 0 {
-						t.Fatal("fewer than none said so")
-					}
-				}
-			}
-			require.Equal(t, tracker.suspected, doubted, "%d are doubted by their groups, counted as %d", doubted, tracker.suspected)
-			n := unsuspected(members)
-			require.False(t, 2*n < len(members), "only %d of %d are believed", n, len(members))
-			back := 200.0 * trialsPerSecond // time that goes back passes twice
-			most := maxSavedTrials + trialsPerRequest*gets + trialsPerSecond*math.Max(0, now-start) + passed + back
-			require.False(t, tried > most, "%g trials, at most %g", tried, most)
+			v.step()
+			v.check()
 		}
 	})
 }
 
-// BenchmarkObserveSuccess is what an answer costs a dispatcher of many hosts, and a loss.
+// BenchmarkObserveSuccess measures an answer at a router of many hosts, with a loss in a hundred.
 func BenchmarkObserveSuccess(b *testing.B) {
 	for _, n := range []int{1000, 10_000} {
-		all, members := racks(n/20, 20)
+		tracker, members := newRacks(n / hostsPerRack)
 		need.Bench(b, fmt.Sprint(n), func(i int) {
 			now := float64(i) * 1e-4
-			all.CountRequest(now)
+			tracker.CountRequest(now)
 			if members[i%n].ObserveSuccess(now); i%100 == 0 {
 				members[i%n].ObserveLoss(now)
 			}
--- a/core/routing/large_cluster_test.go
+++ b/core/routing/large_cluster_test.go
@@ -10,43 +10,42 @@
 	"elderwall/core/routing/grouphealth"
 )
 
-// scheduledResult is how a forward ends at a moment.
+// scheduledResult is the result of an attempt at a time.
 type scheduledResult struct {
-	at     float64
+	at     float64 // s
 	result AttemptResult
 }
 
-// largeCluster is a dispatcher with racks of caches, and what they do.
+// largeCluster is a router with racks of simulated caches.
 type largeCluster struct {
 	*testing.T
 	router         *Router
 	rec            *recorder
 	now            float64
-	id             uint32
-	unreachable    map[uint32]bool
+	lastID         uint32
 	hosts          []Endpoint
-	failedAttempts int
-
-	attempts map[uint32]int // forwards of each GET
-	pending  []scheduledResult
+	unreachable    map[uint32]bool // hosts
+	failedAttempts int             // at unreachable hosts
+	attempts       map[uint32]int  // sent so far, by request
+	pending        []scheduledResult
 }
 
-func newLargeCluster(t *testing.T, racks, each int) *largeCluster {
+func newLargeCluster(t *testing.T, racks, cachesPerRack int) *largeCluster {
 	c := &largeCluster{T: t, rec: &recorder{}, unreachable: map[uint32]bool{}, attempts: map[uint32]int{}}
-	s := testSettings()
-	s.Services[0].Objective = 0.2
-	c.router = New(s, 0, c.rec)
+	settings := testSettings()
+	settings.Services[0].Objective = 0.2
+	c.router = New(settings, 0, c.rec)
 	c.hosts = []Endpoint{endpoint(1<<30, 1, Ready), endpoint(1<<30+1, 1, Ready), endpoint(1<<30+2, 2, Ready)}
-	for i := range racks * each {
+	for i := range racks * cachesPerRack {
 		e := endpoint(uint32(i+1)*7919, 0, Ready)
-		e.Cell = i / each
+		e.Cell = i / cachesPerRack
 		c.hosts = append(c.hosts, e)
 	}
 	c.router.UpdateEndpoints(0, ListComplete, c.hosts)
 	return c
 }
 
-// rack is the caches of one.
+// rack returns the caches of a rack.
 func (c *largeCluster) rack(cell int) (ids []uint32) {
 	for _, h := range c.hosts {
 		if h.Kind == 0 && h.Cell == cell {
@@ -56,38 +55,57 @@
 	return ids
 }
 
-// run asks for objects, one each millisecond; hosts that are gone can't be reached, which is known after a tenth of a second.
-func (c *largeCluster) run(gets int) (returned int) {
-	for range gets {
+// run submits requests, one each millisecond, and returns how many attempts succeeded. That a host is unreachable is known
+// after a tenth of a second.
+func (c *largeCluster) run(requests int) (succeeded int) {
+	for range requests {
 		c.now += 0.001
-		c.id++
-		submit(c.router, c.now, c.id, fmt.Sprint("o", c.id%3000))
-		if c.id%10 == 0 {
+		c.lastID++
+		submit(c.router, c.now, c.lastID, fmt.Sprint("o", c.lastID%3000))
+		if c.lastID%10 == 0 {
 			runTimer(c.router, c.now)
 		}
-		for len(c.rec.attempts) > 0 {
-			a := c.rec.attempts[0]
-			c.rec.attempts = c.rec.attempts[1:]
-			number := c.attempts[a.RequestID]
-			c.attempts[a.RequestID]++
-			if c.unreachable[a.Host] {
-				c.failedAttempts++
-				c.pending = append(c.pending, scheduledResult{c.now + 0.1, AttemptResult{RequestID: a.RequestID, Attempt: number, Outcome: Unreachable, Elapsed: 0.1}})
-				continue
-			}
-			returned++
+		succeeded += c.serve()
+		c.returnPending()
+	}
+	return succeeded
+}
+
+// serve has hosts take the attempts that were sent, and returns how many succeeded.
+func (c *largeCluster) serve() (succeeded int) {
+	for len(c.rec.attempts) > 0 {
+		a, number := c.nextAttempt()
+		if !c.unreachable[a.Host] {
+			succeeded++
 			respond(c.router, c.now, a.RequestID, number, Succeeded, CacheHit)
+			continue
 		}
-		for len(c.pending) > 0 && c.pending[0].at <= c.now {
-			c.router.HandleResult(c.now, c.pending[0].result)
-			c.router.RunRetries(c.now)
-			c.pending = c.pending[1:]
-		}
+		c.failedAttempts++
+		result := AttemptResult{RequestID: a.RequestID, Attempt: number, Outcome: Unreachable, Elapsed: 0.1}
+		c.pending = append(c.pending, scheduledResult{c.now + 0.1, result})
 	}
-	return returned
+	return succeeded
 }
 
-// A rack that vanishes is seen as one: its hosts are asked for trials alone, as few as the ration allows, and believed again once some answer.
+// nextAttempt takes the next attempt that was sent, with its number.
+func (c *largeCluster) nextAttempt() (a Attempt, number int) {
+	a, c.rec.attempts = c.rec.attempts[0], c.rec.attempts[1:]
+	number = c.attempts[a.RequestID]
+	c.attempts[a.RequestID]++
+	return a, number
+}
+
+// returnPending returns the results that are due. Results are pending in the order of their times.
+func (c *largeCluster) returnPending() {
+	for len(c.pending) > 0 && c.pending[0].at <= c.now {
+		c.router.HandleResult(c.now, c.pending[0].result)
+		c.router.RunRetries(c.now)
+		c.pending = c.pending[1:]
+	}
+}
+
+// A rack that vanishes is detected as a group: its hosts get only trial requests, as few as the budget allows, and are used again
+// once some respond.
 func TestARackThatVanishes(t *testing.T) {
 	c := newLargeCluster(t, 10, 30)
 	c.run(3000)
@@ -96,26 +114,26 @@
 		c.unreachable[id] = true
 	}
 	c.run(300)
-	first := c.failedAttempts
+	undetected := c.failedAttempts
 	c.failedAttempts = 0
 	c.run(5000)
-	assert.Less(t, first, 100, "until the first losses have come back")
-	assert.Less(t, c.failedAttempts, 5000/20, "trials")
-	assert.Greater(t, c.failedAttempts, 20, "but some")
+	assert.Less(t, undetected, 100, "failed attempts until the first failures are known")
+	assert.Less(t, c.failedAttempts, 5000/20, "trial requests within their budget")
+	assert.Greater(t, c.failedAttempts, 20, "some trial requests")
 	clear(c.unreachable)
 	c.failedAttempts = 0
 	c.run(9000)
 	assert.Zero(t, c.failedAttempts)
-	left := 0
+	unused := 0
 	for _, h := range c.router.endpoints.caches {
 		if h.health.ejected || h.health.group.Suspected() {
-			left++
+			unused++
 		}
 	}
-	assert.Less(t, left, 6, "hosts that are back and still left")
+	assert.Less(t, unused, 6, "hosts that are reachable and still ejected or suspected")
 }
 
-// What forwards to hosts that are gone cost says nothing of fills: their limit stays.
+// The cost of attempts at unreachable hosts says nothing of fills: the fill limit is not cut.
 func TestLostHostsDoNotCutTheFillLimit(t *testing.T) {
 	c := newLargeCluster(t, 10, 30)
 	c.run(1000)
@@ -124,10 +142,10 @@
 		c.unreachable[id] = true
 	}
 	c.run(6000)
-	assert.Equal(t, before, c.router.limits.fills.max)
+	assert.Equal(t, before, c.router.limits.fills.max, "the fill limit")
 }
 
-// A few hosts are judged by themselves alone, as they always were.
+// A few hosts are judged one by one, with no groups.
 func TestFewHostsHaveNoGroup(t *testing.T) {
 	c := newLargeCluster(t, 2, 6)
 	for _, h := range c.router.endpoints.caches {
@@ -135,73 +153,88 @@
 	}
 	c.unreachable[c.rack(0)[0]] = true
 	c.run(500)
-	assert.Greater(t, c.failedAttempts, 1, "one loss is not enough there")
+	assert.Greater(t, c.failedAttempts, 1, "one failure does not eject a host of few")
 }
 
-// Objects that somebody chose because one cache comes first for all of them: others take over what it can't serve in the latency objective.
+// Requests for objects that were chosen because they all prefer one cache: other caches take over what it can't serve within the
+// latency objective.
 func TestAFloodOfObjectsForOneHost(t *testing.T) {
 	c := newLargeCluster(t, 10, 30)
-	var chosen []string
-	for i := 0; len(chosen) < 200; i++ {
-		name := fmt.Sprintf("%016x", i)
-		c.router.endpoints.cacheOrder.Walk(hashName(name+" 0"), nil, 0, func(h *host) bool {
-			if h.ID == 7919 {
-				chosen = append(chosen, name)
-			}
-			return false
-		})
-	}
-	free, to, late := map[uint32]float64{}, map[uint32]int{}, 0
-	const takes, gets = 0.005, 6000 // a host does 200 a second, and is asked for 1,000
-	for range gets {
+	const (
+		target      = 7919
+		serviceTime = 0.005 // s; a host serves 200 requests a second, and is sent 1,000
+		requests    = 6000
+	)
+	objects := c.objectsThatPrefer(target, 200)
+	freeAt, sent, late := map[uint32]float64{}, map[uint32]int{}, 0
+	for range requests {
 		c.now += 0.001
-		c.id++
-		submit(c.router, c.now, c.id, chosen[int(c.id)%len(chosen)])
-		for ; len(c.rec.attempts) > 0; c.rec.attempts = c.rec.attempts[1:] {
-			a := c.rec.attempts[0]
-			number := c.attempts[a.RequestID]
-			c.attempts[a.RequestID]++
-			to[a.Host]++
-			free[a.Host] = max(free[a.Host], c.now) + takes
-			took := free[a.Host] - c.now
-			if took > 0.2 {
+		c.lastID++
+		submit(c.router, c.now, c.lastID, objects[int(c.lastID)%len(objects)])
+		for len(c.rec.attempts) > 0 {
+			a, number := c.nextAttempt()
+			sent[a.Host]++
+			freeAt[a.Host] = max(freeAt[a.Host], c.now) + serviceTime
+			elapsed := freeAt[a.Host] - c.now
+			if elapsed > 0.2 {
 				late++
 			}
-			c.pending = append(c.pending, scheduledResult{free[a.Host], AttemptResult{RequestID: a.RequestID, Attempt: number, Outcome: Succeeded, Note: CacheHit, Elapsed: took, Final: true}})
+			c.pending = append(c.pending, scheduledResult{freeAt[a.Host], AttemptResult{
+				RequestID: a.RequestID, Attempt: number, Outcome: Succeeded, Note: CacheHit, Elapsed: elapsed, Final: true,
+			}})
 		}
-		if c.id%10 == 0 {
+		if c.lastID%10 == 0 {
 			runTimer(c.router, c.now)
 		}
-		c.pending = slices.DeleteFunc(c.pending, func(e scheduledResult) bool {
-			if e.at > c.now {
-				return false
+		c.returnPendingInAnyOrder()
+	}
+	assert.Less(t, sent[target], requests/2, "others take over")
+	assert.Less(t, late, requests/8, "late responses")
+	assert.Less(t, len(c.rec.shed)+len(c.rec.failed), requests/20, "requests that are not served")
+}
+
+// objectsThatPrefer finds objects whose first cache is the given one.
+func (c *largeCluster) objectsThatPrefer(cache uint32, count int) (objects []string) {
+	for i := 0; len(objects) < count; i++ {
+		name := fmt.Sprintf("%016x", i)
+		c.router.endpoints.cacheOrder.Walk(hashName(name+" 0"), nil, 0, func(h *host) bool {
+			if h.ID == cache {
+				objects = append(objects, name)
 			}
-			c.router.HandleResult(c.now, e.result)
-			c.router.RunRetries(c.now)
-			return true
+			return false
 		})
 	}
-	assert.Less(t, to[7919], gets/2, "others take over")
-	assert.Less(t, late, gets/8)
-	assert.Less(t, len(c.rec.shed)+len(c.rec.failed), gets/20)
+	return objects
+}
+
+// returnPendingInAnyOrder returns the results that are due, where they are not pending in the order of their times.
+func (c *largeCluster) returnPendingInAnyOrder() {
+	c.pending = slices.DeleteFunc(c.pending, func(p scheduledResult) bool {
+		if p.at > c.now {
+			return false
+		}
+		c.router.HandleResult(c.now, p.result)
+		c.router.RunRetries(c.now)
+		return true
+	})
 }
 
-// Time that stands still, goes back, or jumps by an hour: every GET has one answer, and the next ones go on.
+// Time that stands still, goes back, or jumps by an hour: every request has one answer, and later ones are served.
 func TestTimeThatStandsStillOrJumps(t *testing.T) {
 	c := newLargeCluster(t, 10, 30)
 	c.run(200)
 	for range 50 {
-		c.id++
-		submit(c.router, c.now, c.id, fmt.Sprint("p", c.id))
+		c.lastID++
+		submit(c.router, c.now, c.lastID, fmt.Sprint("p", c.lastID))
 		c.router.HandleTimer(c.now)
 	}
 	open := len(c.router.requests.byID)
 	runTimer(c.router, c.now-5)
-	assert.Len(t, c.router.requests.byID, open)
+	assert.Len(t, c.router.requests.byID, open, "time that goes back ends no request")
 	c.now += 3600
 	runTimer(c.router, c.now)
-	assert.Equal(t, 50, len(c.rec.shed)+len(c.rec.failed), "those under way are over at once")
-	for id := c.id - 49; id <= c.id; id++ {
+	assert.Equal(t, 50, len(c.rec.shed)+len(c.rec.failed), "requests in flight are shed or failed at once")
+	for id := c.lastID - 49; id <= c.lastID; id++ {
 		for number := range c.attempts[id] + 1 {
 			c.router.HandleResult(c.now, AttemptResult{RequestID: id, Attempt: number, Outcome: Canceled})
 		}
@@ -211,7 +244,7 @@
 	assert.Equal(t, 200, c.run(200))
 }
 
-// A host of many that comes, goes, moves to another rack or comes back is in its group and in the order, or in none.
+// A host of many that is added, removed, moved to another rack or added again is in its group and in the order, or in neither.
 func TestCachesThatAreAddedAndRemoved(t *testing.T) {
 	c := newLargeCluster(t, 10, 30)
 	first := func() (id uint32) {
@@ -219,22 +252,23 @@
 		return id
 	}
 	id := first()
-	e, other := c.router.endpoints.byID[id].Endpoint, c.router.endpoints.byID[id]
+	removed := c.router.endpoints.byID[id]
+	e := removed.Endpoint
 	e.Phase = Removed
 	c.router.UpdateEndpoints(1, ListChanges, []Endpoint{e})
 	assert.NotEqual(t, id, first())
-	assert.Nil(t, other.health.group)
+	assert.Nil(t, removed.health.group)
 	assert.Len(t, c.router.endpoints.caches, 299)
 	e.Phase, e.Cell = Ready, 77
 	c.router.UpdateEndpoints(2, ListChanges, []Endpoint{e, e})
 	assert.Equal(t, id, first())
-	assert.Len(t, c.router.endpoints.caches, 300, "named twice, it is there once")
+	assert.Len(t, c.router.endpoints.caches, 300, "listed twice, it is known once")
 	assert.True(t, c.router.endpoints.byID[id].health.group.In(grouphealth.Group{Cell: 77}))
 	e.Cell = 78
 	c.router.UpdateEndpoints(3, ListChanges, []Endpoint{e})
 	assert.True(t, c.router.endpoints.byID[id].health.group.In(grouphealth.Group{Cell: 78}))
 	c.router.UpdateEndpoints(4, ListComplete, c.hosts[:3+grouphealth.MinHosts-1])
 	for _, h := range c.router.endpoints.caches {
-		assert.Nil(t, h.health.group, "they are few now")
+		assert.Nil(t, h.health.group, "few hosts have no groups")
 	}
 }
--- a/core/routing/outlier_detection_test.go
+++ b/core/routing/outlier_detection_test.go
@@ -25,9 +25,9 @@
 	assert.True(t, rec.last().CachedOnly, "parents serve only cached copies while the origin is ejected")
 	for i := range uint32(3) {
 		submit(r, 10+float64(i), 20+i, fmt.Sprint("q", i))
-		assert.False(t, rec.last().CachedOnly, "one request is a health check")
+		assert.False(t, rec.last().CachedOnly, "one request is a trial")
 		submit(r, 10+float64(i), 30+i, fmt.Sprint("r", i))
-		assert.True(t, rec.last().CachedOnly, "one health check at a time")
+		assert.True(t, rec.last().CachedOnly, "one trial at a time")
 		respond(r, 10.1+float64(i), 20+i, 0, Succeeded, FilledByOrigin)
 	}
 	assert.False(t, r.endpoints.origin.health.ejected)
