--- a/core/routing/congestion_test.go
+++ b/core/routing/congestion_test.go
@@ -85,7 +85,12 @@
 // smallest limit.
 func TestFewMissesFillWhileTheIngressIsCongested(t *testing.T) {
 	sparse := newSparseRouter()
-	sparse.slowdown = func(a Attempt) float64 { return map[bool]float64{true: 8, false: 1}[a.Source != a.Host] }
+	sparse.slowdown = func(a Attempt) float64 {
+		if a.Source != a.Host {
+			return 8
+		}
+		return 1
+	}
 	sparse.run("late", 12, false)
 	fillLimit := sparse.limits.fills.max
 	assert.Greater(t, sparse.run("new", 20, false), 8, "most misses are shed at once")
@@ -111,7 +116,10 @@
 			sparse := newSparseRouter()
 			congested := tt.of(sparse.request("object", tt.hits))
 			sparse.slowdown = func(a Attempt) float64 {
-				return map[bool]float64{true: 9, false: 1}[tt.of(a) == congested]
+				if tt.of(a) == congested {
+					return 9
+				}
+				return 1
 			}
 			sparse.request("object", tt.hits)
 			sparse.request("object", tt.hits)
@@ -197,7 +205,8 @@
 		}
 		traffic{from: 1, to: 5, interval: 0.02, firstID: 1, respond: reject}.run(r, rec)
 		assert.LessOrEqual(t, rejections, tt.maxRejections, name)
-		ejected := slices.ContainsFunc(rec.events, func(event string) bool { return strings.HasSuffix(event, "ejected") })
+		isEjection := func(event string) bool { return strings.HasSuffix(event, "ejected") }
+		ejected := slices.ContainsFunc(rec.events, isEjection)
 		assert.Equal(t, tt.ejected, ejected, "%s: a host is ejected", name)
 	}
 }
@@ -253,8 +262,10 @@
 // enlargeLastObject makes the last of the four objects of runRepeated a large one, fast at first, while no size is known.
 func enlargeLastObject(a Attempt, result *AttemptResult) {
 	if (a.RequestID-1)%12 > 8 {
-		result.SizeKB = 8 * objectKB
-		result.Elapsed = 8 * objectKB * secondsPerKB * map[bool]float64{true: 0.3, false: 1}[a.RequestID <= 24]
+		result.SizeKB, result.Elapsed = 8*objectKB, 8*usualTime
+		if a.RequestID <= 24 {
+			result.Elapsed *= 0.3
+		}
 	}
 }
 
--- a/core/routing/grouphealth/grouphealth_test.go
+++ b/core/routing/grouphealth/grouphealth_test.go
@@ -180,7 +180,7 @@
 
 // step lets time pass and does one thing.
 func (v *invariants) step() {
-	v.now += rapid.SampledFrom([]float64{0, 0, 0.001, 0.1, 1, 5, 3600, -1}).Draw(v.T, "passes")
+	v.now += rapid.SampledFrom([]float64{0, 0, 0.001, 0.1, 1, 5, 3600, -1}).Draw(v.T, "elapsed")
 	i := rapid.IntRange(0, len(v.members)-1).Draw(v.T, "host")
 	switch rapid.IntRange(0, 5).Draw(v.T, "what") {
 	case 0:
@@ -253,13 +253,15 @@
 			}
 		}
 	}
-	require.Equal(v.T, v.tracker.suspected, suspected, "%d are suspected for their groups, counted as %d", suspected, v.tracker.suspected)
+	require.Equal(v.T, v.tracker.suspected, suspected,
+		"%d are suspected for their groups, counted as %d", suspected, v.tracker.suspected)
 }
 
 // checkTrials checks that trials stay within their share.
 func (v *invariants) checkTrials() {
 	passedTwice := 200.0 * trialsPerSecond // by time that went back
-	most := maxSavedTrials + trialsPerRequest*v.requests + trialsPerSecond*math.Max(0, v.now-invariantsStart) + v.earned + passedTwice
+	elapsed := math.Max(0, v.now-invariantsStart)
+	most := maxSavedTrials + trialsPerRequest*v.requests + trialsPerSecond*elapsed + v.earned + passedTwice
 	require.False(v.T, v.trials > most, "%g trials, at most %g", v.trials, most)
 }
 
--- a/core/routing/object_size_test.go
+++ b/core/routing/object_size_test.go
@@ -39,7 +39,8 @@
 	seed       uint64
 }
 
-// sizeRun has processes send to hosts of a few slots each, which serve requests in order; a request occupies its slot to the end.
+// sizeRun has processes send to hosts of a few slots each, which serve requests in order; a request
+// occupies its slot to the end.
 type sizeRun struct {
 	sizeScenario
 	random       *rand.Rand
--- a/core/routing/object_table_test.go
+++ b/core/routing/object_table_test.go
@@ -68,7 +68,9 @@
 func TestAnIdleObjectIsKnownAgain(t *testing.T) {
 	r, rec := newCluster(nil)
 	submit(r, 0, 1, "a")
-	r.HandleResult(0.1, AttemptResult{RequestID: 1, Outcome: Succeeded, Note: CacheHit, Elapsed: 0.1, SizeKB: 12, Final: true})
+	r.HandleResult(0.1, AttemptResult{
+		RequestID: 1, Outcome: Succeeded, Note: CacheHit, Elapsed: 0.1, SizeKB: 12, Final: true,
+	})
 	submit(r, 40, 2, "b")
 	require.Equal(t, 1, r.demand.objects.byRecency.Len(), "a is idle")
 	require.Equal(t, 1, r.demand.objects.idle.Len())
--- a/core/routing/outlier_detection_test.go
+++ b/core/routing/outlier_detection_test.go
@@ -33,25 +33,48 @@
 	assert.False(t, r.endpoints.origin.health.ejected)
 }
 
+func cacheReturnsErrors(_ uint32, a Attempt) (Outcome, Note) {
+	if a.Host == cacheA {
+		return HostFailed, NoNote
+	}
+	return Succeeded, CacheHit
+}
+
+func cacheNeverResponds(_ uint32, a Attempt) (Outcome, Note) {
+	if a.Host == cacheA {
+		return noResponse, CacheHit
+	}
+	return Succeeded, CacheHit
+}
+
+func parentFails(_ uint32, a Attempt) (Outcome, Note) {
+	if a.Source == parentA {
+		return HostFailed, SourceFailed
+	}
+	return Succeeded, Filled
+}
+
+// parentNeverResponds has every fourth request be a hit.
+func parentNeverResponds(position uint32, a Attempt) (Outcome, Note) {
+	switch {
+	case position%4 == 0:
+		return Succeeded, CacheHit
+	case a.Source == parentA:
+		return noResponse, Filled
+	}
+	return Succeeded, Filled
+}
+
 func TestHostsAreEjectedAndRecover(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		fail hostBehavior
 		host uint32
 	}{
-		{"a cache that returns errors", func(_ uint32, a Attempt) (Outcome, Note) {
-			return map[bool]Outcome{true: HostFailed}[a.Host == cacheA], map[bool]Note{false: CacheHit}[a.Host == cacheA]
-		}, cacheA},
-		{"a cache that never responds", func(_ uint32, a Attempt) (Outcome, Note) {
-			return map[bool]Outcome{true: noResponse}[a.Host == cacheA], CacheHit
-		}, cacheA},
-		{"a parent that fails", func(_ uint32, a Attempt) (Outcome, Note) {
-			faulty := a.Source == parentA
-			return map[bool]Outcome{true: HostFailed}[faulty], map[bool]Note{true: SourceFailed, false: Filled}[faulty]
-		}, parentA},
-		{"a parent that never responds, while hits and fills from the other succeed", func(i uint32, a Attempt) (Outcome, Note) {
-			return map[bool]Outcome{true: noResponse}[i%4 > 0 && a.Source == parentA], map[bool]Note{true: CacheHit, false: Filled}[i%4 == 0]
-		}, parentA},
+		{"a cache that returns errors", cacheReturnsErrors, cacheA},
+		{"a cache that never responds", cacheNeverResponds, cacheA},
+		{"a parent that fails", parentFails, parentA},
+		{"a parent that never responds, while hits and fills from the other succeed", parentNeverResponds, parentA},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			r, rec := newCluster(nil)
@@ -115,7 +138,8 @@
 				submit(r, 1+float64(i)/10, uint32(i), "a")
 			}
 			runTimers(r, 1, 5.9)
-			assert.Equal(t, ejected, len(rec.events) > 0, "ejected after %d overdue attempts, note detail %d", attempts, detail)
+			assert.Equal(t, ejected, len(rec.events) > 0,
+				"ejected after %d overdue attempts, note detail %d", attempts, detail)
 		}
 	}
 }
--- a/core/routing/rendezvous/rendezvous_test.go
+++ b/core/routing/rendezvous/rendezvous_test.go
@@ -14,7 +14,7 @@
 	"elderwall/internal/standin/need"
 )
 
-// positions is 0 to n-1.
+// positions returns 0 to n-1.
 func positions(n int) []int {
 	places := make([]int, n)
 	for i := range places {
@@ -23,7 +23,7 @@
 	return places
 }
 
-// sortedOrder is the order as it is written: all hosts hashed and sorted.
+// sortedOrder returns the order by its definition: all hosts hashed and sorted.
 func sortedOrder(ids []uint32, hash uint64) []int {
 	places := positions(len(ids))
 	sort.Slice(places, func(i, j int) bool {
@@ -32,7 +32,7 @@
 	return places
 }
 
-// manyHosts is so many hosts.
+// manyHosts returns the identifiers of n hosts.
 func manyHosts(n int) []uint32 {
 	ids := make([]uint32, n)
 	for i := range ids {
@@ -41,108 +41,144 @@
 	return ids
 }
 
-// hashOf is that of an object.
+// hashOf is the hash of an object by its number.
 func hashOf(i int) uint64 { return uint64(i) * 0x9e3779b97f4a7c15 }
 
-// setHosts gives each host its place as a value.
-func setHosts(x *Index[int], ids []uint32) {
-	x.Set(ids, positions(len(ids)))
-}
+// setHosts sets the hosts of an index, each with its position as the value.
+func setHosts(x *Index[int], ids []uint32) { x.Set(ids, positions(len(ids))) }
 
-func walk(x *Index[int], hash uint64, first **Prefix, most int) []int {
-	return walkFrom(x, hash, first, 0, most)
+// walk returns the first hosts of the order for an object.
+func walk(x *Index[int], hash uint64, cached **Prefix, most int) []int {
+	return walkFrom(x, hash, cached, 0, most)
 }
 
-func walkFrom(x *Index[int], hash uint64, first **Prefix, from, most int) (places []int) {
-	x.Walk(hash, first, from, func(place int) bool { places = append(places, place); return len(places) < most })
+// walkFrom returns hosts of the order for an object from a position on.
+func walkFrom(x *Index[int], hash uint64, cached **Prefix, from, most int) (places []int) {
+	x.Walk(hash, cached, from, func(place int) bool {
+		places = append(places, place)
+		return len(places) < most
+	})
 	return places
 }
 
-// TestTheIndexGivesWhatAPlainSortGives after any changes of the hosts, with what is kept and without, and however far it is walked.
+// The index gives what a plain sort gives after any changes of the hosts, with a cached prefix and without, and however far it is
+// walked.
 func TestTheIndexGivesWhatAPlainSortGives(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var x Index[int]
-		first, hashes := map[uint64]**Prefix{}, rapid.SliceOfN(rapid.Uint64(), 1, 5).Draw(t, "hashes")
+		prefixes, hashes := map[uint64]**Prefix{}, rapid.SliceOfN(rapid.Uint64(), 1, 5).Draw(t, "hashes")
 		for range 5 {
 			ids := rapid.SliceOfNDistinct(rapid.Uint32Range(0, 200), 0, 60, rapid.ID[uint32]).Draw(t, "ids")
 			setHosts(&x, ids)
 			for _, hash := range hashes {
-				if first[hash] == nil {
-					first[hash] = new(*Prefix)
+				if prefixes[hash] == nil {
+					prefixes[hash] = new(*Prefix)
 				}
 				most, want := rapid.IntRange(1, 70).Draw(t, "most"), sortedOrder(ids, hash)
 				want = want[:min(len(want), most)]
-				for _, keep := range []**Prefix{first[hash], first[hash], nil} {
-					got := walk(&x, hash, keep, most)
-					require.True(t, slices.Equal(got, want), "%d hosts, %d asked for: %v, a sort gives %v", len(ids), most, got, want)
+				for _, cached := range []**Prefix{prefixes[hash], prefixes[hash], nil} {
+					got := walk(&x, hash, cached, most)
+					require.True(t, slices.Equal(got, want), "%d hosts, %d walked: %v, a sort gives %v", len(ids), most, got, want)
 				}
 			}
 		}
 	})
 }
 
-// TestPrefixesCatchUp with hosts that come and go a few at a time, as it does with many.
+// changingHosts is an index of hosts that are added and removed a few at a time.
+type changingHosts struct {
+	*rapid.T
+	index  Index[int]
+	ids    []uint32
+	lastID uint32
+}
+
+func newChangingHosts(t *rapid.T) *changingHosts {
+	c := &changingHosts{T: t}
+	for range rapid.IntRange(20, 900).Draw(t, "hosts") {
+		c.ids = append(c.ids, c.newID())
+	}
+	setHosts(&c.index, c.ids)
+	return c
+}
+
+func (c *changingHosts) newID() uint32 {
+	c.lastID++
+	return c.lastID * 7919
+}
+
+// change removes hosts and adds others.
+func (c *changingHosts) change() {
+	for range rapid.IntRange(0, 6).Draw(c.T, "removed") {
+		if len(c.ids) > 1 {
+			i := c.drawHost()
+			c.ids = slices.Delete(c.ids, i, i+1)
+		}
+	}
+	for range rapid.IntRange(0, 6).Draw(c.T, "added") {
+		id := c.newID()
+		c.ids = slices.Insert(c.ids, rapid.IntRange(0, len(c.ids)).Draw(c.T, "where"), id)
+	}
+	setHosts(&c.index, c.ids)
+}
+
+// drawHost draws the position of any host, or of one that was the first of an order.
+func (c *changingHosts) drawHost() int {
+	i := rapid.IntRange(0, len(c.ids)-1).Draw(c.T, "which")
+	if rapid.Bool().Draw(c.T, "first of an order") {
+		i = walk(&c.index, hashOf(1), nil, 1)[0] % len(c.ids)
+	}
+	return i
+}
+
+// checkWalks compares walks with a cached prefix with a plain sort.
+func (c *changingHosts) checkWalks(hash uint64, cached **Prefix) {
+	most := rapid.SampledFrom([]int{1, 2, 5, 6, 7, 9, 40, 130, 900}).Draw(c.T, "most")
+	order := sortedOrder(c.ids, hash)
+	start := rapid.SampledFrom([]int{0, 0, 3, 6, 200}).Draw(c.T, "from")
+	for _, from := range []int{start, 0} {
+		want := order[min(len(order), from):]
+		want = want[:min(len(want), most)]
+		got := walkFrom(&c.index, hash, cached, from, most)
+		require.True(c.T, slices.Equal(got, want), "%d hosts, from %d: %v, a sort gives %v", len(c.ids), from, got, want)
+	}
+}
+
+// Cached prefixes catch up with lists of hosts that change a little at a time.
 func TestPrefixesCatchUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var x Index[int]
-		var ids []uint32
-		next := uint32(0)
-		for range rapid.IntRange(20, 900).Draw(t, "hosts") {
-			next++
-			ids = append(ids, next*7919)
-		}
-		setHosts(&x, ids)
-		first := make([]*Prefix, 3)
+		hosts := newChangingHosts(t)
+		cached := make([]*Prefix, 3)
 		for range 12 {
-			for range rapid.IntRange(0, 6).Draw(t, "go") {
-				if len(ids) > 1 {
-					i := rapid.IntRange(0, len(ids)-1).Draw(t, "which")
-					if rapid.Bool().Draw(t, "first of an order") {
-						i = walk(&x, 0x9e3779b97f4a7c15, nil, 1)[0] % len(ids)
-					}
-					ids = slices.Delete(ids, i, i+1)
-				}
-			}
-			for range rapid.IntRange(0, 6).Draw(t, "come") {
-				next++
-				ids = slices.Insert(ids, rapid.IntRange(0, len(ids)).Draw(t, "where"), next*7919)
-			}
-			setHosts(&x, ids)
-			for k := range first {
-				if rapid.IntRange(0, 2).Draw(t, "asked for") == 0 {
-					continue // it lags by several lists
-				}
-				hash, most := uint64(k+1)*0x9e3779b97f4a7c15, rapid.SampledFrom([]int{1, 2, 5, 6, 7, 9, 40, 130, 900}).Draw(t, "most")
-				want, from := sortedOrder(ids, hash), rapid.SampledFrom([]int{0, 0, 3, 6, 200}).Draw(t, "from")
-				for _, from := range []int{from, 0} {
-					want := want[min(len(want), from):]
-					want = want[:min(len(want), most)]
-					got := walkFrom(&x, hash, &first[k], from, most)
-					require.True(t, slices.Equal(got, want), "%d hosts, from %d: %v, a sort gives %v", len(ids), from, got, want)
+			hosts.change()
+			for i := range cached {
+				if rapid.IntRange(0, 2).Draw(t, "walked") == 0 {
+					continue // the prefix lags by several lists
 				}
+				hosts.checkWalks(hashOf(i+1), &cached[i])
 			}
 		}
 	})
 }
 
-// BenchmarkAfterAChange is a walk for an object that is known, after 1% of hosts have been replaced, and the taking in of such a list.
+// BenchmarkAfterAChange measures a walk for a known object after 1% of the hosts were replaced, and the update by such a list.
 func BenchmarkAfterAChange(b *testing.B) {
 	for _, n := range []int{1000, 10000} {
 		var x Index[int]
 		ids := manyHosts(n)
 		setHosts(&x, ids)
-		changed, firsts, places := slices.Clone(ids), make([]*Prefix, 4096), make([]int, n)
+		changed, prefixes, places := slices.Clone(ids), make([]*Prefix, 4096), make([]int, n)
 		for i := range n / 100 {
 			changed[i*100] = uint32(n+i) * 7919
 		}
-		for i := range firsts {
-			walk(&x, hashOf(i), &firsts[i], 1)
+		for i := range prefixes {
+			walk(&x, hashOf(i), &prefixes[i], 1)
 		}
 		x.Set(changed, places)
 		need.Bench(b, fmt.Sprint(n, "/caught up"), func(i int) {
-			f := *firsts[i&4095]
-			f.slots = slices.Clone(f.slots)
-			x.catchUp(hashOf(i&4095), &f.prefix, PrefixLength)
+			stale := *prefixes[i&4095]
+			stale.slots = slices.Clone(stale.slots)
+			x.catchUp(hashOf(i&4095), &stale.prefix, PrefixLength)
 		})
 		need.Bench(b, fmt.Sprint(n, "/list"), func(i int) { x.Set([][]uint32{ids, changed}[i%2], places) })
 	}
@@ -153,32 +189,34 @@
 	var all, less Index[int]
 	setHosts(&all, ids)
 	setHosts(&less, slices.Delete(slices.Clone(ids), 990, 1000)) // two lists that differ by 1%
-	chance, moved, owned, count := rand.New(rand.NewPCG(1, 2)), 0, 0, make([]int, len(ids))
+	random, moved, owned := rand.New(rand.NewPCG(1, 2)), 0, 0
+	objectsAt := make([]int, len(ids))
 	const objects = 50000
 	for range objects {
-		hash := chance.Uint64()
-		a, b := walk(&all, hash, nil, 1)[0], walk(&less, hash, nil, 1)[0]
-		count[a]++
-		if a >= 990 {
+		hash := random.Uint64()
+		before, after := walk(&all, hash, nil, 1)[0], walk(&less, hash, nil, 1)[0]
+		objectsAt[before]++
+		if before >= 990 {
 			owned++
-		} else if a != b {
+		} else if before != after {
 			moved++
 		}
 	}
-	assert.Zero(t, moved, "the least possible: only what the missing ones had")
+	assert.Zero(t, moved, "only objects of removed hosts may move")
 	assert.InDelta(t, 0.01, float64(owned)/objects, 0.003)
-	assert.Less(t, slices.Max(count), 100, "of 50 that are even")
+	assert.Less(t, slices.Max(objectsAt), 100, "objects of one host, 50 if all were equal")
 }
 
+// BenchmarkOrder measures walks for known and new objects, and a plain sort.
 func BenchmarkOrder(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		var x Index[int]
-		ids, firsts := manyHosts(n), make([]*Prefix, 4096)
+		ids, prefixes := manyHosts(n), make([]*Prefix, 4096)
 		setHosts(&x, ids)
 		for name, do := range map[string]func(i int){
-			"known":       func(i int) { walk(&x, hashOf(i&4095), &firsts[i&4095], 1) },
+			"known":       func(i int) { walk(&x, hashOf(i&4095), &prefixes[i&4095], 1) },
 			"new":         func(i int) { var f *Prefix; walk(&x, hashOf(i), &f, 1) },
-			"100 of them": func(i int) { walk(&x, hashOf(i&31), &firsts[i&4095], 100) },
+			"100 of them": func(i int) { walk(&x, hashOf(i&31), &prefixes[i&4095], 100) },
 			"sort":        func(i int) { sortedOrder(ids, hashOf(i)) },
 		} {
 			need.Bench(b, fmt.Sprintf("%d/%s", n, name), do)
--- a/core/routing/retry_test.go
+++ b/core/routing/retry_test.go
@@ -54,7 +54,9 @@
 		{"keyed, not executed: retried in any cell", IdempotencyKeyed, SameCell, Unreachable, 0.1, "retried"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			r, rec := newCluster(func(s *Settings) { s.Services[0].Idempotency, s.Services[0].DedupScope = tt.idempotency, tt.scope })
+			r, rec := newCluster(func(s *Settings) {
+				s.Services[0].Idempotency, s.Services[0].DedupScope = tt.idempotency, tt.scope
+			})
 			submit(r, 1, 7, "a")
 			require.Len(t, rec.attempts, 1)
 			respond(r, 1+tt.after, 7, 0, tt.outcome, NoNote)
--- a/core/routing/retrybudget/retrybudget_test.go
+++ b/core/routing/retrybudget/retrybudget_test.go
@@ -16,7 +16,7 @@
 		}
 		return n
 	}
-	assert.Equal(t, 9, spend(0), "two seconds of the floor and a tenth of fifty answers")
+	assert.Equal(t, 9, spend(0), "two seconds of the floor and a tenth of fifty successes")
 	assert.Equal(t, 1, spend(0.5))
 	for range 30 {
 		budget.Earn()
@@ -24,19 +24,22 @@
 	assert.Equal(t, 3, spend(0.5))
 	assert.Equal(t, 9, spend(3600), "an hour saves up no more")
 	assert.Equal(t, 0, spend(5))
-	none := Budget{}
-	assert.True(t, none.Spend(1))
+	unlimited := Budget{}
+	assert.True(t, unlimited.Spend(1), "the zero value has no limit")
 }
 
-// Never more than what was full at first, the share of what succeeded and the floor.
+// No more is spent than the capacity, the share of successes and the floor over time.
 func TestNeverMore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := Settings{Share: rapid.Float64Range(0.01, 1).Draw(t, "share"), Floor: rapid.Float64Range(0, 10).Draw(t, "floor")}
+		s := Settings{
+			Share: rapid.Float64Range(0.01, 1).Draw(t, "share"),
+			Floor: rapid.Float64Range(0, 10).Draw(t, "floor"),
+		}
 		budget, now, earned := New(s, 0), 0.0, 0.0
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
-				now += rapid.SampledFrom([]float64{0, 0.01, 1}).Draw(t, "passes")
+				now += rapid.SampledFrom([]float64{0, 0.01, 1}).Draw(t, "elapsed")
 			case 1:
 				budget.Earn()
 				earned += s.Share
@@ -49,20 +52,29 @@
 	})
 }
 
-// What the fleet shares out comes on top: a further forward goes where both have one, and is asked of the fleet only where the own budget has.
+// The cluster's quota applies besides the own budget: a retry needs both, and the quota is checked only where the own budget
+// allows the retry.
 func TestTheClustersQuota(t *testing.T) {
 	for _, tt := range []struct {
-		own               Settings
-		left, went, asked int
-	}{{Settings{}, 2, 2, 5}, {Settings{Floor: 1}, 9, 2, 2}, {Settings{Floor: 1}, 1, 1, 5}} {
-		went, asked, left := 0, 0, tt.left
-		tt.own.Fleet = func() bool { asked++; left--; return left >= 0 }
-		budget := New(tt.own, 0)
+		settings              Settings
+		quota, retries, calls int // calls of the cluster's quota
+	}{
+		{Settings{}, 2, 2, 5},
+		{Settings{Floor: 1}, 9, 2, 2},
+		{Settings{Floor: 1}, 1, 1, 5},
+	} {
+		retries, calls, quota := 0, 0, tt.quota
+		tt.settings.Fleet = func() bool {
+			calls++
+			quota--
+			return quota >= 0
+		}
+		budget := New(tt.settings, 0)
 		for range 5 {
 			if budget.Spend(0) {
-				went++
+				retries++
 			}
 		}
-		assert.Equal(t, []int{tt.went, tt.asked}, []int{went, asked}, "%+v", tt)
+		assert.Equal(t, []int{tt.retries, tt.calls}, []int{retries, calls}, "%+v", tt)
 	}
 }
--- a/core/routing/sketch/sketch_test.go
+++ b/core/routing/sketch/sketch_test.go
@@ -17,30 +17,31 @@
 
 const windowBuckets, span = 5, 2.0
 
-// A sketch never counts too little, and windowBuckets that have passed count no more.
+// A sketch never underestimates, and buckets that are out of the window count no more.
 func TestNeverTooLittle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New(windowBuckets, span, rapid.SampledFrom([]int{0, 1 << 16}).Draw(t, "bytes"))
-		type asked struct {
+		type bucket struct {
 			object uint64
 			epoch  int
 		}
-		exact, now := map[asked]float64{}, 0.0
-		for range rapid.IntRange(1, 300).Draw(t, "GETs") {
-			now += rapid.SampledFrom([]float64{0, 0, 0.01, 0.5, 3, 3600}).Draw(t, "passes")
-			o := rapid.Uint64Range(0, 40).Draw(t, "object")
-			s.Add(now, rendezvous.Mix(o))
-			exact[asked{o, int(now / span)}]++
+		exact, now := map[bucket]float64{}, 0.0
+		for range rapid.IntRange(1, 300).Draw(t, "requests") {
+			now += rapid.SampledFrom([]float64{0, 0, 0.01, 0.5, 3, 3600}).Draw(t, "elapsed")
+			object := rapid.Uint64Range(0, 40).Draw(t, "object")
+			s.Add(now, rendezvous.Mix(object))
+			exact[bucket{object, int(now / span)}]++
 		}
 		var got [windowBuckets]float64
-		for o := range uint64(41) {
-			sum, want := s.Buckets(now, rendezvous.Mix(o), got[:]), 0.0
-			for e := int(now / span); e > int(now/span)-windowBuckets && e >= 0; e-- {
-				one := min(maxCount, exact[asked{o, e}])
-				want += one
-				require.False(t, got[e%windowBuckets] < one, "object %d, turn %d: %g, asked for %g times", o, e, got[e%windowBuckets], one)
+		for object := range uint64(41) {
+			sum, want := s.Buckets(now, rendezvous.Mix(object), got[:]), 0.0
+			for epoch := int(now / span); epoch > int(now/span)-windowBuckets && epoch >= 0; epoch-- {
+				count := min(maxCount, exact[bucket{object, epoch}])
+				want += count
+				estimate := got[epoch%windowBuckets]
+				require.False(t, estimate < count, "object %d, epoch %d: %g, requested %g times", object, epoch, estimate, count)
 			}
-			require.False(t, sum < want, "object %d: %g, asked for %g times", o, sum, want)
+			require.False(t, sum < want, "object %d: %g, requested %g times", object, sum, want)
 		}
 	})
 }
@@ -51,7 +52,7 @@
 	for range 300 {
 		s.Add(1, 7)
 	}
-	assert.Equal(t, 255.0, s.Buckets(1, 7, got[:]), "the most that a counter holds")
+	assert.Equal(t, 255.0, s.Buckets(1, 7, got[:]), "a counter is saturated")
 	assert.Equal(t, 255.0, s.Buckets(9.9, 7, got[:]))
 	assert.Zero(t, s.Buckets(10, 7, got[:]), "out of the window")
 	s.Add(10, 7)
@@ -61,31 +62,33 @@
 	assert.LessOrEqual(t, New(windowBuckets, span, 1<<20).Bytes(), 1<<20)
 }
 
-// countTable is the plain one: exact, so many objects, the least lately used go.
+// countTable counts exactly, for a bounded number of objects; it evicts the least recently used.
 type countTable struct {
-	capacity   int
-	byRecency  *list.List
-	byName map[uint64]*list.Element
-	sketch *Sketch // that gives back what a table has let go; nil for none
+	capacity  int
+	byRecency *list.List
+	byHash    map[uint64]*list.Element
+	sketch    *Sketch // has the counts of evicted objects; nil for none
 }
 
+// entry is the count of one object by epoch.
 type entry struct {
 	hash  uint64
 	sums  [windowBuckets]float64
 	epoch int
 }
 
+// count counts a request and returns how many the window has.
 func (t *countTable) count(now float64, hash uint64) float64 {
 	epoch := int(now / span)
-	e := t.byName[hash]
+	e := t.byHash[hash]
 	if e == nil {
-		one := &entry{hash: hash, epoch: epoch}
+		added := &entry{hash: hash, epoch: epoch}
 		if t.sketch != nil {
-			t.sketch.Buckets(now, hash, one.sums[:])
+			t.sketch.Buckets(now, hash, added.sums[:])
 		}
-		e = t.byRecency.PushFront(one)
-		if t.byName[hash] = e; t.byRecency.Len() > t.capacity {
-			delete(t.byName, t.byRecency.Remove(t.byRecency.Back()).(*entry).hash)
+		e = t.byRecency.PushFront(added)
+		if t.byHash[hash] = e; t.byRecency.Len() > t.capacity {
+			delete(t.byHash, t.byRecency.Remove(t.byRecency.Back()).(*entry).hash)
 		}
 	}
 	t.byRecency.MoveToFront(e)
@@ -95,7 +98,7 @@
 	return e.Value.(*entry).add(epoch)
 }
 
-// add counts one in a turn, and gives the sum of the window.
+// add counts one in an epoch, and returns the sum of the window.
 func (e *entry) add(epoch int) (sum float64) {
 	e.epoch = max(e.epoch, epoch-windowBuckets)
 	for ; e.epoch < epoch; e.epoch++ {
@@ -108,32 +111,32 @@
 	return sum
 }
 
-// requestStream is GETs for ten million objects by Zipf, half of all of them in a scan: each once.
+// requestStream is requests, half of them for ten million objects by Zipf, and half a scan that requests each object once.
 type requestStream struct {
-	zipf *rand.Zipf
-	r    *rand.Rand
-	next uint64
+	zipf        *rand.Zipf
+	random      *rand.Rand
+	lastScanned uint64
 }
 
 func newStream() *requestStream {
-	r := rand.New(rand.NewPCG(1, 2))
-	return &requestStream{zipf: rand.NewZipf(r, 1.1, 1, 10_000_000-1), r: r, next: 1 << 40}
+	random := rand.New(rand.NewPCG(1, 2))
+	return &requestStream{zipf: rand.NewZipf(random, 1.1, 1, 10_000_000-1), random: random, lastScanned: 1 << 40}
 }
 
 func (s *requestStream) nextRequest() (rank, hash uint64) {
-	if s.r.IntN(2) == 0 {
-		s.next++
-		return s.next, rendezvous.Mix(s.next)
+	if s.random.IntN(2) == 0 {
+		s.lastScanned++
+		return s.lastScanned, rendezvous.Mix(s.lastScanned)
 	}
 	rank = s.zipf.Uint64()
 	return rank, rendezvous.Mix(rank)
 }
 
-// relativeErrors tells by rank how far counts are off, for 20,000 GETs a second over three windows; only objects asked for at
-// least six times in the window count, as no other ever gets a second copy.
-func relativeErrors(count func(now float64, hash uint64) float64) (off [6]float64) {
+// relativeErrors returns the mean relative error of counts by the decade of the rank, for 20,000 requests a second over three
+// windows. Only objects requested at least six times in the window count, as no other is ever stored at a second cache.
+func relativeErrors(count func(now float64, hash uint64) float64) (errors [6]float64) {
 	s, exact := newStream(), map[uint64]*entry{}
-	var n [6]float64
+	var samples [6]float64
 	for i := range 600_000 {
 		now := float64(i) / 20_000
 		rank, hash := s.nextRequest()
@@ -145,28 +148,30 @@
 		if now < 10 || want < 6 {
 			continue
 		}
-		d := min(5, len(fmt.Sprint(rank))-1)
-		n[d]++
-		off[d] += max(got-want, want-got) / want
+		decade := min(5, len(fmt.Sprint(rank))-1)
+		samples[decade]++
+		errors[decade] += max(got-want, want-got) / want
 	}
-	for d := range off {
-		off[d] /= max(1, n[d])
+	for decade := range errors {
+		errors[decade] /= max(1, samples[decade])
 	}
-	return off
+	return errors
 }
 
-func newCountTable(most int, memory *Sketch) *countTable {
-	return &countTable{capacity: most, byRecency: list.New(), byName: map[uint64]*list.Element{}, sketch: memory}
+func newCountTable(capacity int, sketch *Sketch) *countTable {
+	return &countTable{capacity: capacity, byRecency: list.New(), byHash: map[uint64]*list.Element{}, sketch: sketch}
 }
 
-// The table alone forgets objects in a scan; with the sketch behind it they keep their counts.
+// The table alone loses counts in a scan; with the sketch behind it objects keep them.
 func TestAScanLeavesTheCountsOfOthers(t *testing.T) {
-	plain, behind := relativeErrors(newCountTable(1<<15, nil).count), relativeErrors(newCountTable(1<<15, New(windowBuckets, span, 1<<21)).count)
-	t.Logf("off by decade of rank: table %.3f, with sketch %.3f", plain, behind)
-	assert.Less(t, slices.Max(behind[:]), 0.1)
-	assert.Greater(t, slices.Max(plain[:]), 2*slices.Max(behind[:]), "what it is for")
+	alone := relativeErrors(newCountTable(1<<15, nil).count)
+	withSketch := relativeErrors(newCountTable(1<<15, New(windowBuckets, span, 1<<21)).count)
+	t.Logf("error by decade of rank: table %.3f, with sketch %.3f", alone, withSketch)
+	assert.Less(t, slices.Max(withSketch[:]), 0.1, "worst error with the sketch")
+	assert.Greater(t, slices.Max(alone[:]), 2*slices.Max(withSketch[:]), "worst error of the table alone")
 }
 
+// BenchmarkCount measures counting a request, with the sketch and without.
 func BenchmarkCount(b *testing.B) {
 	hashes, s := make([]uint64, 1<<20), newStream()
 	for i := range hashes {
@@ -178,38 +183,38 @@
 	}
 }
 
-// Known beside the plainest list that does the same.
+// A bounded map behaves like a plain list that drops what was put first.
 func TestABoundedMapDropsWhatWasPutFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const most = 8
-		k, names, figures := NewBoundedMap(most), []uint64{}, map[uint64]float64{}
+		const capacity = 8
+		bounded, order, values := NewBoundedMap(capacity), []uint64{}, map[uint64]float64{}
 		forget := func(hash uint64) {
-			names = slices.DeleteFunc(names, func(h uint64) bool { return h == hash })
-			delete(figures, hash)
+			order = slices.DeleteFunc(order, func(h uint64) bool { return h == hash })
+			delete(values, hash)
 		}
 		for i := range rapid.IntRange(0, 400).Draw(t, "steps") {
 			hash := rapid.Uint64Range(0, 15).Draw(t, "hash")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				want, known := figures[hash]
-				got, ok := k.Take(hash)
+				want, known := values[hash]
+				got, ok := bounded.Take(hash)
 				assert.Equal(t, known, ok)
 				assert.Equal(t, want, got)
 				forget(hash)
 			case 1:
-				k.Trim(most - 2)
-				for len(names) > most-2 {
-					forget(names[0])
+				bounded.Trim(capacity - 2)
+				for len(order) > capacity-2 {
+					forget(order[0])
 				}
 			default:
 				forget(hash)
-				names, figures[hash] = append(names, hash), float64(i)
-				if k.Put(hash, float64(i)); len(names) > most {
-					forget(names[0])
+				order, values[hash] = append(order, hash), float64(i)
+				if bounded.Put(hash, float64(i)); len(order) > capacity {
+					forget(order[0])
 				}
 			}
-			assert.Equal(t, len(names), k.Len())
-			assert.LessOrEqual(t, len(k.putOrder), 2*most+queueSlack+1, "what was taken does not pile up")
+			assert.Equal(t, len(order), bounded.Len())
+			assert.LessOrEqual(t, len(bounded.putOrder), 2*capacity+queueSlack+1, "taken entries do not pile up")
 		}
 	})
 }
--- a/core/routing/slow_start_cluster_test.go
+++ b/core/routing/slow_start_cluster_test.go
@@ -20,7 +20,7 @@
 type slowStartScenario struct {
 	name            string
 	processes       int
-	initialRequests float64               // requests of mean work that a host sustains in an overload window right after its start
+	initialRequests float64               // requests of mean work that a host sustains in a window at first
 	weightsKnown    bool                  // the processes know the weights of hosts
 	warmingCaches   int                   // caches in slow start
 	warmingParents  int                   // parents in slow start
--- a/core/routing/slow_start_test.go
+++ b/core/routing/slow_start_test.go
@@ -181,7 +181,9 @@
 
 // Where no overload window is configured, a host in slow start is sent something all the same, however many routers there are.
 func TestAWarmingHostWithNoOverloadWindowIsNotShutOut(t *testing.T) {
-	r, rec := newCluster(func(s *Settings) { s.OverloadWindow, s.DispatchersByZone, s.WeightsKnown = 0, []int{300}, true })
+	r, rec := newCluster(func(s *Settings) {
+		s.OverloadWindow, s.DispatchersByZone, s.WeightsKnown = 0, []int{300}, true
+	})
 	r.now = 1
 	h := r.endpoints.caches[0]
 	h.warmUp.active, h.OnlineSince, h.Weight = true, 1, 3000
@@ -224,7 +226,8 @@
 					s.WeightsKnown, s.Index, s.Dispatchers = tt.weightsKnown, index, tt.routers
 					s.DispatchersByZone = []int{max(1, tt.routers*(1-tt.kind))}
 				})
-				traffic{from: 0, to: 20, interval: 0.1, respond: alwaysHit}.run(r, rec) // the rate of warm hosts is learned
+				// The rate of warm hosts is learned first.
+				traffic{from: 0, to: 20, interval: 0.1, respond: alwaysHit}.run(r, rec)
 				r.UpdateEndpoints(20, ListChanges, []Endpoint{started})
 				sent += sentToStartedHost(r, rec, tt.id)
 			}
