--- a/core/routing/outlier_detection_test.go
+++ b/core/routing/outlier_detection_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"fmt"
+	"math"
 	"slices"
+	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
@@ -143,3 +145,35 @@
 		}
 	}
 }
+
+// Where no note tells who rejected a fill, a source is ejected if several caches report rejections from it while another source
+// serves. Caches without capacity reject whatever the source; no source is ejected for that.
+func TestASourceThatAloneIsRejectedIsEjected(t *testing.T) {
+	for name, tt := range map[string]struct {
+		rejected      func(a Attempt) bool
+		maxRejections int // fills from parent A in 4 s that are rejected
+		ejected       bool
+	}{
+		"one source":        {func(a Attempt) bool { return a.Source == parentA }, 10, true},
+		"every source":      {func(a Attempt) bool { return a.Source != a.Host }, math.MaxInt, false},
+		"one cache":         {func(a Attempt) bool { return a.Host == cacheA }, math.MaxInt, false},
+		"now and then only": {func(a Attempt) bool { return a.Source == parentA && a.RequestID%8 == 0 }, math.MaxInt, false},
+	} {
+		r, rec := newCluster(func(s *Settings) { s.NoteDetail = NoNotes })
+		rejections := 0
+		reject := func(_ uint32, a Attempt) (Outcome, Note) {
+			if !tt.rejected(a) {
+				return Succeeded, NoNote
+			}
+			if a.Source == parentA {
+				rejections++
+			}
+			return Rejected, NoNote
+		}
+		traffic{from: 1, to: 5, interval: 0.02, firstID: 1, respond: reject}.run(r, rec)
+		assert.LessOrEqual(t, rejections, tt.maxRejections, name)
+		isEjection := func(event string) bool { return strings.HasSuffix(event, "ejected") }
+		ejected := slices.ContainsFunc(rec.events, isEjection)
+		assert.Equal(t, tt.ejected, ejected, "%s: a host is ejected", name)
+	}
+}
