--- a/core/routing/large_cluster_test.go
+++ b/core/routing/large_cluster_test.go
@@ -10,45 +10,44 @@
 	"elderwall/core/routing/grouphealth"
 )
 
-// end is how a forward ends at a moment.
-type end struct {
-	at float64
-	a  AttemptResult
+// scheduledResult is the result of an attempt at a time.
+type scheduledResult struct {
+	at     float64 // s
+	result AttemptResult
 }
 
-// largeCluster is a dispatcher with racks of caches, and what they do.
+// largeCluster is a router with racks of simulated caches.
 type largeCluster struct {
 	*testing.T
-	d     *Router
-	r     *recorder
-	now   float64
-	id    uint32
-	gone  map[uint32]bool
-	hosts []Endpoint
-	lost  int
-
-	number map[uint32]int // forwards of each GET
-	open   []end
-}
-
-func newLargeCluster(t *testing.T, racks, each int) *largeCluster {
-	l := &largeCluster{T: t, r: &recorder{}, gone: map[uint32]bool{}, number: map[uint32]int{}}
-	s := settings()
-	s.Services[0].Objective = 0.2
-	l.d = New(s, 0, l.r)
-	l.hosts = []Endpoint{entry(1<<30, 1, Ready), entry(1<<30+1, 1, Ready), entry(1<<30+2, 2, Ready)}
-	for i := range racks * each {
-		e := entry(uint32(i+1)*7919, 0, Ready)
-		e.Cell = i / each
-		l.hosts = append(l.hosts, e)
+	router         *Router
+	rec            *recorder
+	now            float64
+	lastID         uint32
+	hosts          []Endpoint
+	unreachable    map[uint32]bool // hosts
+	failedAttempts int             // at unreachable hosts
+	attempts       map[uint32]int  // sent so far, by request
+	pending        []scheduledResult
+}
+
+func newLargeCluster(t *testing.T, racks, cachesPerRack int) *largeCluster {
+	c := &largeCluster{T: t, rec: &recorder{}, unreachable: map[uint32]bool{}, attempts: map[uint32]int{}}
+	settings := testSettings()
+	settings.Services[0].Objective = 0.2
+	c.router = New(settings, 0, c.rec)
+	c.hosts = []Endpoint{endpoint(1<<30, 1, Ready), endpoint(1<<30+1, 1, Ready), endpoint(1<<30+2, 2, Ready)}
+	for i := range racks * cachesPerRack {
+		e := endpoint(uint32(i+1)*7919, 0, Ready)
+		e.Cell = i / cachesPerRack
+		c.hosts = append(c.hosts, e)
 	}
-	l.d.UpdateEndpoints(0, ListComplete, l.hosts)
-	return l
+	c.router.UpdateEndpoints(0, ListComplete, c.hosts)
+	return c
 }
 
-// rack is the caches of one.
-func (l *largeCluster) rack(cell int) (ids []uint32) {
-	for _, h := range l.hosts {
+// rack returns the caches of a rack.
+func (c *largeCluster) rack(cell int) (ids []uint32) {
+	for _, h := range c.hosts {
 		if h.Kind == 0 && h.Cell == cell {
 			ids = append(ids, h.ID)
 		}
@@ -56,185 +55,220 @@
 	return ids
 }
 
-// ask asks for objects, one each millisecond; hosts that are gone can't be reached, which is known after a tenth of a second.
-func (l *largeCluster) ask(gets int) (returned int) {
-	for range gets {
-		l.now += 0.001
-		l.id++
-		ask(l.d, l.now, l.id, fmt.Sprint("o", l.id%3000))
-		if l.id%10 == 0 {
-			tickAt(l.d, l.now)
-		}
-		for len(l.r.forwards) > 0 {
-			f := l.r.forwards[0]
-			l.r.forwards = l.r.forwards[1:]
-			number := l.number[f.RequestID]
-			l.number[f.RequestID]++
-			if l.gone[f.Host] {
-				l.lost++
-				l.open = append(l.open, end{l.now + 0.1, AttemptResult{RequestID: f.RequestID, Attempt: number, Outcome: Unreachable, Elapsed: 0.1}})
-				continue
-			}
-			returned++
-			answer(l.d, l.now, f.RequestID, number, Succeeded, CacheHit)
+// run submits requests, one each millisecond, and returns how many attempts succeeded. That a host is unreachable is known
+// after a tenth of a second.
+func (c *largeCluster) run(requests int) (succeeded int) {
+	for range requests {
+		c.now += 0.001
+		c.lastID++
+		submit(c.router, c.now, c.lastID, fmt.Sprint("o", c.lastID%3000))
+		if c.lastID%10 == 0 {
+			runTimer(c.router, c.now)
 		}
-		for len(l.open) > 0 && l.open[0].at <= l.now {
-			l.d.HandleResult(l.now, l.open[0].a)
-			l.d.RunRetries(l.now)
-			l.open = l.open[1:]
+		succeeded += c.serve()
+		c.returnPending()
+	}
+	return succeeded
+}
+
+// serve has hosts take the attempts that were sent, and returns how many succeeded.
+func (c *largeCluster) serve() (succeeded int) {
+	for len(c.rec.attempts) > 0 {
+		a, number := c.nextAttempt()
+		if !c.unreachable[a.Host] {
+			succeeded++
+			respond(c.router, c.now, a.RequestID, number, Succeeded, CacheHit)
+			continue
 		}
+		c.failedAttempts++
+		result := AttemptResult{RequestID: a.RequestID, Attempt: number, Outcome: Unreachable, Elapsed: 0.1}
+		c.pending = append(c.pending, scheduledResult{c.now + 0.1, result})
 	}
-	return returned
+	return succeeded
 }
 
-// A rack that vanishes is seen as one: its hosts are asked for trials alone, as few as the ration allows, and believed again once some answer.
+// nextAttempt takes the next attempt that was sent, with its number.
+func (c *largeCluster) nextAttempt() (a Attempt, number int) {
+	a, c.rec.attempts = c.rec.attempts[0], c.rec.attempts[1:]
+	number = c.attempts[a.RequestID]
+	c.attempts[a.RequestID]++
+	return a, number
+}
+
+// returnPending returns the results that are due. Results are pending in the order of their times.
+func (c *largeCluster) returnPending() {
+	for len(c.pending) > 0 && c.pending[0].at <= c.now {
+		c.router.HandleResult(c.now, c.pending[0].result)
+		c.router.RunRetries(c.now)
+		c.pending = c.pending[1:]
+	}
+}
+
+// A rack that vanishes is detected as a group: its hosts get only trial requests, as few as the budget allows, and are used again
+// once some respond.
 func TestARackThatVanishes(t *testing.T) {
-	l := newLargeCluster(t, 10, 30)
-	l.ask(3000)
-	assert.Zero(t, l.lost)
-	for _, id := range append(l.rack(2), l.rack(5)...) {
-		l.gone[id] = true
+	c := newLargeCluster(t, 10, 30)
+	c.run(3000)
+	assert.Zero(t, c.failedAttempts)
+	for _, id := range append(c.rack(2), c.rack(5)...) {
+		c.unreachable[id] = true
 	}
-	l.ask(300)
-	first := l.lost
-	l.lost = 0
-	l.ask(5000)
-	assert.Less(t, first, 100, "until the first losses have come back")
-	assert.Less(t, l.lost, 5000/20, "trials")
-	assert.Greater(t, l.lost, 20, "but some")
-	clear(l.gone)
-	l.lost = 0
-	l.ask(9000)
-	assert.Zero(t, l.lost)
-	left := 0
-	for _, h := range l.d.endpoints.caches {
+	c.run(300)
+	undetected := c.failedAttempts
+	c.failedAttempts = 0
+	c.run(5000)
+	assert.Less(t, undetected, 100, "failed attempts until the first failures are known")
+	assert.Less(t, c.failedAttempts, 5000/20, "trial requests within their budget")
+	assert.Greater(t, c.failedAttempts, 20, "some trial requests")
+	clear(c.unreachable)
+	c.failedAttempts = 0
+	c.run(9000)
+	assert.Zero(t, c.failedAttempts)
+	unused := 0
+	for _, h := range c.router.endpoints.caches {
 		if h.health.ejected || h.health.group.Suspected() {
-			left++
+			unused++
 		}
 	}
-	assert.Less(t, left, 6, "hosts that are back and still left")
+	assert.Less(t, unused, 6, "hosts that are reachable and still ejected or suspected")
 }
 
-// What forwards to hosts that are gone cost says nothing of fills: their limit stays.
+// The cost of attempts at unreachable hosts says nothing of fills: the fill limit is not cut.
 func TestLostHostsDoNotCutTheFillLimit(t *testing.T) {
-	l := newLargeCluster(t, 10, 30)
-	l.ask(1000)
-	before := l.d.limits.fills.max
-	for _, id := range l.rack(4) {
-		l.gone[id] = true
+	c := newLargeCluster(t, 10, 30)
+	c.run(1000)
+	before := c.router.limits.fills.max
+	for _, id := range c.rack(4) {
+		c.unreachable[id] = true
 	}
-	l.ask(6000)
-	assert.Equal(t, before, l.d.limits.fills.max)
+	c.run(6000)
+	assert.Equal(t, before, c.router.limits.fills.max, "the fill limit")
 }
 
-// A few hosts are judged by themselves alone, as they always were.
+// A few hosts are judged one by one, with no groups.
 func TestFewHostsHaveNoGroup(t *testing.T) {
-	l := newLargeCluster(t, 2, 6)
-	for _, h := range l.d.endpoints.caches {
+	c := newLargeCluster(t, 2, 6)
+	for _, h := range c.router.endpoints.caches {
 		assert.Nil(t, h.health.group)
 	}
-	l.gone[l.rack(0)[0]] = true
-	l.ask(500)
-	assert.Greater(t, l.lost, 1, "one loss is not enough there")
+	c.unreachable[c.rack(0)[0]] = true
+	c.run(500)
+	assert.Greater(t, c.failedAttempts, 1, "one failure does not eject a host of few")
 }
 
-// Objects that somebody chose because one cache comes first for all of them: others take over what it can't serve in the latency objective.
+// Requests for objects that were chosen because they all prefer one cache: other caches take over what it can't serve within the
+// latency objective.
 func TestAFloodOfObjectsForOneHost(t *testing.T) {
-	l := newLargeCluster(t, 10, 30)
-	var chosen []string
-	for i := 0; len(chosen) < 200; i++ {
-		name := fmt.Sprintf("%016x", i)
-		l.d.endpoints.cacheOrder.Walk(hashName(name+" 0"), nil, 0, func(h *host) bool {
-			if h.ID == 7919 {
-				chosen = append(chosen, name)
-			}
-			return false
-		})
-	}
-	free, to, late := map[uint32]float64{}, map[uint32]int{}, 0
-	const takes, gets = 0.005, 6000 // a host does 200 a second, and is asked for 1,000
-	for range gets {
-		l.now += 0.001
-		l.id++
-		ask(l.d, l.now, l.id, chosen[int(l.id)%len(chosen)])
-		for ; len(l.r.forwards) > 0; l.r.forwards = l.r.forwards[1:] {
-			f := l.r.forwards[0]
-			number := l.number[f.RequestID]
-			l.number[f.RequestID]++
-			to[f.Host]++
-			free[f.Host] = max(free[f.Host], l.now) + takes
-			took := free[f.Host] - l.now
-			if took > 0.2 {
+	c := newLargeCluster(t, 10, 30)
+	const (
+		target      = 7919
+		serviceTime = 0.005 // s; a host serves 200 requests a second, and is sent 1,000
+		requests    = 6000
+	)
+	objects := c.objectsThatPrefer(target, 200)
+	freeAt, sent, late := map[uint32]float64{}, map[uint32]int{}, 0
+	for range requests {
+		c.now += 0.001
+		c.lastID++
+		submit(c.router, c.now, c.lastID, objects[int(c.lastID)%len(objects)])
+		for len(c.rec.attempts) > 0 {
+			a, number := c.nextAttempt()
+			sent[a.Host]++
+			freeAt[a.Host] = max(freeAt[a.Host], c.now) + serviceTime
+			elapsed := freeAt[a.Host] - c.now
+			if elapsed > 0.2 {
 				late++
 			}
-			l.open = append(l.open, end{free[f.Host], AttemptResult{RequestID: f.RequestID, Attempt: number, Outcome: Succeeded, Note: CacheHit, Elapsed: took, Final: true}})
+			c.pending = append(c.pending, scheduledResult{freeAt[a.Host], AttemptResult{
+				RequestID: a.RequestID, Attempt: number, Outcome: Succeeded, Note: CacheHit, Elapsed: elapsed, Final: true,
+			}})
 		}
-		if l.id%10 == 0 {
-			tickAt(l.d, l.now)
+		if c.lastID%10 == 0 {
+			runTimer(c.router, c.now)
 		}
-		l.open = slices.DeleteFunc(l.open, func(e end) bool {
-			if e.at > l.now {
-				return false
+		c.returnPendingInAnyOrder()
+	}
+	assert.Less(t, sent[target], requests/2, "others take over")
+	assert.Less(t, late, requests/8, "late responses")
+	assert.Less(t, len(c.rec.shed)+len(c.rec.failed), requests/20, "requests that are not served")
+}
+
+// objectsThatPrefer finds objects whose first cache is the given one.
+func (c *largeCluster) objectsThatPrefer(cache uint32, count int) (objects []string) {
+	for i := 0; len(objects) < count; i++ {
+		name := fmt.Sprintf("%016x", i)
+		c.router.endpoints.cacheOrder.Walk(hashName(name+" 0"), nil, 0, func(h *host) bool {
+			if h.ID == cache {
+				objects = append(objects, name)
 			}
-			l.d.HandleResult(l.now, e.a)
-			l.d.RunRetries(l.now)
-			return true
+			return false
 		})
 	}
-	assert.Less(t, to[7919], gets/2, "others take over")
-	assert.Less(t, late, gets/8)
-	assert.Less(t, len(l.r.shed)+len(l.r.errored), gets/20)
+	return objects
+}
+
+// returnPendingInAnyOrder returns the results that are due, where they are not pending in the order of their times.
+func (c *largeCluster) returnPendingInAnyOrder() {
+	c.pending = slices.DeleteFunc(c.pending, func(p scheduledResult) bool {
+		if p.at > c.now {
+			return false
+		}
+		c.router.HandleResult(c.now, p.result)
+		c.router.RunRetries(c.now)
+		return true
+	})
 }
 
-// Time that stands still, goes back, or jumps by an hour: every GET has one answer, and the next ones go on.
+// Time that stands still, goes back, or jumps by an hour: every request has one answer, and later ones are served.
 func TestTimeThatStandsStillOrJumps(t *testing.T) {
-	l := newLargeCluster(t, 10, 30)
-	l.ask(200)
+	c := newLargeCluster(t, 10, 30)
+	c.run(200)
 	for range 50 {
-		l.id++
-		ask(l.d, l.now, l.id, fmt.Sprint("p", l.id))
-		l.d.HandleTimer(l.now)
+		c.lastID++
+		submit(c.router, c.now, c.lastID, fmt.Sprint("p", c.lastID))
+		c.router.HandleTimer(c.now)
 	}
-	open := len(l.d.requests.byID)
-	tickAt(l.d, l.now-5)
-	assert.Len(t, l.d.requests.byID, open)
-	l.now += 3600
-	tickAt(l.d, l.now)
-	assert.Equal(t, 50, len(l.r.shed)+len(l.r.errored), "those under way are over at once")
-	for id := l.id - 49; id <= l.id; id++ {
-		for number := range l.number[id] + 1 {
-			l.d.HandleResult(l.now, AttemptResult{RequestID: id, Attempt: number, Outcome: Canceled})
+	open := len(c.router.requests.byID)
+	runTimer(c.router, c.now-5)
+	assert.Len(t, c.router.requests.byID, open, "time that goes back ends no request")
+	c.now += 3600
+	runTimer(c.router, c.now)
+	assert.Equal(t, 50, len(c.rec.shed)+len(c.rec.failed), "requests in flight are shed or failed at once")
+	for id := c.lastID - 49; id <= c.lastID; id++ {
+		for number := range c.attempts[id] + 1 {
+			c.router.HandleResult(c.now, AttemptResult{RequestID: id, Attempt: number, Outcome: Canceled})
 		}
 	}
-	assert.Empty(t, l.d.requests.byID)
-	l.r.forwards = nil
-	assert.Equal(t, 200, l.ask(200))
+	assert.Empty(t, c.router.requests.byID)
+	c.rec.attempts = nil
+	assert.Equal(t, 200, c.run(200))
 }
 
-// A host of many that comes, goes, moves to another rack or comes back is in its group and in the order, or in none.
+// A host of many that is added, removed, moved to another rack or added again is in its group and in the order, or in neither.
 func TestCachesThatAreAddedAndRemoved(t *testing.T) {
-	l := newLargeCluster(t, 10, 30)
+	c := newLargeCluster(t, 10, 30)
 	first := func() (id uint32) {
-		l.d.endpoints.cacheOrder.Walk(12345, nil, 0, func(h *host) bool { id = h.ID; return false })
+		c.router.endpoints.cacheOrder.Walk(12345, nil, 0, func(h *host) bool { id = h.ID; return false })
 		return id
 	}
 	id := first()
-	e, other := l.d.endpoints.byID[id].Endpoint, l.d.endpoints.byID[id]
+	removed := c.router.endpoints.byID[id]
+	e := removed.Endpoint
 	e.Phase = Removed
-	l.d.UpdateEndpoints(1, ListChanges, []Endpoint{e})
+	c.router.UpdateEndpoints(1, ListChanges, []Endpoint{e})
 	assert.NotEqual(t, id, first())
-	assert.Nil(t, other.health.group)
-	assert.Len(t, l.d.endpoints.caches, 299)
+	assert.Nil(t, removed.health.group)
+	assert.Len(t, c.router.endpoints.caches, 299)
 	e.Phase, e.Cell = Ready, 77
-	l.d.UpdateEndpoints(2, ListChanges, []Endpoint{e, e})
+	c.router.UpdateEndpoints(2, ListChanges, []Endpoint{e, e})
 	assert.Equal(t, id, first())
-	assert.Len(t, l.d.endpoints.caches, 300, "named twice, it is there once")
-	assert.True(t, l.d.endpoints.byID[id].health.group.In(grouphealth.Group{Cell: 77}))
+	assert.Len(t, c.router.endpoints.caches, 300, "listed twice, it is known once")
+	assert.True(t, c.router.endpoints.byID[id].health.group.In(grouphealth.Group{Cell: 77}))
 	e.Cell = 78
-	l.d.UpdateEndpoints(3, ListChanges, []Endpoint{e})
-	assert.True(t, l.d.endpoints.byID[id].health.group.In(grouphealth.Group{Cell: 78}))
-	l.d.UpdateEndpoints(4, ListComplete, l.hosts[:3+grouphealth.MinHosts-1])
-	for _, h := range l.d.endpoints.caches {
-		assert.Nil(t, h.health.group, "they are few now")
+	c.router.UpdateEndpoints(3, ListChanges, []Endpoint{e})
+	assert.True(t, c.router.endpoints.byID[id].health.group.In(grouphealth.Group{Cell: 78}))
+	c.router.UpdateEndpoints(4, ListComplete, c.hosts[:3+grouphealth.MinHosts-1])
+	for _, h := range c.router.endpoints.caches {
+		assert.Nil(t, h.health.group, "few hosts have no groups")
 	}
 }
