--- a/core/routing/golden_fleet_test.go
+++ b/core/routing/golden_fleet_test.go
@@ -39,6 +39,7 @@
 	streamingShare    = 0.2   // share of the successful answers whose first byte is announced
 	pauseShare        = 0.05  // share of the transfers that pause on the way
 	longestPause      = 0.020 // s
+	stallTime         = 0.5   // s; longer than the latency objectives
 	staleShare        = 0.02  // share of the hits that are stale
 	withdrawnShare    = 0.003 // share of the attempts that are withdrawn before a byte went out
 	arrivedLateShare  = 0.003 // share of the attempts that reach their host after SendBy
@@ -82,6 +83,7 @@
 	unreachable bool
 	failShare   float64            // of the answers that are errors
 	lostShare   float64            // of the answers whose connection breaks
+	stallShare  float64            // of the transfers that stall for stallTime
 	stored      map[string]float64 // objects with the time at which each was stored
 	filling     map[string]int     // fills under way by object
 	active      int                // attempts under way, and fills from it
@@ -126,9 +128,10 @@
 // scriptedShard is one router with the adapter that records its actions and carries them out.
 type scriptedShard struct {
 	*scriptedFleet
-	index    int
-	router   *routing.Router
-	requests map[uint32]*scriptedRequest
+	index      int
+	noteDetail routing.NoteDetail
+	router     *routing.Router
+	requests   map[uint32]*scriptedRequest
 }
 
 var _ routing.Actions = (*scriptedShard)(nil)
@@ -158,15 +161,13 @@
 	f.addHost(routing.Endpoint{ID: originID, Kind: originKind, Weight: 60})
 }
 
-func (f *scriptedFleet) addHost(e routing.Endpoint) *scriptedHost {
+func (f *scriptedFleet) addHost(e routing.Endpoint) {
 	e.Phase = routing.Ready
-	h := &scriptedHost{
+	f.hosts[e.ID] = &scriptedHost{
 		endpoint: e, slots: int(e.Weight), queue: int(e.Weight) * 3, slowness: 1,
 		stored: map[string]float64{}, filling: map[string]int{},
 	}
-	f.hosts[e.ID] = h
 	f.ids = append(f.ids, e.ID)
-	return h
 }
 
 func (f *scriptedFleet) addShard(index int) {
@@ -180,7 +181,7 @@
 	if f.goldenCase.shards > 1 {
 		settings.Shards, settings.Peers = f.goldenCase.shards, s
 	}
-	f.services = settings.Services
+	f.services, s.noteDetail = settings.Services, settings.NoteDetail
 	s.router = routing.New(settings, f.now, s)
 	if !settings.PollEndpoints {
 		s.updateEndpoints(routing.ListComplete, f.endpoints())
@@ -351,9 +352,9 @@
 // visible is what a note tells at the router's level of detail.
 func (s *scriptedShard) visible(note routing.Note) routing.Note {
 	switch {
-	case s.router.NoteDetail == routing.FillNotes:
+	case s.noteDetail == routing.FillNotes:
 		return note
-	case s.router.NoteDetail == routing.HitNotes && (note == routing.CacheHit || note == routing.StaleHit):
+	case s.noteDetail == routing.HitNotes && (note == routing.CacheHit || note == routing.StaleHit):
 		return routing.CacheHit
 	}
 	return routing.NoNote
@@ -448,23 +449,23 @@
 // serve schedules how a host answers an attempt.
 func (s *scriptedShard) serve(a *scriptedAttempt) {
 	h := s.hosts[a.Host]
-	fail := func(after float64, o routing.Outcome, n routing.Note) {
-		s.schedule(s.now+after, func() { s.complete(a, routing.AttemptResult{Outcome: o, Note: n}) })
+	fail := func(after float64, outcome routing.Outcome) {
+		s.schedule(s.now+after, func() { s.complete(a, routing.AttemptResult{Outcome: outcome}) })
 	}
 	switch {
 	case s.chance(withdrawnShare):
-		fail(0.001, routing.Withdrawn, routing.NoNote)
+		fail(0.001, routing.Withdrawn)
 	case h.unreachable || h.endpoint.Phase == routing.Removed:
-		fail(0.05+0.1*s.random.Float64(), routing.Unreachable, routing.NoNote)
+		fail(0.05+0.1*s.random.Float64(), routing.Unreachable)
 	case h.silent: // it ends when the client leaves, or by a cancel
 	case s.chance(arrivedLateShare):
-		fail(networkDelay, routing.ArrivedLate, routing.NoNote)
+		fail(networkDelay, routing.ArrivedLate)
 	case h.active >= h.queue:
-		fail(2*networkDelay, routing.Rejected, routing.NoNote)
+		fail(2*networkDelay, routing.Rejected)
 	case s.chance(h.failShare):
-		fail(s.transferTime(h, a), routing.HostFailed, routing.NoNote)
+		fail(s.transferTime(h, a), routing.HostFailed)
 	case s.chance(h.lostShare):
-		fail(s.transferTime(h, a)/2, routing.ConnectionLost, routing.NoNote)
+		fail(s.transferTime(h, a)/2, routing.ConnectionLost)
 	default:
 		s.hold(a, h)
 		s.serveCopy(a, h)
@@ -485,6 +486,9 @@
 	if s.chance(pauseShare) {
 		pause = longestPause * s.random.Float64()
 	}
+	if h.stallShare > 0 && s.chance(h.stallShare) {
+		pause += stallTime
+	}
 	return 2*networkDelay + pause + s.size(a.request.Object)/transferRateKB*crowding*h.slowness*noise
 }
 
--- a/core/routing/golden_test.go
+++ b/core/routing/golden_test.go
@@ -17,6 +17,7 @@
 	"os"
 	"path/filepath"
 	"runtime"
+	"slices"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
@@ -223,6 +224,51 @@
 }
 
 func goldenCases() []goldenCase {
+	return slices.Concat(fleetCases(), settingsCases(), loadCases())
+}
+
+// fleetCases is fleets of several sizes and seeds.
+func fleetCases() []goldenCase {
+	return []goldenCase{
+		baseCase("one module", 1, nil),
+		baseCase("one module, another seed", 2, nil),
+		baseCase("one module, a third seed", 3, nil),
+		baseCase("four shards", 4, func(c *goldenCase) { c.shards = 4 }),
+		baseCase("few hosts and no way past them", 20, func(c *goldenCase) {
+			c.caches, c.cells, c.parents, c.rate = 3, 1, 1, 60
+			c.change = func(s *routing.Settings) { s.BypassCaches, s.CoalesceFills, s.MaxAttempts = false, false, 3 }
+		}),
+		baseCase("300 hosts in racks", 21, manyHosts),
+		baseCase("300 hosts in racks, two shards", 22, func(c *goldenCase) {
+			manyHosts(c)
+			c.shards, c.sized = 2, false
+		}),
+		baseCase("as few hosts as speak for their racks", 29, func(c *goldenCase) {
+			manyHosts(c)
+			c.caches, c.cells, c.seconds = 64, 8, 18
+		}),
+		baseCase("two large racks, one just over half", 30, func(c *goldenCase) {
+			c.caches, c.cells, c.rate, c.seconds, c.hotShare, c.skew = 101, 2, 600, 18, 0, 1
+			c.script = nil
+			for _, at := range []float64{2, 6} {
+				c.script = append(c.script, scriptStep{at, setHosts(0, 26, func(h *scriptedHost) { h.unreachable = true })},
+					scriptStep{at + 2, setHosts(0, 51, func(h *scriptedHost) { h.unreachable = at > 2 })})
+			}
+			c.script = append(c.script, scriptStep{14, setHosts(0, 51, func(h *scriptedHost) { h.unreachable = false })})
+		}),
+		baseCase("1,850 hosts in small racks", 25, func(c *goldenCase) {
+			manyHosts(c)
+			c.caches, c.cells, c.rate, c.seconds, c.hotShare, c.skew = 1850, 300, 1500, 7, 0.3, 1
+			c.script = []scriptStep{
+				{1, setHosts(0, 850, func(h *scriptedHost) { h.unreachable = true })},
+				{4, setHosts(0, 850, func(h *scriptedHost) { h.unreachable = false })},
+			}
+		}),
+	}
+}
+
+// settingsCases is the base fleet under other settings of the routers.
+func settingsCases() []goldenCase {
 	settings := func(change func(s *routing.Settings)) func(c *goldenCase) {
 		return func(c *goldenCase) { c.change = change }
 	}
@@ -230,10 +276,6 @@
 		return settings(service(func(d *routing.DeliveryService) { d.Idempotency, d.DedupScope = routing.IdempotencyKeyed, scope }))
 	}
 	return []goldenCase{
-		baseCase("one module", 1, nil),
-		baseCase("one module, another seed", 2, nil),
-		baseCase("one module, a third seed", 3, nil),
-		baseCase("four shards", 4, func(c *goldenCase) { c.shards = 4 }),
 		baseCase("hit notes", 5, settings(func(s *routing.Settings) { s.NoteDetail = routing.HitNotes })),
 		baseCase("no notes", 6, settings(func(s *routing.Settings) { s.NoteDetail = routing.NoNotes })),
 		baseCase("the endpoint list is polled", 7, settings(func(s *routing.Settings) { s.PollEndpoints = true })),
@@ -244,18 +286,6 @@
 		baseCase("not idempotent", 12, settings(service(func(d *routing.DeliveryService) { d.Idempotency = routing.NonIdempotent }))),
 		baseCase("no hedging", 13, settings(func(s *routing.Settings) { s.Hedging = false })),
 		baseCase("no cancel", 14, settings(func(s *routing.Settings) { s.CanCancel = false })),
-		baseCase("sizes not told", 15, func(c *goldenCase) { c.sized, c.answersTellSize = false, false }),
-		baseCase("sizes told by answers alone", 16, func(c *goldenCase) { c.sized = false }),
-		baseCase("ingress reported crowded", 17, func(c *goldenCase) { c.ingressLoad = 2.2 }),
-		baseCase("ingress slow", 27, func(c *goldenCase) { c.ingressSlowness = 6 }),
-		baseCase("a slow origin from the start", 28, func(c *goldenCase) {
-			c.caches, c.cells, c.seconds, c.rate = 3, 1, 8, 500
-			c.script = []scriptStep{
-				{0, setOrigin(func(h *scriptedHost) { h.slowness, h.queue = 40, 1000 })},
-				{0, setHosts(0, 3, func(h *scriptedHost) { h.slots, h.queue = 500, 1000 })},
-				{4, setOrigin(func(h *scriptedHost) { h.slowness = 1 })},
-			}
-		}),
 		baseCase("retry budget", 18, settings(func(s *routing.Settings) {
 			shared := 0
 			s.Retries = retrybudget.Settings{Share: 0.05, Floor: 2, Fleet: func() bool { shared++; return shared%5 > 0 }}
@@ -271,34 +301,23 @@
 			c.script = append(c.script, scriptStep{1, setQuota(0, 6)}, scriptStep{2, setQuota(firstParentID, 2)},
 				scriptStep{2, setQuota(firstCacheID+7*9, 1)}, scriptStep{10, setQuota(0, 2)}, scriptStep{16, setQuota(0, 30)})
 		}),
-		baseCase("few hosts and no way past them", 20, func(c *goldenCase) {
-			c.caches, c.cells, c.parents, c.rate = 3, 1, 1, 60
-			c.change = func(s *routing.Settings) { s.BypassCaches, s.CoalesceFills, s.MaxAttempts = false, false, 3 }
-		}),
-		baseCase("300 hosts in racks", 21, manyHosts),
-		baseCase("300 hosts in racks, two shards", 22, func(c *goldenCase) {
-			manyHosts(c)
-			c.shards, c.sized = 2, false
-		}),
-		baseCase("as few hosts as speak for their racks", 29, func(c *goldenCase) {
-			manyHosts(c)
-			c.caches, c.cells, c.seconds = 64, 8, 18
-		}),
-		baseCase("two large racks, one just over half", 30, func(c *goldenCase) {
-			c.caches, c.cells, c.rate, c.seconds, c.hotShare, c.skew = 101, 2, 600, 18, 0, 1
-			c.script = nil
-			for _, at := range []float64{2, 6} {
-				c.script = append(c.script, scriptStep{at, setHosts(0, 26, func(h *scriptedHost) { h.unreachable = true })},
-					scriptStep{at + 2, setHosts(0, 51, func(h *scriptedHost) { h.unreachable = at > 2 })})
-			}
-			c.script = append(c.script, scriptStep{14, setHosts(0, 51, func(h *scriptedHost) { h.unreachable = false })})
-		}),
-		baseCase("1,500 hosts in racks", 25, func(c *goldenCase) {
-			manyHosts(c)
-			c.caches, c.cells, c.rate, c.seconds, c.hotShare, c.skew = 1500, 50, 1500, 8, 0, 1
+	}
+}
+
+// loadCases is what is asked for, what answers tell, and too much of it.
+func loadCases() []goldenCase {
+	return []goldenCase{
+		baseCase("sizes not told", 15, func(c *goldenCase) { c.sized, c.answersTellSize = false, false }),
+		baseCase("sizes told by answers alone", 16, func(c *goldenCase) { c.sized = false }),
+		baseCase("ingress reported crowded", 17, func(c *goldenCase) { c.ingressLoad = 2.2 }),
+		baseCase("ingress slow", 27, func(c *goldenCase) { c.ingressSlowness = 6 }),
+		baseCase("a slow origin from the start", 28, func(c *goldenCase) {
+			c.caches, c.cells, c.parents, c.seconds, c.rate, c.skew = 3, 1, 1, 3, 3000, 1
 			c.script = []scriptStep{
-				{2, setHosts(0, 700, func(h *scriptedHost) { h.unreachable = true })},
-				{4, setHosts(0, 700, func(h *scriptedHost) { h.unreachable = false })},
+				{0, setParent(0, func(h *scriptedHost) { h.slots, h.queue = 500, 1000 })},
+				{0, setOrigin(func(h *scriptedHost) { h.slowness, h.queue = 40, 1000 })},
+				{0, setHosts(0, 3, func(h *scriptedHost) { h.slots, h.queue = 500, 1000 })},
+				{1, setOrigin(func(h *scriptedHost) { h.slowness = 1 })},
 			}
 		}),
 		baseCase("overload", 23, func(c *goldenCase) {
@@ -312,6 +331,14 @@
 				c.script = append(c.script, scriptStep{float64(i) + 2, setHosts(6, 10, func(h *scriptedHost) { h.slowness = slowness })})
 			}
 		}),
+		baseCase("more and more answers late", 32, func(c *goldenCase) {
+			c.rate, c.objects, c.skew, c.seconds = 1500, 100, 1, 10
+			c.script = nil
+			for i := range 8 {
+				share := 0.1 * float64(i)
+				c.script = append(c.script, scriptStep{float64(i) + 1, setHosts(0, 16, func(h *scriptedHost) { h.stallShare = share })})
+			}
+		}),
 		baseCase("a large catalog", 24, func(c *goldenCase) {
 			c.objects, c.skew, c.rate, c.seconds, c.hotShare = 150_000, 1.2, 4000, 16, 0.02
 			c.script = c.script[:8]
