--- a/internal/goldentest/goldentest_test.go
+++ b/internal/goldentest/goldentest_test.go
@@ -44,3 +44,19 @@
 	assert.Equal(t, "line 2:\nwant b\ngot  c", firstDifference("a\nb", "a\nc"))
 	assert.Equal(t, "line 2:\nwant (end of file)\ngot  b", firstDifference("a", "a\nb"))
 }
+
+func TestFillGivesEachFieldAValueOfItsOwn(t *testing.T) {
+	var value struct {
+		A, B  uint8
+		C     []string
+		D     map[string]float64
+		E     *struct{ F bool }
+		Again *sample
+	}
+	Fill(&value)
+	assert.Equal(t, []uint8{1, 2}, []uint8{value.A, value.B})
+	assert.Equal(t, []string{"s3", "s4"}, value.C)
+	assert.Equal(t, map[string]float64{"s5": 6.5}, value.D)
+	assert.True(t, value.E.F)
+	assert.NotNil(t, value.Again.Second, "it ends by its depth")
+}
