--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -138,9 +138,10 @@
 	}
 }
 
-// marshaled is the text of values that keep their content in unexported fields, such as addresses.
+// marshaled is the text of values that keep their content in unexported fields, such as addresses and patterns.
 func marshaled(v reflect.Value) (string, bool) {
-	if v.Kind() != reflect.Struct || !v.CanInterface() {
+	held := v.Kind() == reflect.Struct || v.Kind() == reflect.Pointer && !v.IsNil()
+	if !held || !v.CanInterface() {
 		return "", false
 	}
 	marshaler, ok := v.Interface().(encoding.TextMarshaler)
