--- /dev/null
+++ b/core/cluster/purgefloor/golden_test.go
@@ -0,0 +1,40 @@
+package purgefloor_test
+
+import (
+	"elderwall/core/cluster/purgefloor"
+	"elderwall/internal/goldentest"
+	"strings"
+	"testing"
+)
+
+func TestGoldenFloors(t *testing.T) {
+	var tr goldentest.Transcript
+	for _, f := range []purgefloor.Floor{
+		{Object: "7f3a9c21e0b4d655", Time: 1764576000123}, {Group: 17, Time: 5}, {Group: -1, Time: 5}, {Object: "g17", Group: 3, Time: 5},
+		{Object: "o", Time: 1<<46 - 1}, {Object: "o", Time: 1 << 46}, {Object: "o"}, {Object: "o", Time: -1},
+		{Object: strings.Repeat("x", 256), Time: 1}, {Object: strings.Repeat("x", 257), Time: 1},
+	} {
+		key, value, ok := purgefloor.Record(f)
+		tr.Values("floor", f, ok)
+		tr.Bytes("key", []byte(key))
+		tr.Bytes("value", value)
+		read, err := purgefloor.Read(key, value)
+		tr.Values("as read", read)
+		tr.Rejected(err)
+	}
+	sound := []byte{0, 0, 0, 0, 0, 0, 0, 5}
+	for _, r := range []struct {
+		key   string
+		value []byte
+	}{
+		{"", sound}, {"o", sound}, {"g", sound}, {"g017", sound}, {"gx", sound}, {"x1", sound}, {"oo", nil}, {"oo", sound[:7]},
+		{"oo", make([]byte, 8)}, {"oo", []byte{0, 0, 64, 0, 0, 0, 0, 0}},
+	} {
+		read, err := purgefloor.Read(r.key, r.value)
+		tr.Values("record", r.key, r.value, read)
+		tr.Rejected(err)
+	}
+	k := purgefloor.Kind()
+	tr.Values("kind", k.ID, k.Name, k.Records, k.Bytes, k.Longest, k.Sync)
+	tr.Check(t, "floors.golden")
+}
--- /dev/null
+++ b/internal/cluster/raftvoter/golden_test.go
@@ -0,0 +1,100 @@
+package raftvoter
+
+import (
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/lease"
+	"elderwall/core/cluster/quota"
+	"elderwall/internal/goldentest"
+	"elderwall/internal/standin/need"
+	"io"
+	"log"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"go.etcd.io/raft/v3"
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+)
+
+func TestGoldenEntriesOfTheLog(t *testing.T) {
+	var tr goldentest.Transcript
+	var full, empty entry
+	goldentest.Fill(&full)
+	for _, e := range []entry{full, empty} {
+		raw := need.Of(encoding.Marshal(e))(t)
+		tr.Bytes("entry", raw)
+		var read entry
+		require.NoError(t, decoding.Unmarshal(raw, &read))
+		assert.Equal(t, e, read)
+		tr.Values("as read", read)
+	}
+	tr.Check(t, "entries.golden")
+}
+
+func TestGoldenContentOfASnapshot(t *testing.T) {
+	var full kept
+	goldentest.Fill(&full)
+	raw := need.Of(encoding.Marshal(full))(t)
+	var read kept
+	require.NoError(t, decoding.Unmarshal(raw, &read))
+	assert.Equal(t, full, read)
+	var tr goldentest.Transcript
+	tr.Bytes("every field", raw)
+	tr.Values("as read", read)
+	tr.Check(t, "kept.golden")
+}
+
+// goldenState is what some commands of each kind come to.
+func goldenState(t *testing.T) (*lease.State, *quota.Ledger, *channel.Ledger) {
+	state := lease.NewState()
+	for _, c := range []lease.Command{
+		{Act: lease.Declare, Duty: "purger", Length: 5, Zone: "east"},
+		{Act: lease.Declare, Duty: "reporter", Length: 6},
+		{Act: lease.Stand, Duties: []string{"purger", "reporter"}, Length: 5, Zone: "east", Name: "n1", Boot: 11, Priority: 2},
+		{Act: lease.Stand, Duties: []string{"purger"}, Length: 5, Zone: "west", Name: "n2", Boot: 12},
+		{Act: lease.Mark, Duty: "purger", Token: 1, Number: 4, Name: "n1", Boot: 11},
+		{Act: lease.Sit, Token: 77, Name: "n1", Era: 3},
+		{Act: lease.HandOver, Duty: "purger", Name: "n2"},
+	} {
+		state.Apply(c)
+	}
+	ledger := quota.NewLedger()
+	assert.True(t, ledger.Apply(&quota.Command{
+		Token: 1, Seq: 1, Generation: 2, Enrol: []quota.Seat{{Name: "n1", Boot: 11, Zone: "east", Address: "127.0.0.1:1"}},
+		Declare: []quota.Budget{{Name: "fills", Kind: quota.UnderWay, Whole: 40, Floor: 1, Ceiling: 9}, {Name: "a", Kind: quota.Rate, Whole: 2500}},
+	}))
+	assert.True(t, ledger.Apply(&quota.Command{
+		Token: 1, Seq: 2, Generation: 2, Sets: []quota.Set{{Budget: "fills", ID: 1, Part: quota.Part{Out: 8, Floor: 1}}},
+	}))
+	streams := channel.NewLedger()
+	for _, d := range []channel.Declaration{
+		{Name: "orders", Generation: 1, Order: channel.Total, Entries: 10, Bytes: 1 << 20, Seconds: 60, Wait: 1, Slow: true},
+		{Name: "keyed", Generation: 1, Order: channel.ByKey, Told: true, Entries: 10, Bytes: 1 << 20, Seconds: 60, Wait: 1, Forget: 60},
+	} {
+		require.NoError(t, streams.Apply(&channel.Command{Declare: &d, NoReuse: true}))
+	}
+	require.NoError(t, streams.Apply(&channel.Command{
+		Channel: "orders", Epoch: 5, Entries: []channel.Entry{{Channel: "orders", Writer: "w", Number: 1, Body: []byte("b"), Generation: 1}},
+	}))
+	return state, ledger, streams
+}
+
+// savingDisk keeps nothing: what a machine wants saved is not looked at here.
+type savingDisk struct{}
+
+func (savingDisk) Save(*pb.HardState, []*pb.Entry, *pb.Snapshot) error { return nil }
+func (savingDisk) Compact(*pb.Snapshot, uint64) error                  { return nil }
+
+func TestGoldenFirstSnapshot(t *testing.T) {
+	state, ledger, streams := goldenState(t)
+	hard, snapshot, err := Found(77, state, ledger, streams, 3, 10)
+	require.NoError(t, err)
+	var tr goldentest.Transcript
+	tr.Bytes("hard state", need.Of(proto.Marshal(hard))(t))
+	tr.Bytes("snapshot", need.Of(proto.Marshal(snapshot))(t))
+	quiet := &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
+	m := need.Of(New(Kept{ID: 77, Era: 2, Hard: hard, Snapshot: snapshot}, savingDisk{}, 0, quiet))(t)
+	tr.Values("restored", m.State().Save(), m.Ledger().Save(), m.Channels().Save(), m.Applied())
+	tr.Check(t, "snapshot.golden")
+}
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -206,3 +206,12 @@
 func leaf(out *strings.Builder, path, text string) {
 	fmt.Fprintf(out, "%s = %s\n", path, text)
 }
+
+// Store writes testdata/name if -update is given, and else leaves it: for content that is made with random parts, and
+// whose later reading is what a test checks.
+func Store(t *testing.T, name string, make func() []byte) {
+	t.Helper()
+	if *update {
+		write(t, filepath.Join("testdata", name), make())
+	}
+}
