--- /dev/null
+++ b/internal/cluster/golden_words_test.go
@@ -0,0 +1,51 @@
+package cluster
+
+import (
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/lease"
+	"elderwall/core/cluster/membership"
+	"elderwall/core/cluster/purgefloor"
+	"elderwall/core/cluster/quota"
+	"elderwall/core/cluster/replication"
+	"elderwall/core/cluster/variant"
+	"elderwall/internal/goldentest"
+	"maps"
+	"slices"
+	"testing"
+)
+
+// Numbers and words that stand on the wire and in files: a constant that is moved within its list would change them.
+func TestGoldenNumbersAndWords(t *testing.T) {
+	var tr goldentest.Transcript
+	tr.Values("states of members", membership.Alive, membership.Suspect, membership.Failed, membership.Left)
+	tr.Values("messages of members", membership.Ping, membership.PingFor, membership.Ack, membership.AckFor, membership.NackFor,
+		membership.Join, membership.Table, membership.Refused)
+	tr.Values("commands of duties", lease.Declare, lease.Drop, lease.Stand, lease.Withdraw, lease.GiveBack, lease.HandOver, lease.Expire,
+		lease.Prove, lease.Gone, lease.Skip, lease.Sit, lease.Mark, lease.Told)
+	tr.Values("changes of seats", lease.NoChange, lease.AddLearner, lease.Promote, lease.Remove)
+	tr.Values("kinds of budgets", quota.UnderWay, quota.Rate, quota.Amount, quota.Thousand)
+	tr.Values("uses of budgets", quota.Duty, quota.UseOrigin, quota.UseRetries, quota.UseTenant, quota.UseHost)
+	tr.Values("levels of writes", replication.Here, replication.Copies, replication.Majority)
+	tr.Values("orders of channels", channel.Latest, channel.ByKey, channel.BySender, channel.Causal, channel.Total)
+	tr.Values("words of notes", channel.Shown, channel.Gap, channel.Reset, channel.Behind, channel.Cut, channel.Turned, channel.Ended)
+	tr.Values("kinds of records", purgefloor.ID, variant.ID, channel.EntryKind, channel.WriterKind)
+	tr.Values("kinds of seals", sealedMessage, sealedAsk, sealedTold, sealedRaft, sealedTurn, sealedAnswer, sealedSpend, sealedGive,
+		sealedMemory, sealedNotes)
+	tr.Values("questions", AskMembers, AskWatch, AskLeave, AskDuties, AskTurn, AskCommand, AskSeat, AskFound, AskRecover, AskCounts,
+		AskBudgets, AskSpend, AskChannels, AskWrite, AskRead, AskFollow, AskPublish, AskDeclare, askEra, askWhere, askDeclared)
+	tr.Values("beginnings of keys", stampAt, vectorAt, recordAt)
+	tr.Values("files", logFile, recordsFile)
+	tr.Values("channels of the fleet's own", PurgesChannel, VariantsChannel, channel.Duty, builtIn)
+	tr.Values("versions of the wire", Wire1, Wire2, Wire)
+	tr.Values("lengths", headLength, sealLength, nonceLength, raftHead)
+	tr.Check(t, "numbers.golden")
+}
+
+// The words of errors, with the texts that go with them: a dispatcher of another version goes by both.
+func TestGoldenReasons(t *testing.T) {
+	var tr goldentest.Transcript
+	for _, word := range slices.Sorted(maps.Keys(reasons)) {
+		tr.Values(word, reasons[word].Error(), reasonOf(reasons[word]))
+	}
+	tr.Check(t, "reasons.golden")
+}
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -5,8 +5,10 @@
 import (
 	"bytes"
 	"encoding"
+	"errors"
 	"flag"
 	"fmt"
+	"io/fs"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -207,11 +209,12 @@
 	fmt.Fprintf(out, "%s = %s\n", path, text)
 }
 
-// Store writes testdata/name if -update is given, and else leaves it: for content that is made with random parts, and
-// whose later reading is what a test checks.
-func Store(t *testing.T, name string, make func() []byte) {
+// Store writes testdata/name if -update is given and the file is not there yet. It is for what an earlier version of the
+// code wrote and every later one has to read; whoever wants it written anew removes the file.
+func Store(t *testing.T, name string, content func() []byte) {
 	t.Helper()
-	if *update {
-		write(t, filepath.Join("testdata", name), make())
+	path := filepath.Join("testdata", name)
+	if _, err := os.Stat(path); *update && errors.Is(err, fs.ErrNotExist) {
+		write(t, path, content())
 	}
 }
