--- a/cmd/elderwall-operator/golden_test.go
+++ b/cmd/elderwall-operator/golden_test.go
@@ -118,10 +118,20 @@
 	tr.Check(t, "check.golden")
 }
 
-// Words that states are printed by, one beyond the last of each too.
+// printedStates is the words of states from 0 on; a list of small numbers alone would be printed as bytes.
+func printedStates[T ~uint8](count int) (all []any) {
+	for i := range count {
+		all = append(all, T(i))
+	}
+	return all
+}
+
+// Words that states are printed by, where there is one beyond the last of each too.
 func TestGoldenPrintedStates(t *testing.T) {
 	goldentest.Check(t, "printed/states.json", need.Of(snakejson.Indent([]any{
-		[]membership.State{0, 1, 2, 3, 4}, []membership.Level{0, 1, 2, 3, 4}, []membership.Link{0, 1, 2, 3}, []membership.Standing{0, 1, 2},
-		[]channel.Order{0, 1, 2, 3, 4, 5, 6}, []replication.Level{0, 1, 2, 3}, []quota.Kind{1, 2, 3}, []lease.Act{1, 13}, []channel.Word{1, 7},
+		printedStates[membership.State](5), printedStates[membership.Level](5), printedStates[membership.Link](4),
+		printedStates[membership.Standing](3), printedStates[channel.Order](7), printedStates[replication.Level](4),
+		printedStates[quota.Kind](4), printedStates[lease.Act](3), printedStates[channel.Word](3),
+		[]membership.State{membership.Alive, membership.Left},
 	}))(t))
 }
--- a/core/cluster/variant/golden_test.go
+++ b/core/cluster/variant/golden_test.go
@@ -18,7 +18,9 @@
 	plain, beating, joined := goldenFact(), goldenFact(), goldenFact()
 	beating.Beat = variant.Beat{Giver: 9, Number: 10}
 	joined.Split, joined.Object.Group = false, -1
-	for _, f := range []variant.Fact{plain, beating, joined, {}} {
+	latest, later := goldenFact(), goldenFact()
+	latest.Generation.Purge, later.Generation.Purge = 1<<46-1, 1<<46
+	for _, f := range []variant.Fact{plain, beating, joined, latest, later, {}} {
 		raw := variant.EncodeFact(&f)
 		tr.Values("key", variant.FactKey(&f))
 		tr.Bytes("value", raw)
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,5 +1,5 @@
 // Package goldentest compares what a test produced with a golden file under the package's testdata/.
-// `go test ./... -update` writes the golden files anew. Only tests import it.
+// `go test PACKAGE -run Golden -update` writes a package's golden files anew. Only tests import it.
 package goldentest
 
 import (
--- a/internal/hostproto/golden_test.go
+++ b/internal/hostproto/golden_test.go
@@ -120,3 +120,18 @@
 	tr.Values("hashes", hostproto.Hash(nil), hostproto.Hash([]byte("a")), hostproto.Hash([]byte("4be0c1927d55a6f3")))
 	tr.Check(t, "requests.golden")
 }
+
+// The longest line is told from one that is too long, also where it comes in one piece.
+func TestGoldenLongLines(t *testing.T) {
+	var tr goldentest.Transcript
+	for length := 4092; length <= 4098; length++ {
+		fields := strings.Repeat("x", length-len("a HIT x= 0\r\n"))
+		for _, piece := range []int{1, wholeInput} {
+			r := hostproto.Reader{Room: roomy}
+			got, err := readAll("a HIT x="+fields+" 0\r\n\r\n", piece, &r)
+			tr.Values("answers of a line of so many bytes", length, len(got))
+			tr.Rejected(err)
+		}
+	}
+	tr.Check(t, "long-lines.golden")
+}
--- a/internal/sse/golden_test.go
+++ b/internal/sse/golden_test.go
@@ -77,3 +77,15 @@
 	tr.Bytes("behind others", sse.AppendRequest([]byte("before"), "h", "/p", 1<<40))
 	tr.Check(t, "request.golden")
 }
+
+func TestGoldenLongEvents(t *testing.T) {
+	const most = 4 << 20
+	var tr goldentest.Transcript
+	for _, length := range []int{most - 1, most, most + 1} {
+		data := strings.Repeat("x", length-len("data: \n\n"))
+		events, _, err := readReply(plainHead+"data: "+data+"\n\n", 1<<20)
+		tr.Values("events of so many bytes", length, len(events))
+		tr.Rejected(err)
+	}
+	tr.Check(t, "long-events.golden")
+}
--- a/internal/thrift/golden_test.go
+++ b/internal/thrift/golden_test.go
@@ -128,6 +128,9 @@
 		{"a call", standin.Call("process", 1, 1, nil)},
 		{"reply without a field", standin.Call("process", 2, 1, nil)},
 		{"reply with an unknown field", standin.Call("process", 2, 1, []byte{12, 0, 3, 0})},
+		{"reply with an unknown field and a body in it", standin.Call("process", 2, 1, []byte{12, 0, 3, 11, 0, 1, 0, 0, 0, 1, 'x', 0})},
+		{"reply with a field below all", standin.Call("process", 2, 1, []byte{12, 0xff, 0xff, 11, 0, 1, 0, 0, 0, 1, 'x', 0})},
+		{"reply with two fields", standin.Call("process", 2, 1, []byte{12, 0, 1, 0, 12, 0, 2, 0})},
 		{"reply with fields of every type", standin.Call("process", 2, 1, everyType)},
 		{"bytes behind the reply", append(standin.Call("process", 2, 1, nil), 0)},
 	} {
