--- a/core/cluster/purgefloor/golden_test.go
+++ b/core/cluster/purgefloor/golden_test.go
@@ -10,9 +10,16 @@
 func TestGoldenFloors(t *testing.T) {
 	var tr goldentest.Transcript
 	for _, f := range []purgefloor.Floor{
-		{Object: "7f3a9c21e0b4d655", Time: 1764576000123}, {Group: 17, Time: 5}, {Group: -1, Time: 5}, {Object: "g17", Group: 3, Time: 5},
-		{Object: "o", Time: 1<<46 - 1}, {Object: "o", Time: 1 << 46}, {Object: "o"}, {Object: "o", Time: -1},
-		{Object: strings.Repeat("x", 256), Time: 1}, {Object: strings.Repeat("x", 257), Time: 1},
+		{Object: "7f3a9c21e0b4d655", Time: 1764576000123},
+		{Group: 17, Time: 5},
+		{Group: -1, Time: 5},
+		{Object: "g17", Group: 3, Time: 5},
+		{Object: "o", Time: 1<<46 - 1},
+		{Object: "o", Time: 1 << 46},
+		{Object: "o"},
+		{Object: "o", Time: -1},
+		{Object: strings.Repeat("x", 256), Time: 1},
+		{Object: strings.Repeat("x", 257), Time: 1},
 	} {
 		key, value, ok := purgefloor.Record(f)
 		tr.Values("floor", f, ok)
@@ -27,8 +34,16 @@
 		key   string
 		value []byte
 	}{
-		{"", sound}, {"o", sound}, {"g", sound}, {"g017", sound}, {"gx", sound}, {"x1", sound}, {"oo", nil}, {"oo", sound[:7]},
-		{"oo", make([]byte, 8)}, {"oo", []byte{0, 0, 64, 0, 0, 0, 0, 0}},
+		{"", sound},
+		{"o", sound},
+		{"g", sound},
+		{"g017", sound},
+		{"gx", sound},
+		{"x1", sound},
+		{"oo", nil},
+		{"oo", sound[:7]},
+		{"oo", make([]byte, 8)},
+		{"oo", []byte{0, 0, 64, 0, 0, 0, 0, 0}},
 	} {
 		read, err := purgefloor.Read(r.key, r.value)
 		tr.Values("record", r.key, r.value, read)
--- a/internal/cluster/golden_test.go
+++ b/internal/cluster/golden_test.go
@@ -64,8 +64,12 @@
 func TestGoldenOddMessagesOfMembers(t *testing.T) {
 	var tr goldentest.Transcript
 	for _, m := range []message{
-		{}, {Wire: 2, Kind: 1}, {Kind: 1, From: record{Name: "n", Address: "a"}}, {Wire: 2, From: record{Name: "n", Address: "a"}},
-		{Wire: 2, Kind: 9, From: record{Name: "n", Address: "a"}}, {Wire: 2, Kind: 1, From: record{Name: "n"}},
+		{},
+		{Wire: 2, Kind: 1},
+		{Kind: 1, From: record{Name: "n", Address: "a"}},
+		{Wire: 2, From: record{Name: "n", Address: "a"}},
+		{Wire: 2, Kind: 9, From: record{Name: "n", Address: "a"}},
+		{Wire: 2, Kind: 1, From: record{Name: "n"}},
 		{Wire: 200, Kind: 1, From: record{Name: "n", Address: "a", State: 200}},
 	} {
 		raw := need.Of(encoding.Marshal(m))(t)
--- a/internal/extproc/golden_test.go
+++ b/internal/extproc/golden_test.go
@@ -101,9 +101,12 @@
 	}
 	goldenResponse(t, &tr, "goes on", continueResponse(mutation(nil, "age")))
 	for _, m := range []*procv3.ProcessingRequest{
-		{Request: &procv3.ProcessingRequest_RequestBody{}}, {Request: &procv3.ProcessingRequest_ResponseBody{}},
-		{Request: &procv3.ProcessingRequest_RequestTrailers{}}, {Request: &procv3.ProcessingRequest_ResponseTrailers{}},
-		{Request: &procv3.ProcessingRequest_RequestHeaders{}}, {},
+		{Request: &procv3.ProcessingRequest_RequestBody{}},
+		{Request: &procv3.ProcessingRequest_ResponseBody{}},
+		{Request: &procv3.ProcessingRequest_RequestTrailers{}},
+		{Request: &procv3.ProcessingRequest_ResponseTrailers{}},
+		{Request: &procv3.ProcessingRequest_RequestHeaders{}},
+		{},
 	} {
 		goldenResponse(t, &tr, "passed on", passOn(m))
 	}
