--- a/cmd/benchlink/link.go
+++ b/cmd/benchlink/link.go
@@ -65,13 +65,14 @@
 	}
 }
 
-func (l *link) complain(err error) { fmt.Fprintln(l.report, "benchlink: passed over:", err) }
+// complain reports a message that was passed over. A report that can't be written must not end the link.
+func (l *link) complain(err error) { _, _ = fmt.Fprintln(l.report, "benchlink: passed over:", err) }
 
 // guarded answers a panic of the module with the wire's fault message.
 func (l *link) guarded(who int64, call func() error) error {
 	defer func() {
 		if broken := recover(); broken != nil {
-			fmt.Fprintf(l.report, "benchlink: instance %d broke: %v\n%s", who, broken, debug.Stack())
+			_, _ = fmt.Fprintf(l.report, "benchlink: instance %d broke: %v\n%s", who, broken, debug.Stack())
 			l.reply.GiveIn(who, fmt.Sprint(broken))
 		}
 	}()
@@ -135,9 +136,9 @@
 		}
 		return err
 	case "invalidated":
-		object, group, age, err := m.Purged()
+		p, err := m.Purged()
 		if err == nil {
-			in.HandlePurge(now, object, group, age)
+			in.HandlePurge(now, p.Object, p.Group, p.Age)
 		}
 		return err
 	case "wakeup":
--- a/cmd/elderwall-operator/budgetsplay.go
+++ b/cmd/elderwall-operator/budgetsplay.go
@@ -4,10 +4,10 @@
 	"elderwall/core/cluster/quota"
 	"elderwall/emulator"
 	"elderwall/internal/chart"
+	"elderwall/internal/table"
 	"fmt"
 	"os"
 	"path/filepath"
-	"text/tabwriter"
 )
 
 // budgetsPlayCommand plays dispatchers that share a budget, with no sockets.
@@ -49,8 +49,8 @@
 // Run plays all of them, and prints a table.
 func (c *budgetsPlayCommand) Run() error {
 	var all []budgetPlayed
-	out := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(out, "case (simulated)\tway\tgiven\tused\tworst 10 s\tfair\tmost at the host\tfollowed after\tturned away\tbytes/s\tentries/s")
+	out := table.New(os.Stdout, columnGap, 0)
+	out.Println("case (simulated)\tway\tgiven\tused\tworst 10 s\tfair\tmost at the host\tfollowed after\tturned away\tbytes/s\tentries/s")
 	for _, name := range c.Cases {
 		change, ok := budgetCases[name]
 		if !ok {
@@ -74,7 +74,7 @@
 			if r.Follow >= 0 {
 				follow = fmt.Sprintf("%.0f s", r.Follow)
 			}
-			fmt.Fprintf(out, "%s\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.2f\t%s\t%.3f\t%.0f\t%.2f\n", name, way, r.Given, r.Used, r.Worst, r.Fair, r.Most, follow, r.Turned, r.Bytes, r.Entries)
+			out.Printf("%s\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.2f\t%s\t%.3f\t%.0f\t%.2f\n", name, way, r.Given, r.Used, r.Worst, r.Fair, r.Most, follow, r.Turned, r.Bytes, r.Entries)
 			line := chart.Series{Name: way, Y: r.Course}
 			for i := range r.Course {
 				line.X = append(line.X, float64(i))
--- a/cmd/elderwall-operator/duties.go
+++ b/cmd/elderwall-operator/duties.go
@@ -6,6 +6,7 @@
 	"elderwall/core/cluster/quota"
 	"elderwall/internal/cluster"
 	"elderwall/internal/snakejson"
+	"elderwall/internal/table"
 	"errors"
 	"fmt"
 	"maps"
@@ -16,7 +17,6 @@
 	"slices"
 	"strings"
 	"syscall"
-	"text/tabwriter"
 	"time"
 )
 
@@ -62,8 +62,8 @@
 	if c.JSON {
 		return printJSON(t)
 	}
-	out := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(out, "duty\tholder\ttoken\trest\tlease\tzone\tto\tmarked, told\twaiting")
+	out := table.New(os.Stdout, columnGap, 0)
+	out.Println("duty\tholder\ttoken\trest\tlease\tzone\tto\tmarked, told\twaiting")
 	for _, d := range t.Duties {
 		holder, rest := "nobody", "-"
 		if d.Held() {
@@ -80,7 +80,7 @@
 		if d.More > 0 {
 			waiting = append(waiting, fmt.Sprintf("%d more", d.More))
 		}
-		fmt.Fprintf(out, "%s\t%s\t%d\t%s\t%gs\t%s\t%s\t%d, %d\t%s\n", d.Name, holder, d.Token, rest, d.Length, d.Zone, d.To, d.Mark, d.Told, strings.Join(waiting, ", "))
+		out.Printf("%s\t%s\t%d\t%s\t%gs\t%s\t%s\t%d, %d\t%s\n", d.Name, holder, d.Token, rest, d.Length, d.Zone, d.To, d.Mark, d.Told, strings.Join(waiting, ", "))
 	}
 	return out.Flush()
 }
@@ -130,8 +130,8 @@
 	if c.JSON {
 		return printJSON(t)
 	}
-	out := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(out, "budget\tgeneration\twhole\tdivided\tfree\tspent\treserved\tkept\tneeded\tage")
+	out := table.New(os.Stdout, columnGap, 0)
+	out.Println("budget\tgeneration\twhole\tdivided\tfree\tspent\treserved\tkept\tneeded\tage")
 	for _, b := range t.Budgets {
 		unit := 1.0
 		if b.Kind == quota.Rate {
@@ -142,7 +142,7 @@
 			for _, p := range parts {
 				sum.Out, sum.Floor, sum.Keep, sum.Need, sum.Age = sum.Out+p.Out, sum.Floor+p.Floor, sum.Keep+p.Keep, sum.Need+p.Need, max(sum.Age, p.Age)
 			}
-			fmt.Fprintf(out, "%s\t%s\t%s\t%g\t%s\t%s\t%g\t%g\t%g\t%.1fs\n", name, generation, whole, float64(sum.Out)/unit, free, spent, float64(sum.Floor)/unit, float64(sum.Keep)/unit,
+			out.Printf("%s\t%s\t%s\t%g\t%s\t%s\t%g\t%g\t%g\t%.1fs\n", name, generation, whole, float64(sum.Out)/unit, free, spent, float64(sum.Floor)/unit, float64(sum.Keep)/unit,
 				float64(sum.Need)/unit, sum.Age)
 		}
 		of := func(n int64) string { return fmt.Sprint(float64(n) / unit) }
@@ -201,8 +201,8 @@
 	}
 	s := t.Council
 	fmt.Printf("leader %d, term %d, log %d\n", s.Leader, s.Term, s.Commit)
-	out := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(out, "disk\tdispatcher\tera\tpart\tlags by")
+	out := table.New(os.Stdout, columnGap, 0)
+	out.Println("disk\tdispatcher\tera\tpart\tlags by")
 	line := func(id uint64, part string) {
 		name, era := "?", uint32(0)
 		for _, seat := range t.Seats {
@@ -210,7 +210,7 @@
 				name, era = seat.Name, seat.Era
 			}
 		}
-		fmt.Fprintf(out, "%d\t%s\t%d\t%s\t%d\n", id, name, era, part, max(0, int64(s.Commit)-int64(s.Match[id])))
+		out.Printf("%d\t%s\t%d\t%s\t%d\n", id, name, era, part, max(0, int64(s.Commit)-int64(s.Match[id])))
 	}
 	for _, id := range s.Voters {
 		line(id, map[bool]string{true: "leads", false: "votes"}[id == s.Leader])
--- a/cmd/elderwall-operator/emulate.go
+++ b/cmd/elderwall-operator/emulate.go
@@ -3,11 +3,11 @@
 import (
 	"elderwall/emulator"
 	"elderwall/internal/scenario"
+	"elderwall/internal/table"
 	"fmt"
 	"io"
 	"os"
 	"slices"
-	"text/tabwriter"
 	"time"
 )
 
@@ -65,17 +65,17 @@
 
 // table prints what came of the runs; all of it is simulated.
 func (e *emulateCommand) table(to io.Writer, all []emulated) {
-	out := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(out, "scenario (simulated)\tseed\tGETs\tin time\tshed\terrored\thits\tforwards a GET\twasted\tlost\t50%\t99% ms\tconnects/s\tconnections\tcold most\tcopies 1/10/100/1000\twall s\tbroken")
+	out := table.New(to, columnGap, 0)
+	out.Println("scenario (simulated)\tseed\tGETs\tin time\tshed\terrored\thits\tforwards a GET\twasted\tlost\t50%\t99% ms\tconnects/s\tconnections\tcold most\tcopies 1/10/100/1000\twall s\tbroken")
 	line := func(name string, seed uint64, t emulator.Tally) {
-		fmt.Fprintf(out, "%s\t%d\t%d\t%.4f\t%d\t%d\t%.3f\t%.3f\t%d\t%d\t%.1f\t%.1f", name, seed, t.GETs, t.Share(), t.Shed, t.Errored,
+		out.Printf("%s\t%d\t%d\t%.4f\t%d\t%d\t%.3f\t%.3f\t%d\t%d\t%.1f\t%.1f", name, seed, t.GETs, t.Share(), t.Shed, t.Errored,
 			float64(t.Hits)/float64(max(1, t.Returned)), float64(t.Forwards)/float64(max(1, t.GETs+t.Again)), t.Wasted, t.Lost, t.P50, t.P99)
 	}
 	for _, r := range all {
 		if e.BySecond {
 			for i, t := range r.Seconds {
 				line(fmt.Sprintf("  second %d", i), r.Seed, t)
-				fmt.Fprintln(out, "\t\t\t\t\t\t")
+				out.Println("\t\t\t\t\t\t")
 			}
 		}
 		line(r.Scenario, r.Seed, r.Total)
@@ -91,7 +91,7 @@
 			rules = append(rules, fmt.Sprintf("%s (%d)", rule, n))
 		}
 		slices.Sort(rules)
-		fmt.Fprintf(out, "\t%.1f\t%.1f, %d\t%.2f\t%s\t%.1f\t%v\n", float64(r.Total.Connects)/r.Counted, r.Connections, r.MostConnections,
+		out.Printf("\t%.1f\t%.1f, %d\t%.2f\t%s\t%.1f\t%v\n", float64(r.Total.Connects)/r.Counted, r.Connections, r.MostConnections,
 			r.ColdMost, copies, r.Wall, rules)
 	}
 	_ = out.Flush()
--- a/cmd/elderwall-operator/fleet.go
+++ b/cmd/elderwall-operator/fleet.go
@@ -4,11 +4,12 @@
 	"context"
 	"elderwall/core/cluster/membership"
 	"elderwall/internal/cluster"
+	"elderwall/internal/table"
 	"fmt"
 	"io"
 	"os"
 	"os/signal"
-	"text/tabwriter"
+	"strings"
 	"time"
 
 	"github.com/dustin/go-humanize"
@@ -70,19 +71,23 @@
 }
 
 func list(to io.Writer, t cluster.Told) error {
-	fmt.Fprintf(to, "%s, %s: sees %d of %d (%s), sure %.2f", t.Self.Name, t.Standing, t.View.Seen, t.View.Of, t.Level, t.View.Sure)
+	var head strings.Builder
+	fmt.Fprintf(&head, "%s, %s: sees %d of %d (%s), sure %.2f", t.Self.Name, t.Standing, t.View.Seen, t.View.Of, t.Level, t.View.Sure)
 	if t.View.Doubt {
-		fmt.Fprint(to, ", doubts itself")
+		head.WriteString(", doubts itself")
 	}
 	if t.View.Differs > 0 {
-		fmt.Fprintf(to, ", %d see it otherwise", t.View.Differs)
+		fmt.Fprintf(&head, ", %d see it otherwise", t.View.Differs)
 	}
-	fmt.Fprintln(to)
+	head.WriteString("\n")
 	if t.Memory != nil {
-		listMemory(to, t.Memory)
+		describeMemory(&head, t.Memory)
 	}
-	out := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(out, "member\tstate\tsince\tzone\tincarnation\taddress\tlink\theard\tGETs/s\tsettings\taccused by")
+	if _, err := io.WriteString(to, head.String()); err != nil {
+		return err
+	}
+	out := table.New(to, columnGap, 0)
+	out.Println("member\tstate\tsince\tzone\tincarnation\taddress\tlink\theard\tGETs/s\tsettings\taccused by")
 	ago := func(at float64) string {
 		if at < 0 {
 			return "never"
@@ -94,13 +99,14 @@
 		if m.State == membership.Alive || m.State == membership.Left {
 			by = ""
 		}
-		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%d.%d\t%s\t%s\t%s\t%s\t%08x\t%s\n", m.Name, m.State, ago(m.Since), m.Zone, m.Incarnation>>32, uint32(m.Incarnation),
+		out.Printf("%s\t%s\t%s\t%s\t%d.%d\t%s\t%s\t%s\t%s\t%08x\t%s\n", m.Name, m.State, ago(m.Since), m.Zone, m.Incarnation>>32, uint32(m.Incarnation),
 			m.Address, m.Link, ago(m.Heard), humanize.Comma(int64(m.Load.GETs)), m.Generation, by)
 	}
 	return out.Flush()
 }
 
-func listMemory(to io.Writer, m *cluster.ToldMemory) {
+// describeMemory appends a line on what a dispatcher stores, and one for each kind of record.
+func describeMemory(to *strings.Builder, m *cluster.ToldMemory) {
 	standing := "has all that it heard of"
 	switch {
 	case m.Problem != "":
@@ -186,7 +192,7 @@
 type fleetKeyCommand struct{}
 
 // Run prints a key.
-func (fleetKeyCommand) Run() error {
+func (fleetKeyCommand) Run() error { //nolint:unparam // kong runs commands of this signature alone
 	fmt.Println(cluster.NewKey())
 	return nil
 }
--- a/cmd/elderwall-operator/fleetplay.go
+++ b/cmd/elderwall-operator/fleetplay.go
@@ -3,10 +3,10 @@
 import (
 	"elderwall/emulator"
 	"elderwall/internal/snakejson"
+	"elderwall/internal/table"
 	"fmt"
 	"os"
 	"slices"
-	"text/tabwriter"
 	"time"
 )
 
@@ -55,8 +55,8 @@
 			}
 		}
 	}
-	out := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(out, "members (simulated)\tloss\tprotocol\tseed\tfirst knows\thalf\t99%\twrong an hour\tdatagrams\tbytes\theal\twall s")
+	out := table.New(os.Stdout, columnGap, 0)
+	out.Println("members (simulated)\tloss\tprotocol\tseed\tfirst knows\thalf\t99%\twrong an hour\tdatagrams\tbytes\theal\twall s")
 	median := func(l []float64) string {
 		if len(l) == 0 {
 			return "-"
@@ -66,7 +66,7 @@
 		return fmt.Sprintf("%.1f", l[len(l)/2])
 	}
 	for _, r := range all {
-		fmt.Fprintf(out, "%d\t%g\t%s\t%d\t%s\t%s\t%s\t%.0f\t%.1f\t%.0f\t%.1f\t%.1f\n", r.MembersScenario.Members, r.Loss, r.Protocol, r.Seed, median(r.First), median(r.Half),
+		out.Printf("%d\t%g\t%s\t%d\t%s\t%s\t%s\t%.0f\t%.1f\t%.0f\t%.1f\t%.1f\n", r.MembersScenario.Members, r.Loss, r.Protocol, r.Seed, median(r.First), median(r.Half),
 			median(r.Known99), r.WrongHour, r.Datagrams, r.Bytes, r.Heal, r.Wall)
 	}
 	if err := out.Flush(); err != nil {
--- a/cmd/elderwall-operator/keys.go
+++ b/cmd/elderwall-operator/keys.go
@@ -2,6 +2,7 @@
 
 import (
 	"elderwall/core/admission"
+	"elderwall/internal/table"
 	"elderwall/internal/token"
 	"errors"
 	"fmt"
@@ -10,7 +11,6 @@
 	"path/filepath"
 	"slices"
 	"strings"
-	"text/tabwriter"
 	"time"
 )
 
@@ -135,7 +135,7 @@
 }
 
 // AfterApply tells each of the moves where it goes.
-func (k *keysCommand) AfterApply() error {
+func (k *keysCommand) AfterApply() error { //nolint:unparam // kong calls hooks of this signature alone
 	k.Activate.to, k.Retire.to = admission.Active, admission.Retiring
 	return nil
 }
@@ -164,7 +164,7 @@
 
 // move takes the steps of a key's life in their order; what is revoked stays so.
 func (m *moveKey) move(k *token.Key, now time.Time) error {
-	if k.State >= m.to && !(k.State == admission.Active && m.to == admission.Active) {
+	if k.State >= m.to && (k.State != admission.Active || m.to != admission.Active) {
 		return fmt.Errorf("key %q is %s, and never goes back", k.ID, token.StateName(k.State))
 	}
 	at := now
@@ -198,15 +198,15 @@
 	if err != nil {
 		return err
 	}
-	return table(os.Stdout, keys)
+	return listKeySet(os.Stdout, keys)
 }
 
-func table(to io.Writer, keys []*token.Key) error {
+func listKeySet(to io.Writer, keys []*token.Key) error {
 	slices.SortStableFunc(keys, func(a, b *token.Key) int { return int(a.State) - int(b.State) })
-	w := tabwriter.NewWriter(to, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(w, "key\talgorithm\tstate\tfrom\tuntil\tretired\ttenants")
+	w := table.New(to, columnGap, 0)
+	w.Println("key\talgorithm\tstate\tfrom\tuntil\tretired\ttenants")
 	for _, k := range keys {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", k.ID, k.Algorithm, token.StateName(k.State), moment(k.From),
+		w.Printf("%s\t%s\t%s\t%s\t%s\t%s\t%s\n", k.ID, k.Algorithm, token.StateName(k.State), moment(k.From),
 			moment(k.Until), moment(k.RetiredAt), strings.Join(k.Tenants, ","))
 	}
 	return w.Flush()
--- a/cmd/elderwall-operator/main.go
+++ b/cmd/elderwall-operator/main.go
@@ -12,6 +12,9 @@
 	"github.com/alecthomas/kong"
 )
 
+// columnGap is how many spaces stand between the columns of printed tables.
+const columnGap = 2
+
 // commands is the command line; without a word it serves.
 type commands struct {
 	Serve   serveCommand   `cmd:"" default:"withargs" help:"Serve GETs as PROXY_CONFIG says. This is what happens without a command."`
--- a/cmd/elderwall-operator/memoryplay.go
+++ b/cmd/elderwall-operator/memoryplay.go
@@ -5,13 +5,13 @@
 	"elderwall/core/cluster/replication"
 	"elderwall/emulator"
 	"elderwall/internal/chart"
+	"elderwall/internal/table"
 	"fmt"
 	"os"
 	"path/filepath"
 	"runtime"
 	"slices"
 	"sync"
-	"text/tabwriter"
 
 	"github.com/fxamacker/cbor/v2"
 )
@@ -65,11 +65,11 @@
 }
 
 // sheet prints a table in Markdown.
-type sheet struct{ *tabwriter.Writer }
+type sheet struct{ *table.Writer }
 
 func newSheet(title string, columns ...any) sheet {
 	fmt.Println(title)
-	s := sheet{tabwriter.NewWriter(os.Stdout, 0, 0, 1, ' ', 0)}
+	s := sheet{table.New(os.Stdout, 1, 0)}
 	s.row(columns...)
 	line := make([]any, len(columns))
 	for i := range line {
@@ -84,9 +84,9 @@
 		if f, ok := c.(float64); ok {
 			c = fmt.Sprintf("%.4g", f)
 		}
-		fmt.Fprintf(s, "| %v\t", c)
+		s.Printf("| %v\t", c)
 	}
-	fmt.Fprintln(s, "|")
+	s.Println("|")
 }
 
 func (s sheet) end() { _ = s.Flush(); fmt.Println() }
--- a/cmd/elderwall-operator/pages_test.go
+++ b/cmd/elderwall-operator/pages_test.go
@@ -213,7 +213,7 @@
 				c.fault(name, "no command has a flag --%s", flag)
 			case call != nil && call[0] == span && call[1] != "":
 				c.call(name, call[1], false)
-			case innerCall.MatchString(span) && !(i == 0 && strings.HasPrefix(line, "| ")): // there it is a line of the log
+			case innerCall.MatchString(span) && (i != 0 || !strings.HasPrefix(line, "| ")): // there it is a line of the log
 				c.call(name, span, false)
 			case strings.HasSuffix(span, ".md") || strings.HasSuffix(span, ".jsonnet") || strings.HasSuffix(span, ".go") && strings.Contains(span, "/"):
 				c.named(name, span)
--- a/cmd/elderwall/deploy_test.go
+++ b/cmd/elderwall/deploy_test.go
@@ -35,7 +35,7 @@
 	out, err := build.CombinedOutput()
 	require.NoError(t, err, "%s", out)
 	program := need.Of(elf.Open(path))(t)
-	defer program.Close()
+	t.Cleanup(func() { assert.NoError(t, program.Close()) })
 	assert.Contains(t, need.Of(program.ImportedLibraries())(t), "libc.so.6")
 
 	// Nothing stands beside it here that it could become; it ends by itself for want of a configuration.
--- a/internal/benchwire/decode.go
+++ b/internal/benchwire/decode.go
@@ -170,17 +170,26 @@
 	return get, err
 }
 
+// Purge is what a purge names.
+type Purge struct {
+	Object string // all of the group where empty
+	Group  int
+	Age    float64 // s
+}
+
 // Purged reads a purge; an object that is 0 or absent is the empty one.
-func (m Message) Purged() (object string, group int, age float64, err error) {
+func (m Message) Purged() (Purge, error) {
+	var p Purge
 	var key json.RawMessage
 	var us int64
-	if err = m.read(&key, &group, &us); err != nil {
-		return "", 0, 0, err
+	if err := m.read(&key, &p.Group, &us); err != nil {
+		return Purge{}, err
 	}
 	if s := string(key); s != "0" && s != "null" {
-		if err = json.Unmarshal(key, &object); err != nil {
-			return "", 0, 0, fmt.Errorf("%s: key: %w", m.Name, err)
+		if err := json.Unmarshal(key, &p.Object); err != nil {
+			return Purge{}, fmt.Errorf("%s: key: %w", m.Name, err)
 		}
 	}
-	return object, group, seconds(us), nil
+	p.Age = seconds(us)
+	return p, nil
 }
--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -95,7 +95,7 @@
 			return nil, fmt.Errorf("%q is no authority", c.Subject)
 		}
 		m.Authorities.AddCert(c)
-		m.Prints = append(m.Prints, print(c))
+		m.Prints = append(m.Prints, fingerprint(c))
 		roots = append(roots, c)
 	}
 	return roots, nil
@@ -143,7 +143,7 @@
 	return admission.Serial{Issuer: hex.EncodeToString(sum[:]), Number: number.Text(16)}
 }
 
-func print(c *x509.Certificate) string {
+func fingerprint(c *x509.Certificate) string {
 	sum := sha256.Sum256(c.Raw)
 	return hex.EncodeToString(sum[:])
 }
@@ -221,7 +221,7 @@
 	seen := map[string]bool{}
 	for _, chain := range s.VerifiedChains {
 		for _, above := range chain[1:] {
-			if p := print(above); !seen[p] {
+			if p := fingerprint(above); !seen[p] {
 				seen[p] = true
 				f.Authorities = append(f.Authorities, p)
 			}
--- a/internal/changelog/changelog.go
+++ b/internal/changelog/changelog.go
@@ -141,7 +141,7 @@
 		return err
 	case address := <-f.Moves:
 		stop()
-		<-ended
+		<-ended //nolint:errcheck // it was stopped, whatever it says
 		f.move(address)
 		return errMoved
 	}
--- a/internal/configfile/strict.go
+++ b/internal/configfile/strict.go
@@ -28,6 +28,7 @@
 	All  []error
 }
 
+// Add adds a fault of what stands at a path of keys, with its line where it has one.
 func (f *Faults) Add(path []string, format string, v ...any) {
 	where := f.File
 	if line := line(f.tree, path); line > 0 {
--- a/internal/contract/kind.go
+++ b/internal/contract/kind.go
@@ -55,6 +55,10 @@
 	}
 	fail := func(law string, of ...V) { t.Fatalf("not %s: %s", law, fmt.Sprintf("%v", of)) }
 	sign := func(a, b V) int { return cmp.Compare(k.Compare(a, b), 0) }
+	steady := func(a, b V) bool {
+		first, second := sign(a, b), sign(a, b)
+		return first == second
+	}
 	for _, a := range all {
 		switch {
 		case k.Compare(a, a) != 0:
@@ -67,7 +71,7 @@
 			switch {
 			case sign(a, b) != -sign(b, a):
 				fail("an order", a, b)
-			case sign(a, b) != sign(a, b):
+			case !steady(a, b):
 				fail("the same each time", a, b)
 			case !same(ab, merge(b, a)):
 				fail("commutative", a, b)
--- a/internal/contract/kind_test.go
+++ b/internal/contract/kind_test.go
@@ -24,7 +24,7 @@
 		Bytes: func(v law) []byte { return []byte{byte(v.number), v.name} },
 		Check: func(b []byte) error {
 			if fault == "panics" && len(b) == 1 && b[0] > 100 {
-				_ = b[len(b)]
+				_ = b[len(b)] //nolint:gocritic // this fault is a check that panics
 			}
 			if fault != "takes all" && (len(b) != 2 || b[0] > 4 || b[1] > 3 || fault == "refuses what is right" && b[0] == 2) {
 				return errors.New("no law")
@@ -98,7 +98,6 @@
 	newest       []map[string]Note
 	total        []Note
 	at           []int
-	passed       int
 }
 
 func plainChannels(order, fault string) Channels {
--- a/internal/dispatcher/hosts.go
+++ b/internal/dispatcher/hosts.go
@@ -109,7 +109,7 @@
 			h.phase = routing.Removed // what was to go to this address does not
 			h.Leave()
 		}
-		wait := clock.Duration(endpoints.First(n.Settings.Settings.Seed, e.ID, together))
+		wait := clock.Duration(endpoints.First(n.Settings.Seed, e.ID, together))
 		h = &host{Host: upstream.New(told.Address, n.Options, wait), name: told.ID, address: told.Address}
 		n.hosts[e.ID] = h
 	}
--- a/internal/dispatcher/node_test.go
+++ b/internal/dispatcher/node_test.go
@@ -283,7 +283,7 @@
 	o, end := rig.Life(t)
 	r.Node = New(Config{Settings: rig.Settings(100_000), Clock: clock.New(), Options: o, Connections: 100, Joins: joins})
 	r.Take(rig.Whole(r.hosts.Entries...))
-	o.Group.Go(func() error { return r.Node.Run(o.Context) })
+	o.Group.Go(func() error { return r.Run(o.Context) })
 	t.Cleanup(func() {
 		select {
 		case <-r.wait:
@@ -291,8 +291,8 @@
 			close(r.wait)
 		}
 		end()
-		r.Node.mu.Lock()
-		defer r.Node.mu.Unlock()
+		r.mu.Lock()
+		defer r.mu.Unlock()
 		assert.Empty(t, r.Node.gets, "nothing is held")
 		for _, c := range r.clients {
 			assert.LessOrEqual(t, c.N.Load(), int32(1), "one answer")
--- a/internal/downstream/call.go
+++ b/internal/downstream/call.go
@@ -60,7 +60,7 @@
 // Open tells whether an answer is owed still. Guards against an attempt that begins for a client that has left while the goroutine that reads its
 // connection is held up in the handler: the connection itself is asked then.
 func (c *Call) Open() bool {
-	return c.isOpen() && !(c.conn.handing.Load() && hungUp(c.conn.raw))
+	return c.isOpen() && (!c.conn.handing.Load() || !hungUp(c.conn.raw))
 }
 
 func (c *Call) isOpen() bool {
--- a/internal/downstream/close_test.go
+++ b/internal/downstream/close_test.go
@@ -10,6 +10,7 @@
 	"encoding/binary"
 	"io"
 	"net"
+	"slices"
 	"sync"
 	"sync/atomic"
 	"testing"
@@ -88,7 +89,7 @@
 			need.Sent(t, c)
 			(<-h.calls).Serve(body(s, "bytes"), false)
 			need.Soon(t, s.Quiet, "the answer is written")
-			second := append(tt.second, 0x7f, 0, 0, 0)
+			second := append(slices.Clone(tt.second), 0x7f, 0, 0, 0)
 			need.Of(c.Conn.Write(second))(t)
 			<-l.read
 			need.Of(c.Conn.Write(make([]byte, 1000)))(t) // unread when the connection closes
--- a/internal/extproc/extproc_test.go
+++ b/internal/extproc/extproc_test.go
@@ -91,7 +91,7 @@
 	}
 	n.Take(rigs.Whole(entries...))
 	o.Group.Go(func() error { return n.Run(o.Context) })
-	o.Group.Go(func() error { return r.Server.Serve(o.Context, &firstFails{Listener: l}) })
+	o.Group.Go(func() error { return r.Serve(o.Context, &firstFails{Listener: l}) })
 	r.answer = ok
 	need.Soon(t, func() bool { return r.health() == healthpb.HealthCheckResponse_SERVING })
 	return r
@@ -471,7 +471,7 @@
 	r := newRig(t, nil)
 	var stop atomic.Bool
 	var shed, other atomic.Int64
-	time.AfterFunc(50*time.Millisecond, r.Server.Close)
+	time.AfterFunc(50*time.Millisecond, r.Close)
 	var all sync.WaitGroup
 	all.Go(func() {
 		r.crowd(1, 8, func(p *proxy.Proxy, k int) {
--- a/internal/extproc/rules.go
+++ b/internal/extproc/rules.go
@@ -177,25 +177,32 @@
 	return true
 }
 
-// reply reads a response's headers.
-func (r *Rules) reply(m *corev3.HeaderMap) (_ proxycall.Reply, note string, p hostproto.Proofs, _ error) {
+// response is what the headers of a host's response tell.
+type response struct {
+	reply  proxycall.Reply
+	note   string
+	proofs hostproto.Proofs // none where no devices are told apart
+}
+
+// response reads a response's headers.
+func (r *Rules) response(m *corev3.HeaderMap) (response, error) {
 	h, err := headers(m, longestHead)
 	if err != nil {
-		return proxycall.Reply{}, "", p, err
+		return response{}, err
 	}
 	status, err := strconv.Atoi(h[statusName])
 	if err != nil || status < 100 || status > 999 {
-		return proxycall.Reply{}, "", p, fmt.Errorf("%w: status", ErrBad)
+		return response{}, fmt.Errorf("%w: status", ErrBad)
 	}
-	note = h[r.Prefix+"note"]
-	reply := proxycall.Reply{Status: status, Full: note == "full", Age: -1}
+	got := response{note: h[r.Prefix+"note"]}
+	got.reply = proxycall.Reply{Status: status, Full: got.note == "full", Age: -1}
 	if age, err := strconv.ParseFloat(h[ageName], 64); err == nil && age >= 0 {
-		reply.Age = age
+		got.reply.Age = age
 	}
 	if r.Devices != nil {
-		p = r.proofs(h)
+		got.proofs = r.proofs(h)
 	}
-	return reply, note, p, nil
+	return got, nil
 }
 
 // proofs is what a response tells of its content. A weak tag proves nothing (RFC 9110, section 8.8.1).
--- a/internal/extproc/server.go
+++ b/internal/extproc/server.go
@@ -4,7 +4,6 @@
 	"cmp"
 	"context"
 	crypto "crypto/rand"
-	"crypto/tls"
 	"elderwall/core/admission"
 	"elderwall/core/proxycall"
 	"elderwall/core/routing"
@@ -232,7 +231,6 @@
 	ask    *ask // nil before it has asked, and where it went on unrouted
 	asked  bool
 	told   bool // a response was told
-	ended  bool // the proxy was given its final answer: nothing more may come
 	closes time.Time
 }
 
@@ -304,8 +302,8 @@
 			_, _ = sum.Write(at.Addr().AsSlice())
 		}
 		if secured, ok := p.AuthInfo.(credentials.TLSInfo); ok {
-			if conn.Certificate = certs.Facts(tls.ConnectionState(secured.State)); conn.Certificate != nil {
-				_, _ = sum.Write([]byte(conn.Certificate.Serial.Issuer + conn.Certificate.Serial.Number))
+			if conn.Certificate = certs.Facts(secured.State); conn.Certificate != nil {
+				_, _ = sum.Write([]byte(conn.Certificate.Issuer + conn.Certificate.Number))
 			}
 		}
 	}
@@ -402,7 +400,7 @@
 		return false
 	}
 	select {
-	case st.Server.wake <- struct{}{}:
+	case st.wake <- struct{}{}:
 	default:
 	}
 	return true
@@ -453,7 +451,7 @@
 	st.Counts.ProxyLate.Add(1)
 	st.abandon(a)
 	st.ask = nil
-	if st.Options.Open {
+	if st.Open {
 		return continueRequest(nil)
 	}
 	return st.Rules.immediate(&final{status: statusShed, wait: 1})
@@ -478,7 +476,7 @@
 	if a == nil || a.current() == nil { // it went on unrouted
 		return continueResponse(nil), nil
 	}
-	reply, note, tells, err := st.Rules.reply(h.GetHeaders())
+	got, err := st.Rules.response(h.GetHeaders())
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
@@ -489,12 +487,12 @@
 	route.End(func(oldest float64) (routing.Outcome, routing.Note, bool) {
 		st.mu.Lock()
 		defer st.mu.Unlock()
-		if route.Good != nil && reply.Status < statusBad && !route.Good(tells) {
-			reply.Age, oldest = -1, math.MaxFloat64 // as one that is too old: another is to be asked for
+		if route.Good != nil && got.reply.Status < statusBad && !route.Good(got.proofs) {
+			got.reply.Age, oldest = -1, math.MaxFloat64 // as one that is too old: another is to be asked for
 		}
-		proof := st.table.Replied(st.Clock.Now(), a.row, reply, oldest, route.HeldOnly)
+		proof := st.table.Replied(st.Clock.Now(), a.row, got.reply, oldest, route.HeldOnly)
 		proofs <- proof
-		return outcomes[proof], notes[note], proof != proxycall.Nothing
+		return outcomes[proof], notes[got.note], proof != proxycall.Nothing
 	})
 	by := time.NewTimer(time.Duration(st.Decide * float64(time.Second)))
 	defer by.Stop()
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -46,19 +46,23 @@
 	object uint64
 	part   int
 	again  int // times that it may come again
-	left   bool
+}
+
+// window is the time that a case takes up.
+type window struct {
+	counts time.Time // from when on it counts
+	ends   time.Time
 }
 
 // client is one connection.
 type client struct {
 	Case
-	token   string
-	number  int
-	net     net.Conn
-	chance  *rand.Rand
-	zipf    *rand.Zipf
-	counts  time.Time // from when on it counts
-	ends    time.Time
+	token  string
+	number int
+	net    net.Conn
+	chance *rand.Rand
+	zipf   *rand.Zipf
+	window
 	tally   *Tally
 	pending sync.WaitGroup // timers
 
@@ -71,14 +75,14 @@
 	over  bool
 }
 
-func dial(address string, c Case, token string, number int, seed uint64, counts, ends time.Time) (*client, error) {
+func dial(address string, c Case, o PlayOptions, number int, during window) (*client, error) {
 	conn, err := net.DialTimeout("tcp", address, 5*time.Second)
 	if err != nil {
 		return nil, fmt.Errorf("load: %w", err)
 	}
 	cl := &client{
-		Case: c, token: token, number: number, net: conn, counts: counts, ends: ends, tally: newTally(),
-		chance: rand.New(rand.NewPCG(seed, uint64(number))), open: map[int32]shot{}, space: make(chan struct{}, 1),
+		Case: c, token: o.Token, number: number, net: conn, window: during, tally: newTally(),
+		chance: rand.New(rand.NewPCG(o.Seed, uint64(number))), open: map[int32]shot{}, space: make(chan struct{}, 1),
 	}
 	if c.Zipf > 0 {
 		cl.zipf = rand.NewZipf(cl.chance, c.Zipf, 1, uint64(c.Objects-1))
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -58,8 +58,8 @@
 	p := &peer{process: process}
 	p.Server = &downstream.Server{Handler: p, Log: o.Log, Counts: o.Counts, Room: o.Room, Most: 100}
 	l := need.Listener(t)
-	o.Group.Go(func() error { return p.Server.Serve(o.Context, l) })
-	return need.Of(Play(l.Addr().String(), c, "", rate, 1, warm, seconds))(t), p
+	o.Group.Go(func() error { return p.Serve(o.Context, l) })
+	return need.Of(Play(l.Addr().String(), c, PlayOptions{Rate: rate, Seed: 1, Warm: warm, Seconds: seconds}))(t), p
 }
 
 var small = Case{Connections: 2, UnderWay: 4, Objects: 10, Parts: 2, Service: "segment", Budget: 0.5}
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"elderwall/internal/standin"
+	"elderwall/internal/table"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -11,11 +12,11 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"strconv"
 	"strings"
 	"sync"
 	"syscall"
-	"text/tabwriter"
 	"time"
 )
 
@@ -86,7 +87,7 @@
 
 func (r *Runner) farm() (*farm, error) {
 	o := r.Plan.Farm
-	words := append(r.Farm[1:], fmt.Sprint("--caches=", o.Caches), fmt.Sprint("--parents=", o.Parents), fmt.Sprint("--bytes=", o.Bytes),
+	words := append(slices.Clone(r.Farm[1:]), fmt.Sprint("--caches=", o.Caches), fmt.Sprint("--parents=", o.Parents), fmt.Sprint("--bytes=", o.Bytes),
 		fmt.Sprint("--holds=", o.Holds), fmt.Sprint("--fill=", o.Fill), fmt.Sprint("--serve=", o.Serve))
 	f := &farm{command: exec.Command(r.Farm[0], words...)}
 	f.command.Stderr = os.Stderr
@@ -143,7 +144,7 @@
 	address := l.Addr().String()
 	_ = l.Close()
 	config := filepath.Join(dir, "config.json")
-	text := standin.Platform(address, f.changes, "", 20000, s.Cores, s.MemoryMB, s.Sockets)
+	text := standin.Platform(address, f.changes, "", 20000, standin.Limits{Cores: s.Cores, MemoryMB: s.MemoryMB, Sockets: s.Sockets})
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 		return err
 	}
@@ -213,7 +214,9 @@
 	}
 	cpu, _ := usage(pid)
 	began := time.Now()
-	tally, err := Play(address, c, s.Token, rate, r.Plan.Seed+round, r.Plan.Warm, r.Plan.Seconds)
+	tally, err := Play(address, c, PlayOptions{
+		Token: s.Token, Rate: rate, Seed: r.Plan.Seed + round, Warm: r.Plan.Warm, Seconds: r.Plan.Seconds,
+	})
 	if err != nil {
 		return err
 	}
@@ -238,13 +241,22 @@
 	return nil
 }
 
+// PlayOptions are what a case is played with.
+type PlayOptions struct {
+	Token   string  // of all GETs; none where empty
+	Rate    float64 // GETs a second over all connections; as many as are answered where 0
+	Seed    uint64
+	Warm    float64 // s before anything counts
+	Seconds float64 // s that count
+}
+
 // Play plays one case against an address.
-func Play(address string, c Case, token string, rate float64, seed uint64, warm, seconds float64) (*Tally, error) {
-	counts := time.Now().Add(duration(warm))
-	ends := counts.Add(duration(seconds))
+func Play(address string, c Case, o PlayOptions) (*Tally, error) {
+	counts := time.Now().Add(duration(o.Warm))
+	during := window{counts: counts, ends: counts.Add(duration(o.Seconds))}
 	var clients []*client
 	for i := range c.Connections {
-		one, err := dial(address, c, token, i, seed, counts, ends)
+		one, err := dial(address, c, o, i, during)
 		if err != nil {
 			for _, open := range clients {
 				_ = open.net.Close()
@@ -255,9 +267,9 @@
 	}
 	all, tallies := sync.WaitGroup{}, make([]*Tally, len(clients))
 	for i, one := range clients {
-		part := rate * (1 - c.Skew) / float64(len(clients))
+		part := o.Rate * (1 - c.Skew) / float64(len(clients))
 		if i == 0 {
-			part += rate * c.Skew
+			part += o.Rate * c.Skew
 		}
 		all.Go(func() { tallies[i] = one.run(part) })
 	}
@@ -289,8 +301,8 @@
 
 // Table writes results as a table.
 func Table(to io.Writer, all []*Result) error {
-	w := tabwriter.NewWriter(to, 0, 8, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "case\tsubject\tGETs/s\trate\t50% ms\t99%\t99.9%\tmax\tCPU µs\tkB\trefused\tfailed\tleft\tlost\thits\tfills\tcopies\t")
+	w := table.New(to, 2, table.AlignRight)
+	w.Println("case\tsubject\tGETs/s\trate\t50% ms\t99%\t99.9%\tmax\tCPU µs\tkB\trefused\tfailed\tleft\tlost\thits\tfills\tcopies\t")
 	for _, r := range all {
 		hits := 0.0
 		if r.Farm.Requests > 0 {
@@ -300,7 +312,7 @@
 		if r.Farm.Items > 0 {
 			copies = float64(r.Farm.Copies) / float64(r.Farm.Items)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%.0f\t%.0f\t%.2f\t%.2f\t%.2f\t%.1f\t%.1f\t%d\t%d\t%d\t%d\t%d\t%.3f\t%d\t%.2f\t\n", r.Case, r.Subject, r.PerSecond, r.Rate,
+		w.Printf("%s\t%s\t%.0f\t%.0f\t%.2f\t%.2f\t%.2f\t%.1f\t%.1f\t%d\t%d\t%d\t%d\t%d\t%.3f\t%d\t%.2f\t\n", r.Case, r.Subject, r.PerSecond, r.Rate,
 			r.P50, r.P99, r.P999, r.Max, r.CPU, r.Resident, r.Refused, r.Failed, r.Left, r.Unanswered+r.Broken, hits, r.Farm.Fills, copies)
 	}
 	return w.Flush()
--- a/internal/multicore/cores_test.go
+++ b/internal/multicore/cores_test.go
@@ -114,10 +114,10 @@
 	}
 }
 
-// stall holds a shard up, and gives what lets it go on.
-func (r *rig) stall(shard int) (goOn func()) {
+// stallFirst holds the first shard up, and gives what lets it go on.
+func (r *rig) stallFirst() (goOn func()) {
 	held, on := make(chan bool), make(chan bool)
-	go r.places.Load().nodes[shard].Within(func() { close(held); <-on })
+	go r.places.Load().nodes[0].Within(func() { close(held); <-on })
 	<-held
 	return func() { close(on) }
 }
@@ -154,7 +154,7 @@
 		r.ask(a, "obj", name, "nth", "0")
 	}
 	r.hosts.Asked()
-	goOn := r.stall(0)
+	goOn := r.stallFirst()
 	time.Sleep(10 * time.Millisecond)
 	late := r.send(a, "obj", still, "nth", "0", "budget", "300") // waits in line
 	r.send(a, "obj", still, "nth", "0", "budget", "30000")
@@ -207,7 +207,7 @@
 	name, c := r.of(0), r.dial()
 	r.send(c, "obj", name, "nth", "0", "budget", "30000")
 	need.Soon(t, func() bool { return r.sum().Forwards.Load() == 1 })
-	goOn := r.stall(0)
+	goOn := r.stallFirst()
 	r.Take(rigs.Purge(name))
 	close(up)
 	time.Sleep(20 * time.Millisecond) // for the connection; whatever comes first, nothing may go out as it was decided
@@ -360,7 +360,7 @@
 	wait, c, name := r.hosts.Hold(), r.dial(), r.of(0)
 	held := r.send(c, "obj", name, "nth", "0")
 	need.Soon(t, func() bool { n, _ := r.hosts.Count(); return n > 0 })
-	goOn := r.stall(0)
+	goOn := r.stallFirst()
 	for range 5000 {
 		r.places.Load().nodes[0].Turn(make(chan sharding.Report, 1))
 	}
--- a/internal/multicore/left_test.go
+++ b/internal/multicore/left_test.go
@@ -44,15 +44,15 @@
 	need.Soon(l, func() bool { return l.gaveUp.Load() > before })
 }
 
-// deciding waits until so many forwards were decided on.
-func (l *leaver) deciding(n int64) {
-	need.Soon(l, func() bool { return l.sum().Forwards.Load() == n })
+// hasDecided waits until one forward was decided on.
+func (l *leaver) hasDecided() {
+	need.Soon(l, func() bool { return l.sum().Forwards.Load() == 1 })
 }
 
 // stalls holds the first shard up by another goroutine than that which reads from the client: a probe is answered once that reads again.
 func (l *leaver) stalls() (goOn func()) {
 	need.Of(probe(l.Client))(l)
-	return l.stall(0)
+	return l.stallFirst()
 }
 
 // hold has connections to hosts wait until they are let up.
@@ -80,14 +80,14 @@
 		"for a connection": {nil, func(l *leaver) {
 			up := l.hold()
 			l.asks()
-			l.deciding(1)
+			l.hasDecided()
 			l.goes()
 			up()
 		}, false},
 		"for a connection to hosts that can't be told to stop": {func(c *dispatcher.Config) { c.Settings.CanCancel = false }, func(l *leaver) {
 			up := l.hold()
 			l.asks()
-			l.deciding(1)
+			l.hasDecided()
 			l.goes()
 			l.settled(0)
 			up()
@@ -96,7 +96,7 @@
 		"for a connection, while its shard stands still": {nil, func(l *leaver) {
 			up := l.hold()
 			l.asks()
-			l.deciding(1)
+			l.hasDecided()
 			goOn := l.stalls()
 			l.goes()
 			up()
@@ -104,7 +104,7 @@
 			goOn()
 		}, false},
 		"in the line of a shard that stands still": {nil, func(l *leaver) {
-			goOn := l.stall(0)
+			goOn := l.stallFirst()
 			l.asks()
 			need.Soon(l, func() bool { return l.sum().GETs.Load() == 1 })
 			l.goes()
@@ -128,7 +128,7 @@
 		"for a connection, in a shard that goes": {nil, func(l *leaver) {
 			up := l.hold()
 			l.asks("obj", l.of(1))
-			l.deciding(1)
+			l.hasDecided()
 			l.Resize(1)
 			l.goes()
 			up()
@@ -136,7 +136,7 @@
 		"for a connection, in a shard that breaks": {nil, func(l *leaver) {
 			up := l.hold()
 			l.asks()
-			l.deciding(1)
+			l.hasDecided()
 			goOn := l.stalls()
 			l.goes()
 			go l.places.Load().nodes[0].Within(func() { panic("broken") })
@@ -147,7 +147,7 @@
 		"behind the forward of another": {joins, func(l *leaver) {
 			wait, lead := l.hosts.Hold(), l.dial()
 			l.send(lead, "obj", l.of(0), "nth", "0")
-			l.deciding(1)
+			l.hasDecided()
 			l.asks()
 			need.Soon(l, func() bool { return l.sum().Joined.Load() == 1 })
 			l.goes()
@@ -157,7 +157,7 @@
 		"behind a forward for a connection, whose own client has left": {joins, func(l *leaver) {
 			up, lead := l.hold(), l.dial()
 			seq := l.send(lead, "obj", l.of(0), "nth", "0")
-			l.deciding(1)
+			l.hasDecided()
 			l.asks()
 			need.Soon(l, func() bool { return l.sum().Joined.Load() == 1 })
 			l.leave(lead, seq)
@@ -167,7 +167,7 @@
 		"with a forward for a connection that another waits for, while its shard stands still": {joins, func(l *leaver) {
 			up, follows := l.hold(), l.dial()
 			l.asks()
-			l.deciding(1)
+			l.hasDecided()
 			l.send(follows, "obj", l.of(0), "nth", "0")
 			need.Soon(l, func() bool { return l.sum().Joined.Load() == 1 })
 			goOn := l.stalls()
--- a/internal/service/descriptors_test.go
+++ b/internal/service/descriptors_test.go
@@ -39,7 +39,7 @@
 
 // configure writes its configuration, with a change log to follow.
 func (l *limited) configure(changes string) {
-	text := standin.Platform(l.listen, changes, "", 20000, 1, 64, l.descriptors)
+	text := standin.Platform(l.listen, changes, "", 20000, standin.Limits{Cores: 1, MemoryMB: 64, Sockets: l.descriptors})
 	require.NoError(l.t, os.WriteFile(l.file, []byte(text), 0o600))
 }
 
@@ -78,8 +78,7 @@
 		assert.NoError(l.t, err)
 	case <-time.After(10 * time.Second):
 		_ = l.Process.Kill()
-		<-ended
-		assert.Fail(l.t, "it does not end")
+		assert.Fail(l.t, "it does not end", "killed: %v", <-ended)
 	}
 }
 
--- a/internal/service/killed_test.go
+++ b/internal/service/killed_test.go
@@ -64,9 +64,8 @@
 			case err := <-ended:
 				assert.NoError(t, err)
 			case <-kill:
-				assert.Fail(t, "it has not ended by itself")
 				_ = p.Process.Kill()
-				<-ended
+				assert.Fail(t, "it has not ended by itself", "killed: %v", <-ended)
 			}
 			clients.all.Wait()
 			assert.Positive(t, clients.answered.Load())
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -358,7 +358,7 @@
 		t.Run(fmt.Sprint(descriptors), func(t *testing.T) {
 			l := startLimited(t, farm.Changes.Address, descriptors)
 			l.ready()
-			got := need.Of(load.Play(l.listen, load.Case{Connections: 8, UnderWay: 8, Objects: 1 << 24, Service: "segment", Budget: 60}, "", 0, 1, 0, 1.5))(t)
+			got := need.Of(load.Play(l.listen, load.Case{Connections: 8, UnderWay: 8, Objects: 1 << 24, Service: "segment", Budget: 60}, load.PlayOptions{Seed: 1, Seconds: 1.5}))(t)
 			l.end()
 			var counts struct{ GETs, Returned, Shed, Errored, Unreached, PartlyWritten, Unanswered int64 }
 			lines := strings.Split(l.log.String(), "\n")
--- a/internal/snakejson/snake.go
+++ b/internal/snakejson/snake.go
@@ -65,7 +65,7 @@
 			return plain(out, s.String())
 		}
 	}
-	if v.Type().Implements(marshaler) && !(v.Kind() == reflect.Pointer && v.IsNil()) {
+	if v.Type().Implements(marshaler) && (v.Kind() != reflect.Pointer || !v.IsNil()) {
 		return plain(out, v.Interface())
 	}
 	switch v.Kind() {
--- a/internal/standin/config.go
+++ b/internal/standin/config.go
@@ -27,14 +27,21 @@
 
 // Config is a platform's configuration for a dispatcher, with events known at its start and so many GETs held.
 func Config(listen, changelog, events string, held int) string {
-	return Platform(listen, changelog, events, held, 1, 192, 1024)
+	return Platform(listen, changelog, events, held, Limits{Cores: 1, MemoryMB: 192, Sockets: 1024})
 }
 
-// Platform is the same with limits on cores, MB and descriptors.
-func Platform(listen, changelog, events string, held, cores, memory, sockets int) string {
+// Limits are those that a platform sets for a dispatcher.
+type Limits struct {
+	Cores    int
+	MemoryMB int
+	Sockets  int // descriptors
+}
+
+// Platform is Config with limits of its own.
+func Platform(listen, changelog, events string, held int, limits Limits) string {
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"8c1f30d27a5be964","limits":{"cores":%d,"memory_mb":%d,"sockets":%d},
 "changelog":%q,"flow_bytes_per_s":1,"link_bytes_per_s":1,"known":{"seq":0,"results":[%s]},"settings":%s}`,
-		listen, cores, memory, sockets, changelog, events, fmt.Sprintf(settingsText, held))
+		listen, limits.Cores, limits.MemoryMB, limits.Sockets, changelog, events, fmt.Sprintf(settingsText, held))
 }
 
 // List is an event with a list of hosts, each given as "id address kind state".
--- a/internal/standin/processes/processes.go
+++ b/internal/standin/processes/processes.go
@@ -223,7 +223,7 @@
 	if p.Told != "" {
 		told = p.Told
 	}
-	platform := standin.Platform(p.HTTP, told, "", 1000, 1, 192, 1024)
+	platform := standin.Platform(p.HTTP, told, "", 1000, standin.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024})
 	check(os.WriteFile(filepath.Join(p.Dir, "config.json"), []byte(platform), 0o600))
 	check(os.WriteFile(filepath.Join(p.Dir, "operator.jsonnet"), []byte(r.Operator(p)), 0o600))
 }
--- a/internal/standin/rig/rig.go
+++ b/internal/standin/rig/rig.go
@@ -79,11 +79,12 @@
 	return changelog.Host{ID: id, Address: address, Zone: "z", Kind: "std", State: state, Weight: 1}
 }
 
-// Changes is an event that tells of hosts; Whole is one that has them all.
+// Changes is an event that tells of hosts.
 func Changes(hosts ...changelog.Host) changelog.Event {
 	return changelog.Event{Fleet: &changelog.Fleet{Hosts: hosts}}
 }
 
+// Whole is an event that has all hosts.
 func Whole(hosts ...changelog.Host) changelog.Event {
 	return changelog.Event{Fleet: &changelog.Fleet{Reset: true, Hosts: hosts}}
 }
@@ -126,7 +127,7 @@
 // Free has them wait with nothing new.
 func (h *Hosts) Free() { h.wait.Store(nil) }
 
-// Asked is what they were asked since the last time, Count how much there ever was, and how many STOPs.
+// Asked is what they were asked since the last time.
 func (h *Hosts) Asked() (all []standin.Ask) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -134,6 +135,7 @@
 	return all
 }
 
+// Count is how many GETs and how many STOPs there ever were.
 func (h *Hosts) Count() (asked, stopped int64) { return h.count.Load(), h.stopped.Load() }
 
 func (h *Hosts) handle(a standin.Ask) string {
@@ -165,17 +167,29 @@
 
 func (c *Call) answer(word string) { c.N.Add(1); c.Got <- word }
 
+// Serve keeps a body, and gives its room back.
 func (c *Call) Serve(body []byte, _ bool) {
 	c.room.Give(len(body))
 	c.answer("served " + string(body))
 }
 
-func (c *Call) Refuse(int64)        { c.answer("refused") }
-func (c *Call) Fail(string)         { c.answer("failed") }
-func (c *Call) Open() bool          { return c.N.Load() == 0 && !c.Left.Load() }
+// Refuse keeps that it was rejected.
+func (c *Call) Refuse(int64) { c.answer("refused") }
+
+// Fail keeps that it failed.
+func (c *Call) Fail(string) { c.answer("failed") }
+
+// Open tells whether an answer is owed still.
+func (c *Call) Open() bool { return c.N.Load() == 0 && !c.Left.Load() }
+
+// Mark does nothing: the call is of no connection that a mark could matter to.
 func (c *Call) Mark(int, time.Time) {}
-func (c *Call) Marked() int         { return 0 }
-func (c *Call) Origin() uint64      { return 0 }
+
+// Marked is 0, as nothing is ever marked.
+func (c *Call) Marked() int { return 0 }
+
+// Origin is 0, as the call is of no connection.
+func (c *Call) Origin() uint64 { return 0 }
 
 // Log is a log that is read while it is written.
 type Log struct {
--- a/internal/thrift/thrift.go
+++ b/internal/thrift/thrift.go
@@ -13,10 +13,12 @@
 	longestFrame = 1 << 18 // bytes; an object's 240,000, and room for names and fields
 	firstBuffer  = 4 << 10 // bytes; holds a few calls with no body
 	deepest      = 16      // levels; nesting that no message of the service comes near
-	MostAlso     = 4       // further fields that can be asked for; they are looked for in each message
 	version      = 0x8001  // the strict form's mark
 )
 
+// MostAlso is how many further fields can be asked for; they are looked for in each message.
+const MostAlso = 4
+
 // The kinds of message and the types of field that the service uses.
 const (
 	kindCall, kindReply, kindException, kindOneway                      = 1, 2, 3, 4
--- a/internal/token/token.go
+++ b/internal/token/token.go
@@ -16,15 +16,18 @@
 	"github.com/go-jose/go-jose/v4/jwt"
 )
 
+// Longest is the longest token that is parsed, in bytes: ours are under one KB, and HTTP fronts carry no more in a header.
+const Longest = 8 << 10
+
 const (
-	Longest     = 8 << 10 // bytes; a token of ours is under one KB, and HTTP fronts carry no more in a header
-	longestID   = 128     // bytes; of a key id: a table's key, and a log's word
-	longestName = 256     // bytes; of a subject, an issuer and the like
+	longestID   = 128 // bytes; of a key id: a table's key, and a log's word
+	longestName = 256 // bytes; of a subject, an issuer and the like
 )
 
 // algorithms are those that a key may be bound to.
 var algorithms = []jose.SignatureAlgorithm{jose.EdDSA, jose.ES256, jose.RS256, jose.HS256}
 
+// Why a token is rejected.
 var (
 	ErrForm      = errors.New("not a token") // its form, or a header that must not be
 	ErrNoKeyID   = errors.New(`the token has no key id (the header "kid"), and needs one: it tells which key of the set to check it by`)
--- a/internal/token/token_test.go
+++ b/internal/token/token_test.go
@@ -111,9 +111,9 @@
 	assert.Equal(t, hs.Key, keys[1].Key, "all that is told of a key comes back")
 	assert.Equal(t, []bool{false, true}, []bool{keys[0].Secret(), keys[1].Secret()})
 	private := need.Of(WriteSet([]*Key{ed}))(t)
-	with := func(old, new string) string {
-		require.Contains(t, string(whole), old)
-		return strings.Replace(string(whole), old, new, 1)
+	with := func(before, after string) string {
+		require.Contains(t, string(whole), before)
+		return strings.Replace(string(whole), before, after, 1)
 	}
 	for name, text := range map[string]string{
 		"half of it":                       string(whole[:len(whole)/2]),
@@ -167,7 +167,7 @@
 		again := need.Of(WriteSet(keys))(t)
 		twice := need.Of(ReadSet(again, true))(t)
 		for i, k := range keys {
-			assert.Equal(t, k.Key.Print, twice[i].Key.Print)
+			assert.Equal(t, k.Print, twice[i].Print)
 		}
 	})
 }
--- a/internal/variantfilter/way_test.go
+++ b/internal/variantfilter/way_test.go
@@ -102,7 +102,7 @@
 		Handler: w.Node, Log: zerolog.Nop(), Counts: o.Counts, Room: o.Room, Most: 100,
 		Devices: downstream.Devices{Fields: []string{"device"}, By: map[string]downstream.Device{"segment": named, "order": named}},
 	}
-	o.Group.Go(func() error { return w.Node.Run(o.Context) })
+	o.Group.Go(func() error { return w.Run(o.Context) })
 	o.Group.Go(func() error { return server.Serve(o.Context, l) })
 	return w
 }
@@ -294,9 +294,9 @@
 		w.get(objects[0], c)
 		f := w.seen()[0]
 		assert.Equal(t, c, f["dev"])
-		cap, err := strconv.Atoi(f["cap"])
+		limit, err := strconv.Atoi(f["cap"])
 		require.NoError(t, err, "bounded by the purge")
-		assert.Less(t, cap, 10_000)
+		assert.Less(t, limit, 10_000)
 	}
 	for range 50 {
 		w.get(objects[1], "phone")
