--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -28,38 +28,73 @@
 	wire := int(f.Wire)
 	o.Count("wire", &wire, cluster.Wire1, cluster.Wire)
 	f.Wire = uint8(wire)
+	readPeers(o, f)
+	readReach(o, f)
+	d.fleetFiles(o, f)
+	d.sharedState(o, f)
+	o.Done()
+	if len(f.Zone) > longestName {
+		o.Fault("zone", "%d bytes, at most %d", len(f.Zone), longestName)
+	}
+	if f.Listen == "" {
+		o.Fault("listen", "is needed")
+	} else if err := f.Check(); err != nil {
+		d.Each([]string{"fleet"}, err)
+	}
+	d.config.Fleet = f
+}
+
+// readPeers reads the addresses of the dispatchers that this one joins by.
+func readPeers(o *configfile.Object, f *cluster.Settings) {
 	if f.Peers = o.Texts("peers"); len(f.Peers) > mostPeers {
 		o.Fault("peers", "%d, at most %d", len(f.Peers), mostPeers)
 	}
 	for _, p := range f.Peers {
-		if _, err := netip.ParseAddrPort(p); err != nil {
-			o.Fault("peers", "%q is no address with a port", p)
-		}
+		requireAddress(o, "peers", p)
 	}
+}
+
+// readReach reads the addresses at which others are reached from here, by those that they give.
+func readReach(o *configfile.Object, f *cluster.Settings) {
 	if f.Reach = o.Pairs("reach"); len(f.Reach) > membership.Most {
 		o.Fault("reach", "%d, at most %d", len(f.Reach), membership.Most)
 	}
 	for from, to := range f.Reach {
-		for _, a := range []string{from, to} {
-			if _, err := netip.ParseAddrPort(a); err != nil {
-				o.Fault("reach", "%q is no address with a port", a)
-			}
-		}
+		requireAddress(o, "reach", from)
+		requireAddress(o, "reach", to)
 	}
+}
+
+func requireAddress(o *configfile.Object, key, address string) {
+	if _, err := netip.ParseAddrPort(address); err != nil {
+		o.Fault(key, "%q is no address with a port", address)
+	}
+}
+
+// fleetFiles reads the key file, and where the members are stored.
+func (d *decoder) fleetFiles(o *configfile.Object, f *cluster.Settings) {
 	if o.Text("key", &f.Key) {
-		path := f.Key
-		if !filepath.IsAbs(path) {
-			path = filepath.Join(d.folder, path)
-		}
-		keys, err := cluster.ReadKeys(path)
+		keys, err := cluster.ReadKeys(d.inFolder(f.Key))
 		if err != nil {
 			o.Fault("key", "%v", err)
 		}
 		f.Keys = keys
 	}
-	if o.Text("remember", &f.Remember) && !filepath.IsAbs(f.Remember) {
-		f.Remember = filepath.Join(d.folder, f.Remember)
+	if o.Text("remember", &f.Remember) {
+		f.Remember = d.inFolder(f.Remember)
 	}
+}
+
+// inFolder is a path of the file, which is relative to the file's own folder unless it is absolute.
+func (d *decoder) inFolder(path string) string {
+	if filepath.IsAbs(path) {
+		return path
+	}
+	return filepath.Join(d.folder, path)
+}
+
+// sharedState reads what the dispatchers share: duties, budgets, memory, variants and channels.
+func (d *decoder) sharedState(o *configfile.Object, f *cluster.Settings) {
 	if in := o.Inner("duties"); in != nil {
 		f.Duties = d.duties(in)
 	}
@@ -79,16 +114,6 @@
 			o.Fault("channels", "needs duties and memory: its log has what is declared, its records the entries")
 		}
 	}
-	o.Done()
-	if len(f.Zone) > longestName {
-		o.Fault("zone", "%d bytes, at most %d", len(f.Zone), longestName)
-	}
-	if f.Listen == "" {
-		o.Fault("listen", "is needed")
-	} else if err := f.Check(); err != nil {
-		d.Each([]string{"fleet"}, err)
-	}
-	d.config.Fleet = f
 }
 
 const (
@@ -101,8 +126,8 @@
 // memory reads how this dispatcher remembers with the others.
 func (d *decoder) memory(o *configfile.Object) *cluster.Memory {
 	to := &cluster.Memory{Horizon: cluster.DefaultHorizon, Rate: cluster.DefaultRate}
-	if o.Text("folder", &to.Folder) && !filepath.IsAbs(to.Folder) {
-		to.Folder = filepath.Join(d.folder, to.Folder)
+	if o.Text("folder", &to.Folder) {
+		to.Folder = d.inFolder(to.Folder)
 	}
 	o.Duration("horizon", &to.Horizon, leastHorizon, mostHorizon)
 	o.Size("rate", &to.Rate, leastMemoryRate, mostMemoryRate)
@@ -131,86 +156,112 @@
 	}
 	rates := map[string][]string{}
 	for _, name := range in.Keys() {
-		one := in.Inner(name)
-		if one == nil {
-			continue
-		}
-		b := quota.Budget{Name: name}
-		most, amount, rate := -1, -1, -1.0
-		one.Count("most", &most, 0, 1<<31-1)
-		one.Number("rate", &rate, 0, mostRate)
-		one.Count("amount", &amount, 0, 1<<50)
-		kinds := 0
-		if most >= 0 {
-			b.Kind, b.Whole = quota.UnderWay, int64(most)
-			kinds++
-		}
-		if rate >= 0 {
-			b.Kind, b.Whole = quota.Rate, int64(rate*float64(quota.Thousand))
-			kinds++
-		}
-		if amount >= 0 {
-			b.Kind, b.Whole = quota.Amount, int64(amount)
-			kinds++
-		}
-		if kinds != 1 {
-			in.Fault(name, "needs one of most, rate and amount")
-		}
-		var burst, floor, ceiling int
-		var of string
-		one.Count("burst", &burst, 0, 1<<31-1)
-		one.Count("floor", &floor, 0, 1<<31-1)
-		one.Count("ceiling", &ceiling, 0, 1<<31-1)
-		one.Duration("window", &b.Window, 1, 31*24*3600)
-		unit := int64(1)
-		if b.Kind == quota.Rate {
-			unit = quota.Thousand
+		if one := in.Inner(name); one != nil {
+			to.All = append(to.All, readBudget(in, name, one, to.Uses, rates))
 		}
-		b.Burst, b.Floor, b.Ceiling = int64(burst), int64(floor)*unit, int64(ceiling)*unit
-		if one.Text("of", &of); of != "" {
-			tenant := strings.HasPrefix(of, quota.UseTenant) && len(of) > len(quota.UseTenant)
-			host := strings.HasPrefix(of, quota.UseHost) && len(of) > len(quota.UseHost) || of == quota.UseOrigin
-			switch {
-			case b.Kind == quota.Amount, host && b.Kind != quota.UnderWay, of == quota.UseRetries && b.Kind != quota.Rate:
-				one.Fault("of", "%q can't be bounded by that: a tenant by most or rate, the origin and a host by most, retries by rate", of)
-			case !host && of != quota.UseRetries && !tenant:
-				one.Fault("of", "%q is none of origin, host:NAME, retries and tenant:NAME", of)
-			case b.Kind == quota.Rate:
-				rates[of] = append(rates[of], name)
-			default:
-				to.Uses[of] = append(to.Uses[of], name)
-			}
-		}
-		one.Done()
-		if err := b.Check(); err != nil && kinds == 1 {
-			in.Fault(name, "%v", err)
-		}
-		to.All = append(to.All, b)
 	}
 	for of, names := range rates { // behind those under way, which can be given back
 		to.Uses[of] = append(to.Uses[of], names...)
 	}
-	for _, names := range to.Uses {
+	checkBudgets(o, to)
+	o.Done()
+	return to
+}
+
+// checkBudgets adds the faults of all budgets together.
+func checkBudgets(o *configfile.Object, all *cluster.Budgets) {
+	for _, names := range all.Uses {
 		if len(names) > 2 {
 			o.Fault("wholes", "%s: more than two bound one use", strings.Join(names, ", "))
 		}
 	}
-	if n := len(to.Hosts()); n > quota.MostHosts {
+	if n := len(all.Hosts()); n > quota.MostHosts {
 		o.Fault("wholes", "%d bound the origin or a host, at most %d", n, quota.MostHosts)
 	}
-	if len(to.All) > quota.MostBudgets {
-		o.Fault("wholes", "%d, at most %d", len(to.All), quota.MostBudgets)
+	if len(all.All) > quota.MostBudgets {
+		o.Fault("wholes", "%d, at most %d", len(all.All), quota.MostBudgets)
+	}
+}
+
+// readBudget reads one budget, and adds its name to what bounds its use: to rates for a budget of a rate, else to uses.
+func readBudget(in *configfile.Object, name string, o *configfile.Object, uses, rates map[string][]string) quota.Budget {
+	b := quota.Budget{Name: name}
+	kinds := readWhole(o, &b)
+	if kinds != 1 {
+		in.Fault(name, "needs one of most, rate and amount")
+	}
+	readBounds(o, &b)
+	var of string
+	if o.Text("of", &of); of != "" && checkUse(o, of, b.Kind) {
+		bounding := uses
+		if b.Kind == quota.Rate {
+			bounding = rates
+		}
+		bounding[of] = append(bounding[of], name)
 	}
 	o.Done()
-	return to
+	if err := b.Check(); err != nil && kinds == 1 {
+		in.Fault(name, "%v", err)
+	}
+	return b
+}
+
+// readWhole reads a budget's kind and whole, and returns how many kinds are given; the last of them counts.
+func readWhole(o *configfile.Object, b *quota.Budget) (kinds int) {
+	most, amount, rate := -1, -1, -1.0
+	o.Count("most", &most, 0, 1<<31-1)
+	o.Number("rate", &rate, 0, mostRate)
+	o.Count("amount", &amount, 0, 1<<50)
+	if most >= 0 {
+		b.Kind, b.Whole = quota.UnderWay, int64(most)
+		kinds++
+	}
+	if rate >= 0 {
+		b.Kind, b.Whole = quota.Rate, int64(rate*float64(quota.Thousand))
+		kinds++
+	}
+	if amount >= 0 {
+		b.Kind, b.Whole = quota.Amount, int64(amount)
+		kinds++
+	}
+	return kinds
+}
+
+// readBounds reads a budget's burst, window, and bounds of each part, in the units of its kind.
+func readBounds(o *configfile.Object, b *quota.Budget) {
+	var burst, floor, ceiling int
+	o.Count("burst", &burst, 0, 1<<31-1)
+	o.Count("floor", &floor, 0, 1<<31-1)
+	o.Count("ceiling", &ceiling, 0, 1<<31-1)
+	o.Duration("window", &b.Window, 1, 31*24*3600)
+	unit := int64(1)
+	if b.Kind == quota.Rate {
+		unit = quota.Thousand
+	}
+	b.Burst, b.Floor, b.Ceiling = int64(burst), int64(floor)*unit, int64(ceiling)*unit
+}
+
+// checkUse tells whether a budget of a kind may bound a use; else it adds the fault.
+func checkUse(o *configfile.Object, of string, kind quota.Kind) bool {
+	tenant := strings.HasPrefix(of, quota.UseTenant) && len(of) > len(quota.UseTenant)
+	host := strings.HasPrefix(of, quota.UseHost) && len(of) > len(quota.UseHost) || of == quota.UseOrigin
+	switch {
+	case kind == quota.Amount, host && kind != quota.UnderWay, of == quota.UseRetries && kind != quota.Rate:
+		o.Fault("of", "%q can't be bounded by that: a tenant by most or rate, the origin and a host by most, retries by rate", of)
+		return false
+	case !host && of != quota.UseRetries && !tenant:
+		o.Fault("of", "%q is none of origin, host:NAME, retries and tenant:NAME", of)
+		return false
+	}
+	return true
 }
 
 // duties reads which duties this dispatcher stands for, and whether it votes on them.
 func (d *decoder) duties(o *configfile.Object) *cluster.Duties {
 	to := &cluster.Duties{Stands: map[string]float64{}, Report: cluster.ReportEach}
 	o.Flag("voter", &to.Voter)
-	if o.Text("folder", &to.Folder); to.Folder != "" && !filepath.IsAbs(to.Folder) {
-		to.Folder = filepath.Join(d.folder, to.Folder)
+	if o.Text("folder", &to.Folder); to.Folder != "" {
+		to.Folder = d.inFolder(to.Folder)
 	}
 	if to.Voter && to.Folder == "" {
 		o.Fault("folder", "is needed where it votes: its log and votes must outlast a crash")
--- a/internal/operator/variants.go
+++ b/internal/operator/variants.go
@@ -69,13 +69,14 @@
 	d.config.Variants = to
 }
 
+// variantsOf reads the variants of one delivery service.
 func (d *decoder) variantsOf(in *configfile.Object, name string, o *configfile.Object, to *Variants) {
 	place := slices.Index(d.services, name)
 	if place < 0 && !d.open {
 		in.Fault(name, "%q is no delivery service", name)
 	}
 	v := pure.Service{Classes: o.Texts("classes"), Witnesses: 1, Repeats: true}
-	var field, header, host, proof string
+	var field, header, host string
 	o.Text("field", &field)
 	if header = strings.ToLower(field); !fieldPattern.MatchString(field) || thrift.Known(field) {
 		o.Fault("field", "is needed, the name of a field or header that tells the class of a client's device and nothing else")
@@ -84,13 +85,7 @@
 	if !fieldPattern.MatchString(host) || hostproto.Known(host) {
 		o.Fault("host_field", "is needed, the name of a field that tells a cache host the class and nothing else")
 	}
-	o.Word("proof", &proof, "tag", "digest", "body")
-	if v.Proof = map[string]pure.Proof{"tag": pure.ByTag, "digest": pure.ByDigest, "body": pure.ByBody}[proof]; proof == "" {
-		o.Fault("proof", "is needed, one of tag, digest and body")
-	}
-	if p := d.config.Proxies; v.Proof == pure.ByBody && p != nil && p.Rules.Routing {
-		o.Fault("proof", "no bodies pass here where proxies send: it must be tag or digest")
-	}
+	v.Proof = d.proof(o)
 	o.Count("witnesses", &v.Witnesses, 1, pure.MaxWitnesses)
 	if text, _ := o.Get("fresh"); text == untilPurged {
 		v.Fresh = math.Inf(1)
@@ -98,22 +93,10 @@
 		o.Duration("fresh", &v.Fresh, 0, mostFresh)
 	}
 	if p := o.Inner("presume"); p != nil {
-		v.Presume = &pure.Presumed{Objects: 100, Checks: 0.01}
-		p.Count("objects", &v.Presume.Objects, 1, pure.MaxObjects)
-		p.Number("checks", &v.Presume.Checks, 1e-6, 1)
-		p.Done()
+		v.Presume = readPresumed(p)
 	}
 	o.Done()
-	if len(v.Classes) < 2 {
-		o.Fault("classes", "two at least are needed, the first of them preferred to stand for others")
-	}
-	device := downstream.Device{Classes: map[string]string{}}
-	for _, c := range v.Classes {
-		if !classPattern.MatchString(c) {
-			o.Fault("classes", `%.40q must be letters, digits, ".", "_" and "-", 32 at most`, c)
-		}
-		device.Classes[c] = c
-	}
+	device := downstream.Device{Classes: deviceClasses(o, v.Classes)}
 	one := pure.Settings{Services: []pure.Service{v}, Objects: 1, Self: "check"}
 	if _, err := pure.New(one); err != nil && v.Proof != 0 {
 		d.Each(in.At(name), err)
@@ -129,3 +112,41 @@
 		to.Module.Services[place], to.Fields[place] = v, host
 	}
 }
+
+// proof reads what shows that two copies are the same.
+func (d *decoder) proof(o *configfile.Object) pure.Proof {
+	var word string
+	o.Word("proof", &word, "tag", "digest", "body")
+	proof := map[string]pure.Proof{"tag": pure.ByTag, "digest": pure.ByDigest, "body": pure.ByBody}[word]
+	if word == "" {
+		o.Fault("proof", "is needed, one of tag, digest and body")
+	}
+	if p := d.config.Proxies; proof == pure.ByBody && p != nil && p.Rules.Routing {
+		o.Fault("proof", "no bodies pass here where proxies send: it must be tag or digest")
+	}
+	return proof
+}
+
+// readPresumed reads from how many objects on variants are presumed, and how often that is checked.
+func readPresumed(o *configfile.Object) *pure.Presumed {
+	p := &pure.Presumed{Objects: 100, Checks: 0.01}
+	o.Count("objects", &p.Objects, 1, pure.MaxObjects)
+	o.Number("checks", &p.Checks, 1e-6, 1)
+	o.Done()
+	return p
+}
+
+// deviceClasses checks the names of classes, and returns each by the value of the field that names it, which is the same.
+func deviceClasses(o *configfile.Object, names []string) map[string]string {
+	if len(names) < 2 {
+		o.Fault("classes", "two at least are needed, the first of them preferred to stand for others")
+	}
+	classes := map[string]string{}
+	for _, name := range names {
+		if !classPattern.MatchString(name) {
+			o.Fault("classes", `%.40q must be letters, digits, ".", "_" and "-", 32 at most`, name)
+		}
+		classes[name] = name
+	}
+	return classes
+}
