--- a/cmd/elderwall-operator/budgetsplay.go
+++ b/cmd/elderwall-operator/budgetsplay.go
@@ -58,34 +58,20 @@
 		}
 		var lines []chart.Series
 		for _, way := range c.Ways {
-			s := emulator.BudgetDefault()
-			s.Seed, s.Dispatchers, s.Whole, s.Demand, s.Span, s.Way = c.Seed, c.Dispatchers, c.Whole, c.Demand, c.Span, way
-			if c.Kind == "rate" {
-				s.Kind, s.Burst = quota.Rate, c.Whole/10
-			}
-			change(&s)
-			r, err := emulator.RunBudgets(s)
+			r, err := c.play(way, change)
 			if err != nil {
 				return err
 			}
-			r.Events = nil
 			all = append(all, budgetPlayed{name, way, r})
 			follow := "never"
 			if r.Follow >= 0 {
 				follow = fmt.Sprintf("%.0f s", r.Follow)
 			}
 			out.Printf("%s\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.2f\t%s\t%.3f\t%.0f\t%.2f\n", name, way, r.Given, r.Used, r.Worst, r.Fair, r.Most, follow, r.Turned, r.Bytes, r.Entries)
-			line := chart.Series{Name: way, Y: r.Course}
-			for i := range r.Course {
-				line.X = append(line.X, float64(i))
-			}
-			lines = append(lines, line)
+			lines = append(lines, bySecond(way, r.Course))
 		}
-		if c.Charts != "" {
-			if err := chart.Lines(filepath.Join(c.Charts, "budgets-"+name+".svg"), fmt.Sprintf("%s: %d dispatchers, one budget (simulated)", name, c.Dispatchers),
-				chart.Axis{Name: "s"}, chart.Axis{Name: "of the whole, in use"}, lines); err != nil {
-				return err
-			}
+		if err := c.draw(name, lines); err != nil {
+			return err
 		}
 	}
 	if err := out.Flush(); err != nil {
@@ -93,3 +79,37 @@
 	}
 	return writeResults(c.JSON, all)
 }
+
+// play plays one case in one way.
+func (c *budgetsPlayCommand) play(way string, change func(*emulator.BudgetScenario)) (*emulator.BudgetResult, error) {
+	s := emulator.BudgetDefault()
+	s.Seed, s.Dispatchers, s.Whole, s.Demand, s.Span, s.Way = c.Seed, c.Dispatchers, c.Whole, c.Demand, c.Span, way
+	if c.Kind == "rate" {
+		s.Kind, s.Burst = quota.Rate, c.Whole/10
+	}
+	change(&s)
+	r, err := emulator.RunBudgets(s)
+	if err != nil {
+		return nil, err
+	}
+	r.Events = nil
+	return r, nil
+}
+
+// bySecond is a line of values that are a second apart.
+func bySecond(name string, values []float64) chart.Series {
+	line := chart.Series{Name: name, Y: values}
+	for i := range values {
+		line.X = append(line.X, float64(i))
+	}
+	return line
+}
+
+// draw draws a case's chart, if charts are asked for.
+func (c *budgetsPlayCommand) draw(name string, lines []chart.Series) error {
+	if c.Charts == "" {
+		return nil
+	}
+	title := fmt.Sprintf("%s: %d dispatchers, one budget (simulated)", name, c.Dispatchers)
+	return chart.Lines(filepath.Join(c.Charts, "budgets-"+name+".svg"), title, chart.Axis{Name: "s"}, chart.Axis{Name: "of the whole, in use"}, lines)
+}
--- a/cmd/elderwall-operator/fleet.go
+++ b/cmd/elderwall-operator/fleet.go
@@ -151,33 +151,45 @@
 			return err
 		}
 		after = t.Number
-		now := map[string]string{t.Self.Name: fmt.Sprintf("%s, sees %s, %d of %d", t.Standing, t.Level, t.View.Seen, t.View.Of)}
-		for _, m := range t.Members {
-			now[m.Name] = m.State.String()
-			if m.Link != membership.Clear {
-				now[m.Name] += ", " + m.Link.String()
-			}
-		}
-		for name, is := range now {
-			if !first && was[name] != is {
-				fmt.Printf("%s %s: %s\n", time.Now().Format(time.TimeOnly), name, is)
-			}
-		}
-		for name := range was {
-			if now[name] == "" {
-				fmt.Printf("%s %s: forgotten\n", time.Now().Format(time.TimeOnly), name)
-			}
-		}
+		now := sightings(t)
 		if first {
 			if err := list(os.Stdout, t); err != nil {
 				return err
 			}
+		} else {
+			printChanges(was, now)
 		}
 		was, first = now, false
 	}
 	return nil
 }
 
+// sightings is how the asked dispatcher sees itself and each member, by name.
+func sightings(t cluster.Told) map[string]string {
+	seen := map[string]string{t.Self.Name: fmt.Sprintf("%s, sees %s, %d of %d", t.Standing, t.Level, t.View.Seen, t.View.Of)}
+	for _, m := range t.Members {
+		seen[m.Name] = m.State.String()
+		if m.Link != membership.Clear {
+			seen[m.Name] += ", " + m.Link.String()
+		}
+	}
+	return seen
+}
+
+// printChanges prints a line for each name that is seen otherwise than before, and one for each that is no longer seen.
+func printChanges(was, now map[string]string) {
+	for name, is := range now {
+		if was[name] != is {
+			fmt.Printf("%s %s: %s\n", time.Now().Format(time.TimeOnly), name, is)
+		}
+	}
+	for name := range was {
+		if now[name] == "" {
+			fmt.Printf("%s %s: forgotten\n", time.Now().Format(time.TimeOnly), name)
+		}
+	}
+}
+
 type leaveCommand struct{ asked }
 
 // Run has the dispatcher leave.
--- a/cmd/elderwall-operator/fleetchannels.go
+++ b/cmd/elderwall-operator/fleetchannels.go
@@ -10,6 +10,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"os/signal"
 	"time"
@@ -106,44 +107,20 @@
 	ctx, cancel := context.WithTimeout(context.Background(), c.Within)
 	defer cancel()
 	if c.Declare != "" {
-		all, err := operator.ReadDeclarations(c.Declare)
-		if err != nil {
+		if err := c.declare(ctx, f); err != nil || len(c.Body) == 0 {
 			return err
 		}
-		for _, d := range all {
-			if err := f.Declare(ctx, d); err != nil {
-				return err
-			}
-			fmt.Printf("%s: generation %d is declared\n", d.Name, d.Generation)
-		}
-		if len(c.Body) == 0 {
-			return nil
-		}
 	}
 	if c.End {
-		if len(c.Body) > 0 {
-			return errors.New("--end: nothing can be written into a channel that is withdrawn")
-		}
-		generation, err := f.End(ctx, c.Channel)
-		if err == nil {
-			fmt.Printf("%s: ends with generation %d\n", c.Channel, generation)
-		}
-		return err
+		return c.end(ctx, f)
 	}
 	if c.State == "" {
 		return errors.New("--state: a writer that can't tell its numbers could write twice, or under a number that is taken")
 	}
-	var from client.State
-	if raw, err := os.ReadFile(c.State); err == nil {
-		if err := json.Unmarshal(raw, &from); err != nil {
-			return fmt.Errorf("%s: %w", c.State, err)
-		}
-	} else if !errors.Is(err, os.ErrNotExist) {
+	from, err := c.state()
+	if err != nil {
 		return err
 	}
-	if from.Writer == "" {
-		from.Writer = "w-" + cluster.NewKey()[:12]
-	}
 	p := f.Publisher(c.Channel, from, func(s client.State) error {
 		raw, err := json.Marshal(s)
 		if err == nil {
@@ -152,14 +129,7 @@
 		return err
 	})
 	if len(c.Body) == 0 {
-		in := bufio.NewScanner(os.Stdin)
-		in.Buffer(nil, channel.MostBody+1)
-		for in.Scan() {
-			if err := p.Publish(ctx, client.Message{Key: c.Of, Body: []byte(in.Text())}); err != nil {
-				return err
-			}
-		}
-		return in.Err()
+		return c.publishLines(ctx, p, os.Stdin)
 	}
 	var all []client.Message
 	for _, b := range c.Body {
@@ -167,3 +137,58 @@
 	}
 	return p.Publish(ctx, all...)
 }
+
+// declare declares the channels of a file.
+func (c *publishCommand) declare(ctx context.Context, f *client.Fleet) error {
+	all, err := operator.ReadDeclarations(c.Declare)
+	if err != nil {
+		return err
+	}
+	for _, d := range all {
+		if err := f.Declare(ctx, d); err != nil {
+			return err
+		}
+		fmt.Printf("%s: generation %d is declared\n", d.Name, d.Generation)
+	}
+	return nil
+}
+
+// end withdraws the channel.
+func (c *publishCommand) end(ctx context.Context, f *client.Fleet) error {
+	if len(c.Body) > 0 {
+		return errors.New("--end: nothing can be written into a channel that is withdrawn")
+	}
+	generation, err := f.End(ctx, c.Channel)
+	if err == nil {
+		fmt.Printf("%s: ends with generation %d\n", c.Channel, generation)
+	}
+	return err
+}
+
+// state reads the writer's name and numbers; a writer that has no file yet is given a name.
+func (c *publishCommand) state() (client.State, error) {
+	var from client.State
+	if raw, err := os.ReadFile(c.State); err == nil {
+		if err := json.Unmarshal(raw, &from); err != nil {
+			return from, fmt.Errorf("%s: %w", c.State, err)
+		}
+	} else if !errors.Is(err, os.ErrNotExist) {
+		return from, err
+	}
+	if from.Writer == "" {
+		from.Writer = "w-" + cluster.NewKey()[:12]
+	}
+	return from, nil
+}
+
+// publishLines writes each line of an input as a message.
+func (c *publishCommand) publishLines(ctx context.Context, p *client.Publisher, from io.Reader) error {
+	in := bufio.NewScanner(from)
+	in.Buffer(nil, channel.MostBody+1)
+	for in.Scan() {
+		if err := p.Publish(ctx, client.Message{Key: c.Of, Body: []byte(in.Text())}); err != nil {
+			return err
+		}
+	}
+	return in.Err()
+}
--- a/cmd/elderwall-operator/fleetplay.go
+++ b/cmd/elderwall-operator/fleetplay.go
@@ -33,46 +33,67 @@
 // Run plays all of them, and prints a table.
 func (c *fleetPlayCommand) Run() error {
 	var all []fleetPlayed
+	for _, s := range c.scenarios() {
+		start := time.Now()
+		r, err := emulator.RunMembers(s)
+		if err != nil {
+			return err
+		}
+		all = append(all, fleetPlayed{s, r, time.Since(start).Seconds()})
+	}
+	if err := printFleetPlayed(all); err != nil {
+		return fmt.Errorf("table: %w", err)
+	}
+	return writeResults(c.JSON, all)
+}
+
+// scenarios are those of each size, loss, protocol and seed, in this order.
+func (c *fleetPlayCommand) scenarios() (all []emulator.MembersScenario) {
 	for _, n := range c.Members {
 		for _, loss := range c.Loss {
 			for _, protocol := range c.Protocol {
 				for seed := range c.Seeds {
-					s := emulator.MembersDefault()
-					s.Seed, s.Members, s.Loss, s.Protocol, s.Stalls, s.Span, s.Warm = uint64(seed+1), n, loss, protocol, c.Stalls, c.Span, c.Warm
-					for i := range c.Die {
-						s.Troubles = append(s.Troubles, emulator.MemberTrouble{Kind: emulator.Die, At: 10 + float64(i)*c.Span/float64(2*c.Die), Number: 1})
-					}
-					if c.Cut > 0 {
-						s.Troubles = append(s.Troubles, emulator.MemberTrouble{Kind: emulator.Cut, At: c.Span / 2, For: 60, Share: c.Cut})
-					}
-					start := time.Now()
-					r, err := emulator.RunMembers(s)
-					if err != nil {
-						return err
-					}
-					all = append(all, fleetPlayed{s, r, time.Since(start).Seconds()})
+					s := c.scenario()
+					s.Seed, s.Members, s.Loss, s.Protocol = uint64(seed+1), n, loss, protocol
+					all = append(all, s)
 				}
 			}
 		}
 	}
+	return all
+}
+
+// scenario is what all scenarios have in common.
+func (c *fleetPlayCommand) scenario() emulator.MembersScenario {
+	s := emulator.MembersDefault()
+	s.Stalls, s.Span, s.Warm = c.Stalls, c.Span, c.Warm
+	for i := range c.Die {
+		s.Troubles = append(s.Troubles, emulator.MemberTrouble{Kind: emulator.Die, At: 10 + float64(i)*c.Span/float64(2*c.Die), Number: 1})
+	}
+	if c.Cut > 0 {
+		s.Troubles = append(s.Troubles, emulator.MemberTrouble{Kind: emulator.Cut, At: c.Span / 2, For: 60, Share: c.Cut})
+	}
+	return s
+}
+
+func printFleetPlayed(all []fleetPlayed) error {
 	out := table.New(os.Stdout, columnGap, 0)
 	out.Println("members (simulated)\tloss\tprotocol\tseed\tfirst knows\thalf\t99%\twrong an hour\tdatagrams\tbytes\theal\twall s")
-	median := func(l []float64) string {
-		if len(l) == 0 {
-			return "-"
-		}
-		l = slices.Clone(l)
-		slices.Sort(l)
-		return fmt.Sprintf("%.1f", l[len(l)/2])
-	}
 	for _, r := range all {
 		out.Printf("%d\t%g\t%s\t%d\t%s\t%s\t%s\t%.0f\t%.1f\t%.0f\t%.1f\t%.1f\n", r.MembersScenario.Members, r.Loss, r.Protocol, r.Seed, median(r.First), median(r.Half),
 			median(r.Known99), r.WrongHour, r.Datagrams, r.Bytes, r.Heal, r.Wall)
 	}
-	if err := out.Flush(); err != nil {
-		return fmt.Errorf("table: %w", err)
+	return out.Flush()
+}
+
+// median is the middle of a list as text, or "-" of an empty one.
+func median(l []float64) string {
+	if len(l) == 0 {
+		return "-"
 	}
-	return writeResults(c.JSON, all)
+	l = slices.Clone(l)
+	slices.Sort(l)
+	return fmt.Sprintf("%.1f", l[len(l)/2])
 }
 
 // writeResults writes what was played as JSON, where a path says so.
--- a/cmd/elderwall-operator/memoryplay.go
+++ b/cmd/elderwall-operator/memoryplay.go
@@ -273,32 +273,21 @@
 	return all, nil
 }
 
+// copiesPlayed is what came of so many copies: in calm, with members just ended, and in a cut.
+type copiesPlayed struct {
+	Members, Copies int
+	Reads           float64
+	Calm, Dead, Cut *emulator.CopiesResult
+}
+
 func (c *memoryPlayCommand) copies() (any, error) {
-	type played struct {
-		Members, Copies int
-		Reads           float64
-		Calm, Dead, Cut *emulator.CopiesResult
-	}
-	var all []played
+	var all []copiesPlayed
 	t := newSheet(fmt.Sprintf("simulated: %d records of 130 bytes, %g writes/s: k copies by the shared order, a simulation of placement and questions", c.Records, c.Writes), "members", "copies", "reads/s a member", "bytes/s a member",
 		"MB of records at one", "read here", "ms to read", "99% ms", "99%, a tenth just ended", "unread then", "unread by half in a cut", "MB moved by one's end")
 	for _, n := range c.Members {
 		for _, k := range slices.Compact([]int{3, n}) {
 			for _, reads := range []float64{10, 1000} {
-				s := emulator.CopiesScenario{
-					Seed: c.Seed, Members: n, Copies: k, Records: c.Records, Bytes: 130, Question: 60, Writes: c.Writes, Reads: reads, Delay: 0.002, Patience: 0.1,
-					Samples: 20_000 / max(1, k/30),
-				}
-				p := played{Members: n, Copies: k, Reads: reads}
-				var err error
-				for _, x := range []struct {
-					to        **emulator.CopiesResult
-					dead, cut float64
-				}{{&p.Calm, 0, 0}, {&p.Dead, 0.1, 0}, {&p.Cut, 0, 0.5}} {
-					if s.Dead, s.Cut = x.dead, x.cut; err == nil {
-						*x.to, err = emulator.RunCopies(s)
-					}
-				}
+				p, err := c.playCopies(n, k, reads)
 				if err != nil {
 					return nil, err
 				}
@@ -315,6 +304,27 @@
 	return all, nil
 }
 
+// playCopies plays a fleet of n members with k copies of each record, and so many reads a second at each member.
+func (c *memoryPlayCommand) playCopies(n, k int, reads float64) (copiesPlayed, error) {
+	s := emulator.CopiesScenario{
+		Seed: c.Seed, Members: n, Copies: k, Records: c.Records, Bytes: 130, Question: 60, Writes: c.Writes, Reads: reads, Delay: 0.002, Patience: 0.1,
+		Samples: 20_000 / max(1, k/30),
+	}
+	p := copiesPlayed{Members: n, Copies: k, Reads: reads}
+	for _, x := range []struct {
+		to        **emulator.CopiesResult
+		dead, cut float64
+	}{{&p.Calm, 0, 0}, {&p.Dead, 0.1, 0}, {&p.Cut, 0, 0.5}} {
+		s.Dead, s.Cut = x.dead, x.cut
+		r, err := emulator.RunCopies(s)
+		if err != nil {
+			return p, err
+		}
+		*x.to = r
+	}
+	return p, nil
+}
+
 // variantCases is what may happen to variants.
 var variantCases = map[string]func(*emulator.VariantsScenario){
 	"calm":          func(s *emulator.VariantsScenario) { s.Changes = 0.1 },
@@ -327,12 +337,13 @@
 	"cut":           func(s *emulator.VariantsScenario) { s.Changes, s.One, s.Cut, s.CutFor = 10, 1, 30, 60 },
 }
 
+type variantsPlayed struct {
+	Case, Way string
+	*emulator.VariantsResult
+}
+
 func (c *memoryPlayCommand) variants() (any, error) {
-	type played struct {
-		Case, Way string
-		*emulator.VariantsResult
-	}
-	all := make([]played, len(c.Cases)*len(c.Ways))
+	all := make([]variantsPlayed, len(c.Cases)*len(c.Ways))
 	if err := together(len(all), func(i int) error {
 		name := c.Cases[i/len(c.Ways)]
 		change, ok := variantCases[name]
@@ -343,7 +354,7 @@
 		s.Seed, s.Dispatchers, s.Way = c.Seed, c.Dispatchers, c.Ways[i%len(c.Ways)]
 		change(&s)
 		r, err := emulator.RunVariants(s)
-		all[i] = played{name, s.Way, r}
+		all[i] = variantsPlayed{name, s.Way, r}
 		return err
 	}); err != nil {
 		return nil, err
@@ -353,7 +364,7 @@
 	for i, r := range all {
 		same := all[i/len(c.Ways)*len(c.Ways):][:len(c.Ways)]
 		find := func(way string) float64 {
-			if at := slices.IndexFunc(same, func(p played) bool { return p.Way == way }); at >= 0 {
+			if at := slices.IndexFunc(same, func(p variantsPlayed) bool { return p.Way == way }); at >= 0 {
 				return same[at].Missed
 			}
 			return 0
@@ -363,28 +374,43 @@
 	}
 	t.end()
 	for i, name := range c.Cases {
-		var lines []chart.Series
-		for _, r := range all[i*len(c.Ways):][:len(c.Ways)] {
-			l := chart.Series{Name: r.Way}
-			for at := 0; at+10 <= len(r.Course); at += 10 { // by tens of seconds
-				sum := 0.0
-				for _, y := range r.Course[at : at+10] {
-					sum += y / 10
-				}
-				l.X, l.Y = append(l.X, float64(at)), append(l.Y, sum)
-			}
-			lines = append(lines, l)
-		}
-		if name == "calm" || name == "new objects" {
-			if err := c.draw("variants-"+map[string]string{"calm": "calm", "new objects": "new"}[name], fmt.Sprintf("%s: %d dispatchers, fills at the origin (simulated)", name, c.Dispatchers),
-				chart.Axis{Name: "s"}, chart.Axis{Name: "fills/s"}, lines); err != nil {
-				return nil, err
-			}
+		if err := c.drawVariants(name, all[i*len(c.Ways):][:len(c.Ways)]); err != nil {
+			return nil, err
 		}
 	}
 	return all, nil
 }
 
+// variantCharts are the cases that are drawn, with the names of their charts.
+var variantCharts = map[string]string{"calm": "calm", "new objects": "new"}
+
+// drawVariants draws what came of a case, a line for each way, if the case is one that is drawn.
+func (c *memoryPlayCommand) drawVariants(name string, all []variantsPlayed) error {
+	file, drawn := variantCharts[name]
+	if !drawn {
+		return nil
+	}
+	var lines []chart.Series
+	for _, r := range all {
+		lines = append(lines, byTenSeconds(r.Way, r.Course))
+	}
+	return c.draw("variants-"+file, fmt.Sprintf("%s: %d dispatchers, fills at the origin (simulated)", name, c.Dispatchers),
+		chart.Axis{Name: "s"}, chart.Axis{Name: "fills/s"}, lines)
+}
+
+// byTenSeconds is a line of the means of each ten values, which are a second apart.
+func byTenSeconds(name string, values []float64) chart.Series {
+	l := chart.Series{Name: name}
+	for at := 0; at+10 <= len(values); at += 10 {
+		sum := 0.0
+		for _, y := range values[at : at+10] {
+			sum += y / 10
+		}
+		l.X, l.Y = append(l.X, float64(at)), append(l.Y, sum)
+	}
+	return l
+}
+
 // channelCases is what may happen to channels.
 var channelCases = []struct {
 	name   string
@@ -400,28 +426,16 @@
 	}},
 }
 
+type channelsPlayed struct {
+	Case    string
+	Order   string
+	Members int
+	Readers int
+	*emulator.ChannelsResult
+}
+
 func (c *memoryPlayCommand) channels() (any, error) {
-	type played struct {
-		Case    string
-		Order   string
-		Members int
-		Readers int
-		*emulator.ChannelsResult
-	}
-	var plans []emulator.ChannelsScenario
-	var all []played
-	for _, n := range c.Processes {
-		for _, readers := range c.Readers {
-			for _, x := range channelCases {
-				for order := channel.Latest; order <= channel.Total; order++ {
-					s := emulator.ChannelsDefault()
-					s.Seed, s.Members, s.Readers, s.Order = c.Seed, n, readers, order
-					x.change(&s)
-					plans, all = append(plans, s), append(all, played{Case: x.name, Order: order.String(), Members: n, Readers: readers})
-				}
-			}
-		}
-	}
+	plans, all := c.channelPlans()
 	if err := together(len(plans), func(i int) (err error) {
 		all[i].ChannelsResult, err = emulator.RunChannels(plans[i])
 		return err
@@ -435,24 +449,7 @@
 	}
 	t.end()
 	for _, x := range channelCases[2:] {
-		var lines []chart.Series
-		for _, r := range all {
-			if r.Case != x.name || r.Members != c.Processes[len(c.Processes)-1] || r.Readers != c.Readers[0] {
-				continue
-			}
-			l := chart.Series{Name: r.Order}
-			for at, late := range r.Course {
-				if len(late) > 0 {
-					l.X, l.Y = append(l.X, float64(at)), append(l.Y, max(0.001, part(late, 0.99)))
-				}
-			}
-			lines = append(lines, l)
-		}
-		name := "channels-kill"
-		if x.name == channelCases[3].name {
-			name = "channels-cut"
-		}
-		if err := c.draw(name, x.name+": 99 in 100 shown within (simulated)", chart.Axis{Name: "s, when there to be written"}, chart.Axis{Name: "s", Log: true}, lines); err != nil {
+		if err := c.drawChannels(x.name, all); err != nil {
 			return nil, err
 		}
 	}
@@ -461,3 +458,47 @@
 	}
 	return all, nil
 }
+
+// channelPlans are the scenarios of each size, number of readers, case and order, each with its place for what comes of it.
+func (c *memoryPlayCommand) channelPlans() (plans []emulator.ChannelsScenario, all []channelsPlayed) {
+	for _, n := range c.Processes {
+		for _, readers := range c.Readers {
+			for _, x := range channelCases {
+				for order := channel.Latest; order <= channel.Total; order++ {
+					s := emulator.ChannelsDefault()
+					s.Seed, s.Members, s.Readers, s.Order = c.Seed, n, readers, order
+					x.change(&s)
+					plans = append(plans, s)
+					all = append(all, channelsPlayed{Case: x.name, Order: order.String(), Members: n, Readers: readers})
+				}
+			}
+		}
+	}
+	return plans, all
+}
+
+// drawChannels draws a case of the largest fleet and the fewest readers, a line for each order.
+func (c *memoryPlayCommand) drawChannels(name string, all []channelsPlayed) error {
+	var lines []chart.Series
+	for _, r := range all {
+		if r.Case == name && r.Members == c.Processes[len(c.Processes)-1] && r.Readers == c.Readers[0] {
+			lines = append(lines, latenessBySecond(r))
+		}
+	}
+	file := "channels-kill"
+	if name == channelCases[3].name {
+		file = "channels-cut"
+	}
+	return c.draw(file, name+": 99 in 100 shown within (simulated)", chart.Axis{Name: "s, when there to be written"}, chart.Axis{Name: "s", Log: true}, lines)
+}
+
+// latenessBySecond is a line of how late 99 in 100 were shown, by the second in which they were to be written.
+func latenessBySecond(r channelsPlayed) chart.Series {
+	l := chart.Series{Name: r.Order}
+	for at, late := range r.Course {
+		if len(late) > 0 {
+			l.X, l.Y = append(l.X, float64(at)), append(l.Y, max(0.001, part(late, 0.99)))
+		}
+	}
+	return l
+}
