--- a/client/client.go
+++ b/client/client.go
@@ -131,10 +131,10 @@
 			if some = true; n.Position != "" {
 				position = n.Position
 			}
-			if n.Word == channel.Ended {
+			switch n.Word {
+			case channel.Ended:
 				return position, some, channel.ErrEnded
-			}
-			if n.Word == channel.Reset || n.Word == channel.Cut {
+			case channel.Reset, channel.Cut:
 				return "", some, nil
 			}
 		}
--- a/client/publish.go
+++ b/client/publish.go
@@ -76,37 +76,12 @@
 func (p *Publisher) Publish(ctx context.Context, all ...Message) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for !p.clocked { // guards against a new writer whose messages would pass for older than all that stands
-		clock, err := cluster.AskClock(ctx, p.fleet.addresses[p.at], p.fleet.keys, p.channel)
-		if err == nil {
-			p.seen.Lock()
-			p.state.Clock, p.clocked = max(p.state.Clock, clock), true
-			p.seen.Unlock()
-			break
-		}
-		p.at = p.fleet.next(p.at)
-		if sleep(ctx, rand.Float64()*firstWait); ctx.Err() != nil {
-			return ctx.Err()
-		}
-	}
-	p.seen.Lock()
-	s := &p.state
-	number := s.Last + uint64(len(s.Pending))
-	for _, m := range all {
-		if len(m.Body) > channel.MostBody || len(m.Key) > channel.LongestKey {
-			p.seen.Unlock()
-			return fmt.Errorf("%w: at most %d bytes of key and %d of body", channel.ErrEntry, channel.LongestKey, channel.MostBody)
-		}
+	if err := p.learnClock(ctx); err != nil {
+		return err
 	}
-	for _, m := range all {
-		number++
-		s.Clock++
-		s.Pending = append(s.Pending, channel.Entry{
-			Channel: p.channel, Key: m.Key, Writer: s.Writer, Number: number, Clock: s.Clock,
-			After: maps.Clone(s.After), Body: m.Body,
-		})
+	if err := p.queue(all); err != nil {
+		return err
 	}
-	p.seen.Unlock()
 	if err := p.save(p.State()); err != nil {
 		return err
 	}
@@ -144,6 +119,47 @@
 	return nil
 }
 
+// learnClock has the writer's clock be no older than the channel's, before its first message. Guards against a new writer whose messages would
+// pass for older than all that stands.
+func (p *Publisher) learnClock(ctx context.Context) error {
+	for !p.clocked {
+		clock, err := cluster.AskClock(ctx, p.fleet.addresses[p.at], p.fleet.keys, p.channel)
+		if err == nil {
+			p.seen.Lock()
+			p.state.Clock, p.clocked = max(p.state.Clock, clock), true
+			p.seen.Unlock()
+			return nil
+		}
+		p.at = p.fleet.next(p.at)
+		if sleep(ctx, rand.Float64()*firstWait); ctx.Err() != nil {
+			return ctx.Err()
+		}
+	}
+	return nil
+}
+
+// queue adds messages to what is pending: all of them, or none where one is too long.
+func (p *Publisher) queue(all []Message) error {
+	p.seen.Lock()
+	defer p.seen.Unlock()
+	s := &p.state
+	number := s.Last + uint64(len(s.Pending))
+	for _, m := range all {
+		if len(m.Body) > channel.MostBody || len(m.Key) > channel.LongestKey {
+			return fmt.Errorf("%w: at most %d bytes of key and %d of body", channel.ErrEntry, channel.LongestKey, channel.MostBody)
+		}
+	}
+	for _, m := range all {
+		number++
+		s.Clock++
+		s.Pending = append(s.Pending, channel.Entry{
+			Channel: p.channel, Key: m.Key, Writer: s.Writer, Number: number, Clock: s.Clock,
+			After: maps.Clone(s.After), Body: m.Body,
+		})
+	}
+	return nil
+}
+
 // send sends what is pending, and tells how much of it was acknowledged.
 func (p *Publisher) send(ctx context.Context) (n int, err error) {
 	size, batch := 0, p.state.Pending
--- a/internal/hostproto/lines.go
+++ b/internal/hostproto/lines.go
@@ -242,22 +242,14 @@
 		if !ok {
 			return errors.New("field without value")
 		}
+		if r.Keep {
+			r.proof(name, value)
+		}
 		switch string(name) {
 		case "rev":
 			if a.Word == Valid {
 				a.Tag = string(value)
 			}
-			if r.Keep {
-				r.Proofs.Tag = Hash(value)
-			}
-		case "digest":
-			if r.Keep {
-				r.Proofs.Digest = Hash(value)
-			}
-		case "version":
-			if r.Keep {
-				r.Proofs.Version, _ = strconv.ParseUint(string(value), 10, 64)
-			}
 		case "detail":
 			a.Note = notes[string(value)]
 		case "fill":
@@ -269,6 +261,18 @@
 	return nil
 }
 
+// proof keeps a field that tells of the content.
+func (r *Reader) proof(name, value []byte) {
+	switch string(name) {
+	case "rev":
+		r.Proofs.Tag = Hash(value)
+	case "digest":
+		r.Proofs.Digest = Hash(value)
+	case "version":
+		r.Proofs.Version, _ = strconv.ParseUint(string(value), 10, 64)
+	}
+}
+
 // Request is what a cache host is asked.
 type Request struct {
 	ID, Service, Object, Part string
--- a/internal/snakejson/snake.go
+++ b/internal/snakejson/snake.go
@@ -4,6 +4,7 @@
 
 import (
 	"bytes"
+	"cmp"
 	"encoding/json"
 	"fmt"
 	"reflect"
@@ -83,21 +84,26 @@
 		if v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.Uint8 {
 			return plain(out, v.Bytes())
 		}
-		out.WriteByte('[')
-		for i := range v.Len() {
-			if i > 0 {
-				out.WriteByte(',')
-			}
-			if err := write(out, v.Index(i), names); err != nil {
-				return err
-			}
-		}
-		out.WriteByte(']')
-		return nil
+		return elements(out, v, names)
 	}
 	return plain(out, v.Interface())
 }
 
+// elements writes a slice or an array.
+func elements(out *bytes.Buffer, v reflect.Value, names bool) error {
+	out.WriteByte('[')
+	for i := range v.Len() {
+		if i > 0 {
+			out.WriteByte(',')
+		}
+		if err := write(out, v.Index(i), names); err != nil {
+			return err
+		}
+	}
+	out.WriteByte(']')
+	return nil
+}
+
 func plain(out *bytes.Buffer, v any) error {
 	raw, err := json.Marshal(v)
 	out.Write(raw)
@@ -131,43 +137,61 @@
 // fields writes the fields of a struct, those of structs in it that have no name of their own among them.
 func fields(out *bytes.Buffer, v reflect.Value, first *bool) error {
 	for i := range v.NumField() {
-		f := v.Type().Field(i)
-		name, options, _ := strings.Cut(f.Tag.Get("json"), ",")
-		if name == "-" || !f.IsExported() {
-			continue
-		}
-		if f.Anonymous && name == "" {
-			inner := v.Field(i)
-			if inner.Kind() == reflect.Pointer {
-				inner = inner.Elem()
-			}
-			if inner.Kind() == reflect.Struct {
-				if err := fields(out, inner, first); err != nil {
-					return err
-				}
-			}
-			if inner.Kind() == reflect.Struct || !inner.IsValid() {
-				continue
-			}
-		}
-		empty := v.Field(i).IsZero() || (v.Field(i).Kind() == reflect.Slice || v.Field(i).Kind() == reflect.Map) && v.Field(i).Len() == 0
-		if strings.Contains(options, "omitempty") && v.Field(i).Kind() != reflect.Struct && empty {
-			continue
-		}
-		if !*first {
-			out.WriteByte(',')
-		}
-		*first = false
-		if name == "" {
-			name = f.Name
-		}
-		if err := plain(out, Key(name)); err != nil {
+		if err := field(out, v.Type().Field(i), v.Field(i), first); err != nil {
 			return err
 		}
-		out.WriteByte(':')
-		if err := write(out, v.Field(i), f.Tag.Get("snake") == Names); err != nil {
+	}
+	return nil
+}
+
+// field writes a field of a struct, unless it is one that is left out.
+func field(out *bytes.Buffer, f reflect.StructField, v reflect.Value, first *bool) error {
+	name, options, _ := strings.Cut(f.Tag.Get("json"), ",")
+	if name == "-" || !f.IsExported() {
+		return nil
+	}
+	if f.Anonymous && name == "" {
+		if done, err := embedded(out, v, first); done || err != nil {
 			return err
 		}
 	}
-	return nil
+	if strings.Contains(options, "omitempty") && omitted(v) {
+		return nil
+	}
+	if !*first {
+		out.WriteByte(',')
+	}
+	*first = false
+	return pair(out, cmp.Or(name, f.Name), v, f.Tag.Get("snake") == Names)
+}
+
+// pair writes a field's key and value.
+func pair(out *bytes.Buffer, name string, v reflect.Value, names bool) error {
+	if err := plain(out, Key(name)); err != nil {
+		return err
+	}
+	out.WriteByte(':')
+	return write(out, v, names)
+}
+
+// embedded writes the fields of an embedded struct. It is false, and has written nothing, for another type, which is a field like others.
+func embedded(out *bytes.Buffer, v reflect.Value, first *bool) (done bool, err error) {
+	if v.Kind() == reflect.Pointer {
+		v = v.Elem()
+	}
+	if v.Kind() == reflect.Struct {
+		return true, fields(out, v, first)
+	}
+	return !v.IsValid(), nil
+}
+
+// omitted tells whether a field that may be left out is: structs never are.
+func omitted(v reflect.Value) bool {
+	switch v.Kind() {
+	case reflect.Struct:
+		return false
+	case reflect.Slice, reflect.Map:
+		return v.Len() == 0
+	}
+	return v.IsZero()
 }
