--- a/cmd/elderwall-operator/duties.go
+++ b/cmd/elderwall-operator/duties.go
@@ -6,18 +6,13 @@
 	"elderwall/core/cluster/quota"
 	"elderwall/internal/cluster"
 	"elderwall/internal/snakejson"
+	"elderwall/internal/table"
 	"errors"
 	"fmt"
 	"maps"
-	"math/rand/v2"
 	"os"
-	"os/exec"
-	"os/signal"
 	"slices"
 	"strings"
-	"syscall"
-	"text/tabwriter"
-	"time"
 )
 
 func (a asked) keys() (*cluster.Keys, error) {
@@ -62,8 +57,8 @@
 	if c.JSON {
 		return printJSON(t)
 	}
-	out := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(out, "duty\tholder\ttoken\trest\tlease\tzone\tto\tmarked, told\twaiting")
+	out := table.New(os.Stdout, columnGap, 0)
+	out.Println("duty\tholder\ttoken\trest\tlease\tzone\tto\tmarked, told\twaiting")
 	for _, d := range t.Duties {
 		holder, rest := "nobody", "-"
 		if d.Held() {
@@ -80,7 +75,7 @@
 		if d.More > 0 {
 			waiting = append(waiting, fmt.Sprintf("%d more", d.More))
 		}
-		fmt.Fprintf(out, "%s\t%s\t%d\t%s\t%gs\t%s\t%s\t%d, %d\t%s\n", d.Name, holder, d.Token, rest, d.Length, d.Zone, d.To, d.Mark, d.Told, strings.Join(waiting, ", "))
+		out.Printf("%s\t%s\t%d\t%s\t%gs\t%s\t%s\t%d, %d\t%s\n", d.Name, holder, d.Token, rest, d.Length, d.Zone, d.To, d.Mark, d.Told, strings.Join(waiting, ", "))
 	}
 	return out.Flush()
 }
@@ -130,8 +125,8 @@
 	if c.JSON {
 		return printJSON(t)
 	}
-	out := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(out, "budget\tgeneration\twhole\tdivided\tfree\tspent\treserved\tkept\tneeded\tage")
+	out := table.New(os.Stdout, columnGap, 0)
+	out.Println("budget\tgeneration\twhole\tdivided\tfree\tspent\treserved\tkept\tneeded\tage")
 	for _, b := range t.Budgets {
 		unit := 1.0
 		if b.Kind == quota.Rate {
@@ -142,7 +137,7 @@
 			for _, p := range parts {
 				sum.Out, sum.Floor, sum.Keep, sum.Need, sum.Age = sum.Out+p.Out, sum.Floor+p.Floor, sum.Keep+p.Keep, sum.Need+p.Need, max(sum.Age, p.Age)
 			}
-			fmt.Fprintf(out, "%s\t%s\t%s\t%g\t%s\t%s\t%g\t%g\t%g\t%.1fs\n", name, generation, whole, float64(sum.Out)/unit, free, spent, float64(sum.Floor)/unit, float64(sum.Keep)/unit,
+			out.Printf("%s\t%s\t%s\t%g\t%s\t%s\t%g\t%g\t%g\t%.1fs\n", name, generation, whole, float64(sum.Out)/unit, free, spent, float64(sum.Floor)/unit, float64(sum.Keep)/unit,
 				float64(sum.Need)/unit, sum.Age)
 		}
 		of := func(n int64) string { return fmt.Sprint(float64(n) / unit) }
@@ -201,8 +196,8 @@
 	}
 	s := t.Council
 	fmt.Printf("leader %d, term %d, log %d\n", s.Leader, s.Term, s.Commit)
-	out := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(out, "disk\tdispatcher\tera\tpart\tlags by")
+	out := table.New(os.Stdout, columnGap, 0)
+	out.Println("disk\tdispatcher\tera\tpart\tlags by")
 	line := func(id uint64, part string) {
 		name, era := "?", uint32(0)
 		for _, seat := range t.Seats {
@@ -210,7 +205,7 @@
 				name, era = seat.Name, seat.Era
 			}
 		}
-		fmt.Fprintf(out, "%d\t%s\t%d\t%s\t%d\n", id, name, era, part, max(0, int64(s.Commit)-int64(s.Match[id])))
+		out.Printf("%d\t%s\t%d\t%s\t%d\n", id, name, era, part, max(0, int64(s.Commit)-int64(s.Match[id])))
 	}
 	for _, id := range s.Voters {
 		line(id, map[bool]string{true: "leads", false: "votes"}[id == s.Leader])
@@ -260,125 +255,3 @@
 	_, err := c.ask(cluster.AskRecover, 0)
 	return err
 }
-
-// holdCommand runs a command under a duty.
-type holdCommand struct {
-	asked
-	Duty     string        `arg:"" help:"The duty."`
-	Command  []string      `arg:"" help:"The command, behind --." passthrough:""`
-	Lease    time.Duration `default:"3s" help:"The length of a lease, where the duty is new."`
-	Name     string        `help:"Under which it stands; drawn without." placeholder:"NAME"`
-	Zone     string        `help:"The zone that it stands in." placeholder:"ZONE"`
-	Priority int           `help:"Higher ones hold it before others."`
-}
-
-const (
-	holdTick = 10 * time.Millisecond
-	holdAsks = 6   // questions that are under way
-	termAt   = 0.4 // of a lease that is left: the command is asked to end
-	killAt   = 0.1 // of a lease that is left: it is ended
-	lostCode = 75  // the command was ended as the duty was lost: try again (EX_TEMPFAIL)
-)
-
-// exitStatus is a command's own status, passed on.
-type exitStatus int
-
-func (e exitStatus) Error() string { return fmt.Sprintf("ended with status %d", int(e)) }
-
-// Run waits for the duty, runs the command while it has it, and gives it back. Guards against a command that goes on without it: it is asked
-// to end, and then ended, before the lease is over by this process's own clock.
-func (c *holdCommand) Run() error {
-	keys, err := c.keys()
-	if err != nil {
-		return err
-	}
-	command := c.Command
-	if len(command) > 0 && command[0] == "--" {
-		command = command[1:]
-	}
-	if len(command) == 0 {
-		return errors.New("no command")
-	}
-	if c.Name == "" {
-		c.Name = fmt.Sprintf("hold-%016x", rand.Uint64())
-	}
-	got := make(chan os.Signal, 4)
-	signal.Notify(got, syscall.SIGTERM, syscall.SIGINT)
-	h := lease.NewHolder(c.Name, rand.Uint64()|1, c.Zone, c.Priority)
-	h.Want(c.Duty, c.Lease.Seconds(), cluster.BootTime())
-	answers, ended := make(chan cluster.Told, holdAsks), make(chan error, 1)
-	asking := 0
-	var run *exec.Cmd
-	var token uint64
-	var until float64
-	var asked, lost, leaving bool
-	status, finished := error(nil), false
-	for each := time.NewTicker(holdTick); ; {
-		select {
-		case <-each.C:
-		case t := <-answers:
-			if asking--; t.Error == "" {
-				h.Answer(cluster.BootTime(), t.Number, t.Leases)
-			}
-		case err := <-ended:
-			status, finished, run = err, true, nil
-			h.Leave(cluster.BootTime())
-		case s := <-got:
-			if leaving = true; run != nil {
-				_ = run.Process.Signal(s)
-				asked = true
-			} else {
-				h.Leave(cluster.BootTime())
-			}
-		}
-		now := cluster.BootTime()
-		if turn, ask, _ := h.Tick(now); ask && asking < holdAsks {
-			asking++
-			go func() {
-				t, err := cluster.AskTake(context.Background(), c.At, keys, turn)
-				if err != nil {
-					t.Error = err.Error()
-				}
-				answers <- t
-			}()
-		}
-		if (finished || leaving && run == nil) && h.Settled() {
-			break
-		}
-		if finished || leaving && run == nil {
-			if token == 0 || now > until { // nobody answers; it runs out by itself
-				break
-			}
-			continue
-		}
-		has, ok := h.Act(c.Duty, now)
-		until = max(until, h.Until(c.Duty))
-		left := h.Until(c.Duty) - now
-		switch {
-		case run == nil && ok && left > termAt*c.Lease.Seconds():
-			token = has
-			run = exec.Command(command[0], command[1:]...)
-			run.Stdin, run.Stdout, run.Stderr = os.Stdin, os.Stdout, os.Stderr
-			run.Env = append(os.Environ(), fmt.Sprint("ELDERWALL_TOKEN=", token), "ELDERWALL_DUTY="+c.Duty)
-			run.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-			if err := run.Start(); err != nil {
-				return fmt.Errorf("hold: %w", err)
-			}
-			go func(r *exec.Cmd) { ended <- r.Wait() }(run)
-		case run != nil && (!ok || has != token || left < killAt*c.Lease.Seconds()):
-			lost = true
-			_ = syscall.Kill(-run.Process.Pid, syscall.SIGKILL)
-		case run != nil && !asked && (left < termAt*c.Lease.Seconds() || slices.Contains(h.Handing(), c.Duty)):
-			asked, lost = true, true
-			_ = syscall.Kill(-run.Process.Pid, syscall.SIGTERM)
-		}
-	}
-	var exit *exec.ExitError
-	switch {
-	case lost:
-		return exitStatus(lostCode)
-	case errors.As(status, &exit):
-		return exitStatus(max(1, exit.ExitCode()))
-	}
-	return status
-}
--- a/internal/benchwire/golden_test.go
+++ b/internal/benchwire/golden_test.go
@@ -78,8 +78,8 @@
 		return []any{get}, err
 	}, []string{`["clientGone",0,7]`, `["clientGone",0]`, `["clientGone",0,4294967296]`}},
 	{"purged", func(m benchwire.Message) ([]any, error) {
-		object, group, age, err := m.Purged()
-		return []any{object, group, age}, err
+		p, err := m.Purged()
+		return []any{p.Object, p.Group, p.Age}, err
 	}, []string{
 		`["invalidated",0,"obj",17,2500000]`, `["invalidated",0,0,17,1]`, `["invalidated",0,null,17,1]`, `["invalidated",0,5,17,1]`,
 		`["invalidated",0,"obj",17]`, `["invalidated",0,"",null,null]`,
@@ -127,7 +127,8 @@
 	line("the others")
 	wire.Schedule(0.0000005, "a \"cookie\" <&> \u2028 \xff")
 	wire.Schedule(-1, "")
-	wire.Log("text\n")
+	wire.HostEjected(7)
+	wire.HostRecovered(7)
 	line("texts")
 	tr.Check(t, "actions.golden")
 }
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -284,7 +284,7 @@
 	o, end := rig.Life(t)
 	r.Dispatcher = New(Config{Settings: rig.Settings(100_000), Clock: clock.New(), Options: o, Connections: 100, Coalesce: joins})
 	r.Take(rig.Whole(r.hosts.Entries...))
-	o.Group.Go(func() error { return r.Dispatcher.Run(o.Context) })
+	o.Group.Go(func() error { return r.Run(o.Context) })
 	t.Cleanup(func() {
 		select {
 		case <-r.wait:
@@ -292,9 +292,9 @@
 			close(r.wait)
 		}
 		end()
-		r.Dispatcher.mu.Lock()
-		defer r.Dispatcher.mu.Unlock()
-		assert.Empty(t, r.Dispatcher.requests, "nothing is held")
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		assert.Empty(t, r.requests, "nothing is held")
 		for _, c := range r.clients {
 			assert.LessOrEqual(t, c.N.Load(), int32(1), "one answer")
 		}
--- a/internal/extproc/golden_test.go
+++ b/internal/extproc/golden_test.go
@@ -124,8 +124,8 @@
 		for _, devices := range []map[string]string{nil, {"segment": "device"}} {
 			rules := goldenRules(true)
 			rules.Devices = devices
-			reply, note, proofs, err := rules.reply(goldenHeaders(text))
-			tr.Values(fmt.Sprintf("%q, devices: %v", text, devices != nil), reply, note, proofs)
+			r, err := rules.response(goldenHeaders(text))
+			tr.Values(fmt.Sprintf("%q, devices: %v", text, devices != nil), r.reply, r.note, r.proofs)
 			tr.Rejected(err)
 		}
 	}
--- a/internal/service/golden_test.go
+++ b/internal/service/golden_test.go
@@ -15,7 +15,8 @@
 func TestGoldenConfiguration(t *testing.T) {
 	example, err := os.ReadFile("../../examples/config.json")
 	require.NoError(t, err)
-	platform := standin.Platform("127.0.0.1:1", "127.0.0.1:2", standin.List(1, true, "s-1 127.0.0.1:3 cache SERVING"), 7, 2, 64, 4096)
+	platform := standin.Platform("127.0.0.1:1", "127.0.0.1:2", standin.List(1, true, "s-1 127.0.0.1:3 cache SERVING"), 7,
+		standin.Limits{Cores: 2, MemoryMB: 64, Sockets: 4096})
 	var tr goldentest.Transcript
 	for _, c := range []struct{ name, text, listen, dispatcher string }{
 		{"example", string(example), "", ""},
