--- a/core/admission/callers.go
+++ b/core/admission/callers.go
@@ -149,8 +149,8 @@
 	for i := range s.Keys {
 		m.keys[s.Keys[i].ID] = &m.s.Keys[i]
 	}
-	for _, print := range s.Authorities {
-		m.trusted[print] = true
+	for _, fingerprint := range s.Authorities {
+		m.trusted[fingerprint] = true
 	}
 	m.revoked, m.names = newRevoked(s.Revoked), newNames(s.Names)
 	m.retenant(now, s)
@@ -175,7 +175,7 @@
 			t = &tenant{}
 		}
 		t.Tenant, t.rights = told, indexes[key]
-		t.account.set(now, told.Share)
+		t.set(now, told.Share)
 		m.tenants[told.Name] = t
 	}
 }
@@ -239,15 +239,15 @@
 	if !c.checks.has(now, oneGET) || !m.checks.has(now, oneGET+left) {
 		return ChecksUsed
 	}
-	c.checks.take(oneGET)
-	m.checks.take(oneGET)
+	c.checks.take()
+	m.checks.take()
 	return Passed
 }
 
-// Verified takes the claims of a token whose signature is right by a key of that print, and names the caller.
-func (m *Module) Verified(wall float64, c *Conn, sum Sum, keyID, print string, claims Claims) (Caller, Refusal) {
+// Verified takes the claims of a token whose signature is right by a key of that fingerprint, and names the caller.
+func (m *Module) Verified(wall float64, c *Conn, sum Sum, keyID, fingerprint string, claims Claims) (Caller, Refusal) {
 	k := m.keys[keyID]
-	if k == nil || k.Print != print { // the keys have changed meanwhile
+	if k == nil || k.Print != fingerprint { // the keys have changed meanwhile
 		return Caller{}, BadToken
 	}
 	v := &verdict{sum: sum, key: k, claims: claims}
--- a/core/admission/callers_test.go
+++ b/core/admission/callers_test.go
@@ -255,13 +255,13 @@
 		asks  func(m *Module) int
 		want  int
 	}{
-		{"a burst at once", rate(Share{Rate: 10, Burst: 4}), func(m *Module) int { return asks(m, 0, 0, 100, true) }, 4},
-		{"its rate over ten seconds", rate(Share{Rate: 10, Burst: 4}), func(m *Module) int { return asks(m, 0, 10, 1000, true) }, 103},
-		{"what never ran is not charged", rate(Share{Rate: 10, Burst: 4}), func(m *Module) int { return asks(m, 0, 0, 100, false) }, 100},
+		{"a burst at once", rate(Share{Rate: 10, Burst: 4}), func(m *Module) int { return asks(m, 0, 100, true) }, 4},
+		{"its rate over ten seconds", rate(Share{Rate: 10, Burst: 4}), func(m *Module) int { return asks(m, 10, 1000, true) }, 103},
+		{"what never ran is not charged", rate(Share{Rate: 10, Burst: 4}), func(m *Module) int { return asks(m, 0, 100, false) }, 100},
 		{"so many under way", rate(Share{Most: 7}), func(m *Module) int {
 			return passed(func() Refusal { _, r := ask(m, 0, "a", "x"); return r }, 100)
 		}, 7},
-		{"of one caller", caller(Share{Rate: 1, Burst: 3}), func(m *Module) int { return asks(m, 0, 0, 100, true) }, 3},
+		{"of one caller", caller(Share{Rate: 1, Burst: 3}), func(m *Module) int { return asks(m, 0, 100, true) }, 3},
 		{"another caller has its own", caller(Share{Rate: 1, Burst: 3}), func(m *Module) int {
 			n := 0
 			for i := range 10 {
@@ -276,10 +276,10 @@
 	}
 }
 
-// asks has tenant a ask so often over a span, and settles each GET at once.
-func asks(m *Module, from, span float64, n int, ran bool) (through int) {
+// asks has tenant a ask so often over a span from 0 on, and settles each GET at once.
+func asks(m *Module, span float64, n int, ran bool) (through int) {
 	for i := range n {
-		now := from + span*float64(i)/float64(n)
+		now := span * float64(i) / float64(n)
 		through += once(m, now, "a", "x", ran)
 	}
 	return through
@@ -417,9 +417,9 @@
 	assert.Same(t, m.tenants["t1"].rights, m.tenants["t2"].rights, "one index for all with the same roles")
 }
 
-// asked has a tenant's caller ask, which must come to that.
-func asked(t *testing.T, m *Module, tenant, name string, want Refusal, why ...any) Ticket {
-	ticket, r := ask(m, 0, tenant, name)
+// asked has a caller of tenant a ask, which must come to that.
+func asked(t *testing.T, m *Module, name string, want Refusal, why ...any) Ticket {
+	ticket, r := ask(m, 0, "a", name)
 	require.Equal(t, want, r, why...)
 	return ticket
 }
@@ -427,26 +427,26 @@
 func TestACallerWithGETsUnderWayKeepsItsPlace(t *testing.T) {
 	m := module(t, func(s *Settings) { s.Limits.Callers = 4; s.Tenants[0].Caller.Most = 1 })
 	for i := range 4 {
-		asked(t, m, "a", fmt.Sprint(i), Passed)
+		asked(t, m, fmt.Sprint(i), Passed)
 	}
-	ticket := asked(t, m, "a", "more", Passed, "no place is free: an account that is forgotten with its GET")
+	ticket := asked(t, m, "more", Passed, "no place is free: an account that is forgotten with its GET")
 	m.End(0, ticket, true, false)
-	asked(t, m, "a", "0", ShareUsed)
+	asked(t, m, "0", ShareUsed)
 	assert.Equal(t, 4, m.callers.order.Len())
 }
 
 func TestAReloadKeepsWhatIsUsedAndUnderWay(t *testing.T) {
 	bounded := func(s *Settings) { s.Tenants[0].Share = Share{Rate: 1, Burst: 5, Most: 2} }
 	m := module(t, bounded)
-	first := asked(t, m, "a", "x", Passed)
+	first := asked(t, m, "x", Passed)
 	require.NoError(t, m.Reload(0, noon, settings(bounded, func(s *Settings) { s.Tenants[0].Share.Burst = 3 })))
-	asked(t, m, "a", "x", Passed)
-	asked(t, m, "a", "x", ShareUsed, "two are under way")
+	asked(t, m, "x", Passed)
+	asked(t, m, "x", ShareUsed, "two are under way")
 	m.End(0, first, true, false)
-	asked(t, m, "a", "x", Passed)
+	asked(t, m, "x", Passed)
 	require.NoError(t, m.Reload(0, noon, settings(func(s *Settings) { s.Tenants = s.Tenants[1:] })))
 	m.End(0, first, true, false) // of a tenant that is gone
-	asked(t, m, "a", "x", Nobody)
+	asked(t, m, "x", Nobody)
 }
 
 // life is a key's as those see it who wrote it down, against which the module is held.
@@ -495,7 +495,7 @@
 					if !known {
 						_, r = m.Verified(wall, &Conn{}, token, id, id, c)
 					}
-					want := expected(told, id, iat, wall)
+					want := expected(told, id, iat)
 					if want != nil && (r == Passed) != *want {
 						t.Fatalf("key %s %+v, issued %v s ago: %v", id, told[id], wall-iat, r)
 					}
@@ -526,7 +526,7 @@
 }
 
 // expected is whether a token without an end must pass; nil within the skew, where either will do.
-func expected(told map[string]life, id string, iat, wall float64) *bool {
+func expected(told map[string]life, id string, iat float64) *bool {
 	l, ok := told[id]
 	yes, no := true, false
 	switch {
--- a/core/admission/keys.go
+++ b/core/admission/keys.go
@@ -190,7 +190,7 @@
 func (m *Module) byCertificate(wall float64, c *Conn) (Caller, Refusal) {
 	cert := c.Certificate
 	if wall > cert.Until+m.s.Skew || wall < cert.From-m.s.Skew || m.revoked.certificates[cert.Serial] ||
-		!slices.ContainsFunc(cert.Authorities, func(print string) bool { return m.trusted[print] }) {
+		!slices.ContainsFunc(cert.Authorities, func(fingerprint string) bool { return m.trusted[fingerprint] }) {
 		return Caller{}, BadCertificate
 	}
 	if c.gen != m.gen {
--- a/core/admission/shares.go
+++ b/core/admission/shares.go
@@ -33,7 +33,8 @@
 	return b.left >= n
 }
 
-func (b *bucket) take(n float64) { b.left -= n }
+// take takes one GET out.
+func (b *bucket) take() { b.left -= oneGET }
 
 func (b *bucket) give(now, n float64) {
 	if b.rate > 0 {
@@ -121,7 +122,7 @@
 func (a *account) charge() {
 	a.out++
 	if a.share.Rate > 0 {
-		a.rate.take(oneGET)
+		a.rate.take()
 	}
 }
 
@@ -228,7 +229,7 @@
 		return Pressed, backFair
 	}
 	if m.fair.asked++; ten.fair.rate > 0 {
-		ten.fair.take(oneGET)
+		ten.fair.take()
 	}
 	c.pace.turn(now)
 	c.pace.now++
--- a/core/cluster/channel/codec.go
+++ b/core/cluster/channel/codec.go
@@ -44,7 +44,7 @@
 }
 
 func checkEntry(key string, value []byte) error {
-	if _, _, _, _, err := readKey(key); err != nil {
+	if _, err := readKey(key); err != nil {
 		return err
 	}
 	if len(value) == 0 { // a tombstone
@@ -58,11 +58,11 @@
 }
 
 func checkNumber(key string, value []byte) error {
-	_, _, number, _, err := readKey(key)
+	parts, err := readKey(key)
 	r := reading{b: value}
 	r.number()
 	r.number()
-	if err == nil && (len(value) > 0 && r.bad || len(r.b) > 0 || number != 0) {
+	if err == nil && (len(value) > 0 && r.bad || len(r.b) > 0 || parts.number != 0) {
 		err = ErrEntry
 	}
 	return err
@@ -127,18 +127,27 @@
 	return string(binary.AppendUvarint(binary.BigEndian.AppendUint64(b, number), epoch))
 }
 
-func readKey(key string) (channel, writer string, number, epoch uint64, err error) {
+// recordKey is a record's key taken apart.
+type recordKey struct {
+	channel, writer string // no writer: of the whole channel
+	number          uint64
+	epoch           uint64 // the incarnation of the channel where there is a writer
+}
+
+// readKey takes a key of makeKey apart. Its error is ErrEntry.
+func readKey(key string) (recordKey, error) {
 	r := reading{b: []byte(key)}
-	channel, writer = r.text(LongestName), r.text(LongestName)
+	channel, writer := r.text(LongestName), r.text(LongestName)
 	if len(r.b) < 8 {
-		return "", "", 0, 0, ErrEntry
+		return recordKey{}, ErrEntry
 	}
-	number, r.b = binary.BigEndian.Uint64(r.b), r.b[8:]
-	epoch = r.number()
+	number := binary.BigEndian.Uint64(r.b)
+	r.b = r.b[8:]
+	epoch := r.number()
 	if r.bad || len(r.b) > 0 || channel == "" {
-		return "", "", 0, 0, ErrEntry
+		return recordKey{}, ErrEntry
 	}
-	return
+	return recordKey{channel: channel, writer: writer, number: number, epoch: epoch}, nil
 }
 
 func text(b []byte, s string) []byte { return append(binary.AppendUvarint(b, uint64(len(s))), s...) }
--- a/core/cluster/channel/joint_test.go
+++ b/core/cluster/channel/joint_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// real is a dispatcher's replica with its disk, where the world's own spreading of records is not used.
-type real struct {
+// realReplica is a dispatcher's replica with its disk, where the world's own spreading of records is not used.
+type realReplica struct {
 	m    *replication.Machine
 	era  uint64
 	recs map[replication.Name]replication.Carried
@@ -26,8 +26,8 @@
 	raw      []byte
 }
 
-func newReal() *real {
-	return &real{recs: map[replication.Name]replication.Carried{}, vec: map[[2]any]replication.Entry{}}
+func newReal() *realReplica {
+	return &realReplica{recs: map[replication.Name]replication.Carried{}, vec: map[[2]any]replication.Entry{}}
 }
 
 func (w *world) startReal(i int) {
--- a/core/cluster/channel/machine.go
+++ b/core/cluster/channel/machine.go
@@ -296,10 +296,11 @@
 
 // Learn takes a record in that replica has got, from others or from oneself.
 func (m *Machine) Learn(now float64, r replication.Record) {
-	name, writer, number, ep, err := readKey(r.Key)
+	key, err := readKey(r.Key)
+	writer, number, ep := key.writer, key.number, key.epoch
 	var c *channel
 	if err == nil {
-		c = m.channel(name)
+		c = m.channel(key.channel)
 	}
 	switch {
 	case c == nil:
@@ -348,9 +349,7 @@
 
 // raise: others have let all up to a number go.
 func (c *channel) raise(writer string, number, ep uint64) {
-	if writer != "" {
-		ep = 0
-	} else if !c.valid(ep, number) {
+	if writer == "" && !c.valid(ep, number) {
 		return
 	}
 	if number > c.floor[writer] && number > c.vec[writer] {
@@ -751,10 +750,10 @@
 		}
 		c.loose[k] = now + 10*Within
 		r := replication.Record{Kind: EntryKind, Key: k, Dead: true}
-		if _, w, of, life, err := readKey(k); err == nil && of == 0 {
-			g, ok := c.gone[w]
-			if r.Kind, r.Value = WriterKind, number(0, math.MaxUint64); life == c.life && c.ended == 0 {
-				if r.Value = number(0, g.Number); !ok || c.vec[w] > 0 { // it came back
+		if key, err := readKey(k); err == nil && key.number == 0 {
+			g, ok := c.gone[key.writer]
+			if r.Kind, r.Value = WriterKind, number(0, math.MaxUint64); key.epoch == c.life && c.ended == 0 {
+				if r.Value = number(0, g.Number); !ok || c.vec[key.writer] > 0 { // it came back
 					delete(c.loose, k)
 					continue
 				}
--- a/core/cluster/channel/readers.go
+++ b/core/cluster/channel/readers.go
@@ -156,7 +156,7 @@
 		case i.e != nil:
 			had := r.had[i.e.Key]
 			out = append(out, Note{Word: Shown, Entry: i.e, Late: i.late || had != nil && law(had, i.e) > 0, Generation: i.generation})
-		case to > 0 && !i.mark && !(from == 1 && r.cursor <= r.fresh): // what was before a new reader came is no gap
+		case to > 0 && !i.mark && (from != 1 || r.cursor > r.fresh): // what was before a new reader came is no gap
 			if !c.d.Told {
 				return append(out, end(Cut))
 			}
--- a/core/cluster/channel/world_test.go
+++ b/core/cluster/channel/world_test.go
@@ -50,7 +50,7 @@
 	side        int
 	rate, shift float64
 	boot        uint64
-	real        *real
+	real        *realReplica
 }
 
 type wire struct {
@@ -71,7 +71,6 @@
 	name  string
 	at    int
 	next  uint64 // to send; those below were acknowledged
-	after map[string]uint64
 	reads *follower
 	wait  float64
 	clock uint64
@@ -476,7 +475,7 @@
 		w.wrong("%s at n%d: %s after %d", r.name, r.at, ref(e.Writer, e.Number), last)
 	}
 	if w.d.Order > Latest {
-		for k := last + 1; k < e.Number && !(last == 0 && (w.small() || going)); k++ {
+		for k := last + 1; k < e.Number && (last != 0 || !w.small() && !going); k++ {
 			if !r.gaps[ref(e.Writer, k)] && !r.anyGap {
 				w.wrong("%s at n%d: %s came, %d is missing", r.name, r.at, ref(e.Writer, e.Number), k)
 			}
@@ -484,7 +483,7 @@
 	}
 	if w.d.Order == Causal {
 		for v, n := range sent.After {
-			for k := r.num[v] + 1; k <= n && v != e.Writer && !(r.num[v] == 0 && (w.small() || going)); k++ {
+			for k := r.num[v] + 1; k <= n && v != e.Writer && (r.num[v] != 0 || !w.small() && !going); k++ {
 				if !r.gaps[ref(v, k)] && !r.anyGap {
 					w.wrong("%s: %s came before %s", r.name, ref(e.Writer, e.Number), ref(v, k))
 				}
@@ -516,8 +515,8 @@
 	}
 	for i, n := range w.nodes {
 		for _, r := range n.store {
-			if _, lane, _, life, err := readKey(r.Key); err == nil && lane != "" && !r.Dead && life != w.life() {
-				w.wrong("n%d: a record of %s is left of a channel that ended", i, lane)
+			if key, err := readKey(r.Key); err == nil && key.writer != "" && !r.Dead && key.epoch != w.life() {
+				w.wrong("n%d: a record of %s is left of a channel that ended", i, key.writer)
 			}
 		}
 		if w.d.Forget > 0 && n.m.Gone() < w.ledger.gone {
@@ -539,7 +538,7 @@
 			}
 			places[e.Place] = id
 		}
-		if first == nil || len(first) == 0 {
+		if len(first) == 0 {
 			first = final
 		}
 		for id := range w.acked {
--- a/core/cluster/lease/holder.go
+++ b/core/cluster/lease/holder.go
@@ -99,7 +99,7 @@
 	return 0
 }
 
-// Asked to give back tells which duties are wanted by others: each is to be given back after its last act.
+// Handing tells which duties are wanted by others: each is to be given back after its last act.
 func (h *Holder) Handing() (all []string) {
 	for name, l := range h.held {
 		if l.Hand {
--- a/core/cluster/membership/members_test.go
+++ b/core/cluster/membership/members_test.go
@@ -32,8 +32,8 @@
 
 type one struct {
 	*Machine
-	name, address       string
-	gone, left, stalled bool
+	name, address string
+	gone, left    bool
 }
 
 type sent struct {
--- a/core/cluster/quota/budgets_test.go
+++ b/core/cluster/quota/budgets_test.go
@@ -27,9 +27,7 @@
 	questions  []Question
 	answers    []Answered
 	old        []Answered // delivered or dropped ones may come again
-	flying     *Command   // of the last divider, proposed and not in the log
 	mutant     string
-	used       []int64 // of an amount, of processes that have ended too
 	turn       uint64
 	ended      int64
 }
--- a/core/cluster/replication/pull.go
+++ b/core/cluster/replication/pull.go
@@ -397,7 +397,7 @@
 		m.dropped(c.Record.Kind)
 		return
 	}
-	if m.fallen(&c.Record) && !(c.Record.Dead && p.more && !m.fault.uncover) {
+	if m.fallen(&c.Record) && (!c.Record.Dead || !p.more || m.fault.uncover) {
 		if len(p.odd) < mostGiven {
 			p.odd[c.Record.Dot] = c
 		}
@@ -471,7 +471,7 @@
 	for _, id := range p.kinds {
 		s := m.kinds[id]
 		switch {
-		case !m.lacks[id] || m.drops[id] != p.before[id] && !(raised && p.lacks[id] && m.drops[id] == p.before[id]+1):
+		case !m.lacks[id] || m.drops[id] != p.before[id] && (!raised || !p.lacks[id] || m.drops[id] != p.before[id]+1):
 		case !p.lacks[id] && (p.joint.reaches(s.upto) || m.fault.clears):
 			s.full = false
 			m.lack(id, false)
--- a/core/cluster/replication/step.go
+++ b/core/cluster/replication/step.go
@@ -247,11 +247,11 @@
 	at := make([]*entry, len(d.Records))
 	if !m.fault.joinFirst || m.chance.Float64() < 0.8 {
 		for i, c := range d.Records {
-			if m.kinds[c.Record.Kind] == nil {
+			switch {
+			case m.kinds[c.Record.Kind] == nil:
 				at[i] = m.dropped(c.Record.Kind)
-			} else if c.Hole { // beyond where it stops
-				continue
-			} else if !m.fallen(&c.Record) || c.Record.Dead && !m.fault.uncover && d.hides(uint32(i), have) {
+			case c.Hole: // beyond where it stops
+			case !m.fallen(&c.Record) || c.Record.Dead && !m.fault.uncover && d.hides(uint32(i), have):
 				at[i] = m.merge(c)
 			}
 		}
--- a/core/cluster/replication/table.go
+++ b/core/cluster/replication/table.go
@@ -212,7 +212,8 @@
 	if e.aside {
 		flags |= 2
 	}
-	m.scratch = append(b, flags)
+	b = append(b, flags)
+	m.scratch = b
 	return xxhash.Sum64(m.scratch)
 }
 
@@ -257,11 +258,12 @@
 		m.touch(e)
 		return e
 	}
-	order, aside := m.content(s, &r, &e.rec), e.aside
+	order := m.content(s, &r, &e.rec)
 	if r.Dot != e.rec.Dot && !m.vec.covers(r.Dot) {
 		m.beats++
 		e.beat = m.beats
 	}
+	var aside bool
 	switch {
 	case r.Dot == e.rec.Dot:
 		aside = e.aside || c.Aside || order != 0
--- a/core/cluster/replication/world_test.go
+++ b/core/cluster/replication/world_test.go
@@ -80,7 +80,7 @@
 type node struct {
 	name, zone string
 	m          *Machine
-	disk, old  *disk
+	disk       *disk
 	boots      uint64
 	full       bool
 	newer      bool    // of the later version
--- a/core/cluster/variant/module.go
+++ b/core/cluster/variant/module.go
@@ -201,7 +201,7 @@
 // told is the floor that counts for an object: the time of its newest purge, and the number under which one was last heard. It is exact
 // where that purge is not another's with which it shares a floor: only then do others mean the same by it.
 func (m *Module) told(o Object) (f floor, exact bool) {
-	f, exact = m.all, true
+	f = m.all
 	if o.Service >= 0 && o.Service < len(m.services) {
 		f = f.over(m.services[o.Service])
 	}
--- a/core/coalescing/joint.go
+++ b/core/coalescing/joint.go
@@ -195,15 +195,21 @@
 	return longest
 }
 
-// Pass takes out the next follower whose time is over, with the leader whose work nobody needs any more by that.
-func (t *Table[W]) Pass(now float64) (over W, stop W, stops, ok bool) {
+// TimedOut is a follower whose time is over.
+type TimedOut[W any] struct {
+	Over  W    // the follower
+	Stop  W    // the leader whose work nobody needs any more by that
+	Stops bool // false where there is no such leader
+}
+
+// Pass takes out the next follower whose time, in seconds as now, is over; false for none.
+func (t *Table[W]) Pass(now float64) (TimedOut[W], bool) {
 	w, ok := t.due.Pop(now)
 	if !ok {
-		return over, stop, false, false
+		return TimedOut[W]{}, false
 	}
-	over = w.W
-	stop, stops = t.Leave(w)
-	return over, stop, stops, true
+	stop, stops := t.Leave(w)
+	return TimedOut[W]{Over: w.W, Stop: stop, Stops: stops}, true
 }
 
 // Purged lets nobody follow what was begun before a purge of an object, or of a whole group where object is empty.
--- a/core/coalescing/joint_test.go
+++ b/core/coalescing/joint_test.go
@@ -81,10 +81,10 @@
 	lead := p.enters(5, "a", 6, "lead", Leads)
 	p.enters(5.1, "a", 5.12, "20 ms left", Alone)
 	p.enters(5.1, "a", 5.4, "short", Follows)
-	_, _, _, ok := p.Pass(5.34)
+	_, ok := p.Pass(5.34)
 	assert.False(t, ok)
-	over, _, stops, ok := p.Pass(5.36)
-	assert.Equal(t, []any{"short", false, true}, []any{over, stops, ok}, "before its viewer timeout")
+	late, ok := p.Pass(5.36)
+	assert.Equal(t, []any{"short", false, true}, []any{late.Over, late.Stops, ok}, "before its viewer timeout")
 	p.enters(5.4, "a", 9, "long", Follows)
 	_, next := p.Ended(5.95, lead, TimeOver)
 	assert.Equal(t, "long", next.W)
@@ -170,12 +170,12 @@
 		w.table.Purged("a", 0)
 	case 7:
 		w.now += 0.97
-		for over, stop, stops, ok := w.table.Pass(w.now); ok; over, stop, stops, ok = w.table.Pass(w.now) {
-			if w.state[over] != "open" {
-				return fmt.Errorf("%d is over twice", over)
+		for late, ok := w.table.Pass(w.now); ok; late, ok = w.table.Pass(w.now) {
+			if w.state[late.Over] != "open" {
+				return fmt.Errorf("%d is over twice", late.Over)
 			}
-			if w.state[over] = "answered"; stops {
-				w.works[stop] = false
+			if w.state[late.Over] = "answered"; late.Stops {
+				w.works[late.Stop] = false
 			}
 		}
 	}
--- a/core/sharding/shards.go
+++ b/core/sharding/shards.go
@@ -20,7 +20,9 @@
 )
 
 const (
-	Slots     = 1024 // parts into which items are hashed; the least that moves is a thousandth of the load
+	// Slots is the number of parts into which items are hashed; the least that moves is a thousandth of the load.
+	Slots = 1024
+
 	mostHot   = 32   // items that are spread at most; by hotFrom there can't be more that matter
 	hotFrom   = 0.5  // share of a shard's even load from which on an item is spread
 	hotUntil  = 0.25 // share under which it is one shard's again: half, so that it does not flap
--- a/core/timerwheel/due.go
+++ b/core/timerwheel/due.go
@@ -141,28 +141,34 @@
 // It looks at lists that hold something alone, so that an hour costs no more than a tick.
 func (w *Wheel[T]) advance(to uint64) {
 	for len(w.ready) == 0 {
-		level, slot, start, ok := w.first()
-		if !ok || start > to {
+		next, ok := w.first()
+		if !ok || next.start > to {
 			w.now = max(w.now, to)
 			return
 		}
-		w.now = max(w.now, start)
-		l := &w.level[level]
-		t := l.lists[slot]
-		l.lists[slot] = nil
-		l.occupied &^= 1 << slot
+		w.now = max(w.now, next.start)
+		l := &w.level[next.level]
+		t := l.lists[next.slot]
+		l.lists[next.slot] = nil
+		l.occupied &^= 1 << next.slot
 		for t != nil {
-			next := t.next
+			after := t.next
 			t.next, t.prev = nil, nil
 			w.place(t)
-			t = next
+			t = after
 		}
 	}
 }
 
-// first is the first list that holds something, and the tick at which it starts: lower levels always come first, as
-// their ticks share more bits with now.
-func (w *Wheel[T]) first() (level, slot int, start uint64, ok bool) {
+// position is the place of a list in the wheel, and the tick at which it starts.
+type position struct {
+	level, slot int
+	start       uint64
+}
+
+// first is the first list that holds something; false for none. Lower levels always come first, as their ticks share
+// more bits with now.
+func (w *Wheel[T]) first() (position, bool) {
 	for level := range w.level {
 		occupied := w.level[level].occupied
 		if occupied == 0 {
@@ -171,9 +177,9 @@
 		slot := bits.TrailingZeros64(occupied) // none is behind now's: their timers would differ at a higher level
 		shift := level * fan
 		start := w.now&^(1<<(shift+fan)-1) | uint64(slot)<<shift
-		return level, slot, start, true
+		return position{level: level, slot: slot, start: start}, true
 	}
-	return 0, 0, 0, false
+	return position{}, false
 }
 
 type timers[T any] []*Timer[T]
--- a/emulator/channels.go
+++ b/emulator/channels.go
@@ -121,7 +121,6 @@
 	acked  map[string]bool
 	places map[[2]uint64]string // what readers were shown in a place
 	out    *ChannelsResult
-	back   float64
 }
 
 const channelName = "news"
@@ -536,14 +535,15 @@
 			return
 		}
 		state, err := m.channels.Write(w.now, e)
-		if err != nil {
+		switch {
+		case err != nil:
 			w.out.Refusals[err.Error()]++
 			w.act(w.Patience/20, func() { // what it waits for may come in a moment
 				if x.sent == turn && len(x.queue) > 0 && x.queue[0].Number == e.Number {
 					w.write(x)
 				}
 			})
-		} else if state == channel.Elsewhere {
+		case state == channel.Elsewhere:
 			w.act(w.delay(), func() {
 				if h := w.holder; h != nil && h.up && h.side == m.side {
 					if state, err := h.channels.Write(w.now, e); err == nil && state == channel.Known {
@@ -554,7 +554,7 @@
 					w.step(h)
 				}
 			})
-		} else if state == channel.Known {
+		case state == channel.Known:
 			w.ack(channel.Ack{Writer: e.Writer, Number: e.Number, Met: true})
 		}
 		w.step(m)
--- a/emulator/dispatcher.go
+++ b/emulator/dispatcher.go
@@ -169,7 +169,7 @@
 	}
 	g := &get{d: d, id: d.lastID, object: o, from: d.now, again: again}
 	d.gets[g.id] = g
-	if t := d.world.out.tally(d.world); again == 0 {
+	if t := d.out.tally(d.world); again == 0 {
 		t.GETs++
 	} else {
 		t.Again++
@@ -183,7 +183,7 @@
 // expire is the moment at which a client leaves: by then its GET must have been answered.
 func (d *dispatcher) expire(g *get) {
 	if g.answers == 0 {
-		d.world.out.Broken["a GET had no answer in time"]++
+		d.out.Broken["a GET had no answer in time"]++
 		g.answers++
 	}
 	d.step(func(now float64) {
@@ -248,17 +248,17 @@
 
 // returned is what the client gets.
 func (d *dispatcher) returned(f *forward, note routing.Note, fetched float64) {
-	t, o := d.world.out.tally(d.world), f.get.object
+	t, o := d.out.tally(d.world), f.get.object
 	took := d.now - f.get.from
 	t.Returned++
-	if d.world.out.took(d.world, took); took <= d.Objective {
+	if d.out.took(d.world, took); took <= d.Objective {
 		t.InTime++
 	}
 	if note == routing.CacheHit {
 		t.Hits++
 	}
 	if told, ok := o.told[d]; ok && fetched < o.purged && d.now > told+purgeGrace && told >= o.purged {
-		d.world.out.Broken["an older copy was returned after the purge grace"]++
+		d.out.Broken["an older copy was returned after the purge grace"]++
 	}
 }
 
@@ -269,7 +269,7 @@
 	f := &forward{out: out, get: g, number: len(g.forwards), at: d.now, host: d.byID[out.Host], source: d.byID[out.Source]}
 	g.forwards = append(g.forwards, f)
 	g.out++
-	t := d.world.out.tally(d.world)
+	t := d.out.tally(d.world)
 	t.Forwards++
 	connected := d.used[f.host] > 0 && d.now-d.used[f.host] < d.IdleClose
 	if f.host.down {
@@ -329,7 +329,7 @@
 		return nil
 	}
 	if g.answers++; g.answers > 1 {
-		d.world.out.Broken["a GET was answered twice"]++
+		d.out.Broken["a GET was answered twice"]++
 		return nil
 	}
 	d.forget(g)
--- a/emulator/variants.go
+++ b/emulator/variants.go
@@ -96,7 +96,7 @@
 type keys interface {
 	key(now float64, o *item, class int) (stands, beside int, checks bool)
 	// answered takes what came for a GET; false where the bytes may not go to it, and it has to be sent by its own class.
-	answered(now float64, o *item, class, asked, beside int, host uint32, a copyOf) bool
+	answered(now float64, o *item, class int, r response) bool
 	purged(now float64, o *item, purge uint64)
 	facts() []variantFact
 	learn(now float64, f variantFact)
@@ -126,6 +126,15 @@
 	class int
 }
 
+// response is what a fetch from a host gave.
+type response struct {
+	asked, beside int // class and place beside it that were asked for
+	copyOf
+	hit  bool
+	host uint32
+	ok   bool // false where the origin had no capacity for it
+}
+
 type placeKey struct {
 	hostKey
 	beside int
@@ -315,19 +324,7 @@
 		w.out.GETs++
 		w.worth += worth
 	}
-	asked, beside, checks := class, 0, false
-	switch {
-	case o.service == tokened || w.Way == ByClass:
-	case w.Way == OneKey:
-		asked = 0
-	case w.Way == AtOnce:
-		asked = w.known[o].stands(w, o, class)
-	case w.Way == Knowing:
-		truth := o.states[len(o.states)-1]
-		asked = slices.Index(truth, truth[class])
-	default:
-		asked, beside, checks = w.all[d].key(w.now, o, class)
-	}
+	asked, beside, checks := w.choose(d, o, class)
 	if truth := o.states[len(o.states)-1]; counts && o.service != tokened && slices.Index(truth, truth[class]) != asked {
 		if checks {
 			w.out.Checked++
@@ -335,47 +332,70 @@
 			w.out.Apart++
 		}
 	}
-	a, hit, host, ok := w.fetch(o, asked, beside)
-	if ok && o.service != tokened {
-		switch w.Way {
-		case ByClass, OneKey:
-		case AtOnce:
-			if !w.bear(o, asked, a) || !w.known[o].same(w, class, asked) {
-				if a, hit, _, ok = w.fetch(o, class, 0); ok {
-					w.bear(o, class, a)
-				}
-			}
-		case Knowing:
-			if a.content != o.states[a.state][class] {
-				a, hit, _, ok = w.fetch(o, class, 0)
-			}
-		default:
-			if !w.all[d].answered(w.now, o, class, asked, beside, host, a) {
-				if counts {
-					w.out.Again++
-				}
-				if a, hit, host, ok = w.fetch(o, class, 0); ok {
-					w.all[d].answered(w.now, o, class, class, 0, host, a)
-				}
-			}
-			w.spread(d)
-		}
+	r := w.fetch(o, asked, beside)
+	if r.ok && o.service != tokened {
+		r = w.settle(d, o, class, r)
 	}
 	if !counts {
 		return
 	}
-	if !ok {
+	if !r.ok {
 		w.out.Shed++
 		return
 	}
-	if hit {
+	if r.hit {
 		w.out.Hits++
 	}
-	if w.check(d, o, class, asked, a) {
+	if w.check(d, o, class, asked, r.copyOf) {
 		w.paid += worth
 	}
 }
 
+// choose gives the class by which a dispatcher asks for an object, the place beside it, and whether it is a check.
+func (w *variantsWorld) choose(d int, o *item, class int) (asked, beside int, checks bool) {
+	switch {
+	case o.service == tokened || w.Way == ByClass:
+		return class, 0, false
+	case w.Way == OneKey:
+		return 0, 0, false
+	case w.Way == AtOnce:
+		return w.known[o].stands(w, o, class), 0, false
+	case w.Way == Knowing:
+		truth := o.states[len(o.states)-1]
+		return slices.Index(truth, truth[class]), 0, false
+	default:
+		return w.all[d].key(w.now, o, class)
+	}
+}
+
+// settle takes a response as evidence. It gives the one that goes to the client: another where the first may not.
+func (w *variantsWorld) settle(d int, o *item, class int, r response) response {
+	switch w.Way {
+	case ByClass, OneKey:
+	case AtOnce:
+		if !w.bear(o, r.asked, r.copyOf) || !w.known[o].same(w, class, r.asked) {
+			if r = w.fetch(o, class, 0); r.ok {
+				w.bear(o, class, r.copyOf)
+			}
+		}
+	case Knowing:
+		if r.content != o.states[r.state][class] {
+			r = w.fetch(o, class, 0)
+		}
+	default:
+		if !w.all[d].answered(w.now, o, class, r) {
+			if w.now >= w.Warm {
+				w.out.Again++
+			}
+			if r = w.fetch(o, class, 0); r.ok {
+				w.all[d].answered(w.now, o, class, r)
+			}
+		}
+		w.spread(d)
+	}
+	return r
+}
+
 // borne is what any answer bore, by class, in the newest generation that one bore.
 type borne struct {
 	purge, version uint64
@@ -418,7 +438,7 @@
 }
 
 // fetch gets an answer of a class from the host that its key, or a place beside, names.
-func (w *variantsWorld) fetch(o *item, class, beside int) (a copyOf, hit bool, host uint32, ok bool) {
+func (w *variantsWorld) fetch(o *item, class, beside int) response {
 	k := hostKey{o.id, class}
 	at := placeKey{k, beside}
 	spread, first := 1, w.first[at]
@@ -426,16 +446,19 @@
 		spread = 3
 	}
 	skip := w.chance.IntN(spread)
-	w.index.Walk(rendezvous.Mix(o.id+uint64(class+variant.MaxClasses*beside)), &first, skip, func(h uint32) bool { host = h; return false })
+	r := response{asked: class, beside: beside}
+	key := rendezvous.Mix(o.id + uint64(class+variant.MaxClasses*beside))
+	w.index.Walk(key, &first, skip, func(h uint32) bool { r.host = h; return false })
 	w.first[at] = first
-	held := w.hosts[host-1]
-	if a, hit = held.Get(k); hit && w.now < a.at+w.Lasts {
-		return a, true, host, true
+	held := w.hosts[r.host-1]
+	if cached, ok := held.Get(k); ok && w.now < cached.at+w.Lasts {
+		r.copyOf, r.hit, r.ok = cached, true, true
+		return r
 	}
 	w.room = min(w.OriginRate, w.room+w.OriginRate*(w.now-w.roomAt))
 	w.roomAt = w.now
 	if w.room < 1 {
-		return a, false, host, false
+		return r
 	}
 	w.room--
 	if w.now >= w.Warm {
@@ -443,16 +466,17 @@
 	}
 	w.bins[int(min(w.now, w.Warm+w.Span))]++
 	state := len(o.states) - 1
-	a = copyOf{content: o.states[state][class], class: class, state: state, purge: o.purge, at: w.now}
+	a := copyOf{content: o.states[state][class], class: class, state: state, purge: o.purge, at: w.now}
 	a.proof = a.content
-	if int(host) <= w.Liars {
+	if int(r.host) <= w.Liars {
 		a.proof = o.states[state][0]
 	}
 	if o.service == named {
 		a.version = uint64(state + 1)
 	}
 	held.Add(k, a)
-	return a, false, host, true
+	r.copyOf, r.ok = a, true
+	return r
 }
 
 // check tells whether a GET got its own class's bytes. It knows nothing of keys.
@@ -583,11 +607,14 @@
 	return p.key1.Class, p.key1.Beside, p.key1.Checks
 }
 
-func (p *program) answered(now float64, o *item, class, asked, beside int, host uint32, a copyOf) bool {
-	answer := variant.Answer{Object: named1(o), Class: asked, Beside: beside, Host: host, Proof: a.proof, Generation: variant.Generation{Purge: p.floor, Version: a.version}, Known: p.known, Sent: now}
+func (p *program) answered(now float64, o *item, class int, r response) bool {
+	answer := variant.Answer{
+		Object: named1(o), Class: r.asked, Beside: r.beside, Host: r.host, Proof: r.proof,
+		Generation: variant.Generation{Purge: p.floor, Version: r.version}, Known: p.known, Sent: now,
+	}
 	p.Answered(now, answer)
 	k := p.key1
-	if asked == class {
+	if r.asked == class {
 		k = variant.Key{Class: class, Own: true}
 	}
 	return p.Fits(now, class, k, &answer)
--- a/internal/cluster/ask.go
+++ b/internal/cluster/ask.go
@@ -127,29 +127,42 @@
 		if sealed, err := readFrame(in, longestStream); err == nil {
 			f.take(sealed)
 		}
-		return
+		return false
 	}
 	_, _ = in.Discard(4)
 	nonce := make([]byte, nonceLength)
 	_, _ = rand.Read(nonce)
 	if err := writeFrame(c, nonce); err != nil {
-		return
+		return false
 	}
+	q, ok := f.readQuestion(in, nonce)
+	if !ok {
+		return false
+	}
+	return f.serveQuestion(c, q, nonce, place)
+}
+
+// readQuestion reads a question that is bound to the nonce; false if none came that can be used.
+func (f *Fleet) readQuestion(in *bufio.Reader, nonce []byte) (q ask, ok bool) {
 	sealed, err := readFrame(in, longestAsk)
 	if err != nil {
-		return
+		return q, false
 	}
-	_, _, text, err := f.Keys.open(sealedAsk, sealed, nonce)
+	opened, err := f.Keys.open(sealedAsk, sealed, nonce)
 	if err != nil {
 		f.Counts.Unsealed.Add(1)
-		return
+		return q, false
 	}
-	var q ask
-	if err := told.Unmarshal(text, &q); err != nil { // an entry may come after many writers
+	if err := told.Unmarshal(opened.text, &q); err != nil { // an entry may come after many writers
 		f.Counts.Unusable.Add(1)
-		return
+		return q, false
 	}
 	f.Counts.Asked.Add(1)
+	return q, true
+}
+
+// serveQuestion answers a question on its stream, and tells whether the stream is kept.
+func (f *Fleet) serveQuestion(c net.Conn, q ask, nonce []byte, place func()) (kept bool) {
 	var t Told
 	var reader *follower
 	switch {
@@ -288,11 +301,11 @@
 }
 
 func askAt(ctx context.Context, at string, k *Keys, q ask) (t Told, err error) {
-	c, _, t, err := converse(ctx, at, k, q)
+	c, t, err := converse(ctx, at, k, q)
 	if err != nil {
 		return t, err
 	}
-	_ = c.Close()
+	_ = c.conn.Close()
 	if t.Error != "" {
 		return t, errOf(&t)
 	}
@@ -306,50 +319,56 @@
 	return errors.New(t.Error)
 }
 
+// conversation is a stream that stands after its question was answered.
+type conversation struct {
+	conn  net.Conn
+	nonce []byte // the dispatcher's, to which all it sends is bound
+}
+
 // converse puts a question and takes the answer, after which the stream stands: the caller closes it.
-func converse(ctx context.Context, at string, k *Keys, q ask) (c net.Conn, nonce []byte, t Told, err error) {
+func converse(ctx context.Context, at string, k *Keys, q ask) (c conversation, t Told, err error) {
 	ctx, cancel := context.WithTimeout(ctx, streamTime)
 	defer cancel()
-	c, err = (&net.Dialer{}).DialContext(ctx, "tcp", at)
+	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", at)
 	if err != nil {
-		return nil, nil, t, fmt.Errorf("ask: %w", err)
+		return c, t, fmt.Errorf("ask: %w", err)
 	}
-	opened := c
 	defer func() {
 		if err != nil {
-			_ = opened.Close()
+			_ = conn.Close()
 		}
 	}()
-	defer context.AfterFunc(ctx, func() { _ = opened.SetDeadline(time.Now()) })()
-	_ = c.SetDeadline(time.Now().Add(streamTime))
-	if _, err = c.Write(make([]byte, 4)); err != nil {
-		return nil, nil, t, fmt.Errorf("ask: %w", err)
+	defer context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Now()) })()
+	_ = conn.SetDeadline(time.Now().Add(streamTime))
+	if _, err = conn.Write(make([]byte, 4)); err != nil {
+		return c, t, fmt.Errorf("ask: %w", err)
 	}
-	if nonce, err = readFrame(c, nonceLength); err != nil {
-		return nil, nil, t, fmt.Errorf("ask: %w", err)
+	nonce, err := readFrame(conn, nonceLength)
+	if err != nil {
+		return c, t, fmt.Errorf("ask: %w", err)
 	}
 	text, err := encoding.Marshal(q)
 	if err != nil {
-		return nil, nil, t, fmt.Errorf("ask: %w", err)
+		return c, t, fmt.Errorf("ask: %w", err)
 	}
-	if err = writeFrame(c, k.seal(sealedAsk, 1, 1, text, nonce)); err != nil {
-		return nil, nil, t, err
+	if err = writeFrame(conn, k.seal(sealedAsk, 1, 1, text, nonce)); err != nil {
+		return c, t, err
 	}
-	sealed, err := readFrame(c, longestStream)
+	sealed, err := readFrame(conn, longestStream)
 	if errors.Is(err, io.EOF) {
-		return nil, nil, t, errors.New("ask: no answer; is it the fleet's key?")
+		return c, t, errors.New("ask: no answer; is it the fleet's key?")
 	}
 	if err != nil {
-		return nil, nil, t, err
+		return c, t, err
 	}
-	_, _, text, err = k.open(sealedTold, sealed, nonce)
+	opened, err := k.open(sealedTold, sealed, nonce)
 	if err == nil {
-		err = told.Unmarshal(text, &t)
+		err = told.Unmarshal(opened.text, &t)
 	}
 	if err != nil {
-		return nil, nil, t, fmt.Errorf("ask: %w", err)
+		return c, t, fmt.Errorf("ask: %w", err)
 	}
-	return c, nonce, t, nil
+	return conversation{conn: conn, nonce: nonce}, t, nil
 }
 
 var told = must(cbor.DecOptions{MaxArrayElements: 1 << 16, MaxMapPairs: 1 << 16, UTF8: cbor.UTF8DecodeInvalid}.DecMode())
--- a/internal/cluster/budgets_test.go
+++ b/internal/cluster/budgets_test.go
@@ -30,7 +30,6 @@
 	whole            int // that all may have; from a time on
 	over             int // fills that found more
 	worst            int
-	wholeSince       time.Time
 }
 
 func (o *origin) answer(a standin.Ask) string {
--- a/internal/cluster/duties_test.go
+++ b/internal/cluster/duties_test.go
@@ -683,7 +683,8 @@
 		})
 		return by, most
 	}
-	settle, was := time.Now(), holders()
+	settle := time.Now()
+	holders()
 	held := time.Since(settle).Seconds()
 	was, most := spread()
 	t.Logf("%d duties are held after %.1f s, and spread after %.1f s, %d at one at most", many, held, time.Since(settle).Seconds(), most)
--- a/internal/cluster/facts.go
+++ b/internal/cluster/facts.go
@@ -143,7 +143,7 @@
 func (s *shares) learn() {
 	if s.all {
 		s.all, s.unread = false, nil
-		s.memory.each(variant.ID, "", func(r replication.Record) bool {
+		s.memory.each(variant.ID, func(r replication.Record) bool {
 			if f, err := variant.DecodeFact(r.Value); err == nil && !r.Dead {
 				s.unread = append(s.unread, f)
 			}
@@ -159,7 +159,7 @@
 // sweep deletes facts that are of no use.
 func (s *shares) sweep() {
 	var old []replication.Record
-	s.memory.each(variant.ID, "", func(r replication.Record) bool {
+	s.memory.each(variant.ID, func(r replication.Record) bool {
 		f, err := variant.DecodeFact(r.Value)
 		if err == nil && !r.Dead && !s.of.Keep(&f, r.Dot.Writer == s.memory.fleet.Name) {
 			old = append(old, r)
--- a/internal/cluster/file.go
+++ b/internal/cluster/file.go
@@ -14,6 +14,7 @@
 
 	"github.com/cespare/xxhash/v2"
 	"go.etcd.io/bbolt"
+	bbolterrors "go.etcd.io/bbolt/errors"
 )
 
 const (
@@ -87,7 +88,9 @@
 		under, err = os.OpenFile(name, flag, mode)
 		return under, err
 	}})
-	if errors.Is(err, bbolt.ErrInvalid) || errors.Is(err, bbolt.ErrChecksum) || errors.Is(err, bbolt.ErrVersionMismatch) ||
+	if errors.Is(err, bbolterrors.ErrInvalid) ||
+		errors.Is(err, bbolterrors.ErrChecksum) ||
+		errors.Is(err, bbolterrors.ErrVersionMismatch) ||
 		err != nil && strings.Contains(err.Error(), "file size too small") {
 		err = fmt.Errorf("%w: %w", errTorn, err)
 	}
--- a/internal/cluster/fleet.go
+++ b/internal/cluster/fleet.go
@@ -486,7 +486,7 @@
 		return
 	}
 	kind := sealed[0]
-	boot, number, text, err := f.Keys.open(kind, sealed, nil)
+	opened, err := f.Keys.open(kind, sealed, nil)
 	if err != nil || kind == sealedAsk || kind == sealedTold {
 		f.Counts.Unsealed.Add(1)
 		return
@@ -494,14 +494,14 @@
 	f.Counts.In.Add(1)
 	f.Counts.BytesIn.Add(int64(len(sealed)))
 	f.mu.Lock()
-	first := f.numbers.first(boot, number)
+	first := f.numbers.first(opened.boot, opened.number)
 	f.mu.Unlock()
 	if !first {
 		f.Counts.Replayed.Add(1)
 		return
 	}
 	if take := f.takes[kind]; take != nil {
-		take(boot, text)
+		take(opened.boot, opened.text)
 	} else {
 		f.Counts.Unusable.Add(1)
 	}
--- a/internal/cluster/follow.go
+++ b/internal/cluster/follow.go
@@ -109,7 +109,7 @@
 func (w *following) relearn() {
 	for _, kind := range []uint8{channel.WriterKind, channel.EntryKind} {
 		var all []replication.Record
-		w.fleet.memory.each(kind, "", func(r replication.Record) bool {
+		w.fleet.memory.each(kind, func(r replication.Record) bool {
 			all = append(all, r)
 			return true
 		})
--- a/internal/cluster/follow_test.go
+++ b/internal/cluster/follow_test.go
@@ -156,7 +156,6 @@
 type sent struct {
 	writer string
 	bodies []string // by number less one
-	after  []map[string]uint64
 }
 
 // write writes so many messages into a channel, one at a time, going from process to process as it has to.
--- a/internal/cluster/publish.go
+++ b/internal/cluster/publish.go
@@ -295,15 +295,15 @@
 
 // AskNotes follows a channel at a dispatcher. Errors: *Refusal, and those of the network.
 func AskNotes(ctx context.Context, at string, k *Keys, what channel.Ask) (*Followed, error) {
-	c, nonce, t, err := converse(ctx, at, k, ask{What: AskFollow, Follow: &what})
+	c, t, err := converse(ctx, at, k, ask{What: AskFollow, Follow: &what})
 	if err != nil {
 		return nil, err
 	}
 	if t.Error != "" {
-		_ = c.Close()
+		_ = c.conn.Close()
 		return nil, errOf(&t)
 	}
-	return &Followed{conn: c, in: bufio.NewReader(c), keys: k, nonce: nonce}, nil
+	return &Followed{conn: c.conn, in: bufio.NewReader(c.conn), keys: k, nonce: c.nonce}, nil
 }
 
 // Next gives the next notes; none where all is quiet.
@@ -314,10 +314,10 @@
 		return nil, err
 	}
 	r.seq++
-	_, _, text, err := r.keys.open(sealedNotes, sealed, boundTo(r.nonce, r.seq))
+	opened, err := r.keys.open(sealedNotes, sealed, boundTo(r.nonce, r.seq))
 	var in []wireNote
 	if err == nil {
-		err = told.Unmarshal(text, &in)
+		err = told.Unmarshal(opened.text, &in)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("follow: %w", err)
--- a/internal/cluster/pump.go
+++ b/internal/cluster/pump.go
@@ -4,6 +4,7 @@
 	"context"
 	"elderwall/core/cluster/channel"
 	"encoding/binary"
+	"errors"
 	"net"
 	"slices"
 	"sync"
@@ -231,7 +232,8 @@
 		n, gone = unix.Write(int(fd), r.out)
 		return true
 	})
-	if err != nil || gone != nil && gone != unix.EAGAIN && gone != unix.EINTR {
+	again := errors.Is(gone, unix.EAGAIN) || errors.Is(gone, unix.EINTR)
+	if err != nil || gone != nil && !again {
 		return false
 	}
 	if n = max(n, 0); n == len(r.out) {
--- a/internal/cluster/raftvoter/council.go
+++ b/internal/cluster/raftvoter/council.go
@@ -577,7 +577,7 @@
 // compact keeps the log short. Who voted is told anew in a snapshot at each change: one that is taken in and gets a snapshot passes it over
 // where it is not named in it.
 func (m *Machine) compact() error {
-	if m.applied < m.saved+snapshotEach && !(m.reseated && m.applied > m.saved) {
+	if m.applied < m.saved+snapshotEach && (!m.reseated || m.applied <= m.saved) {
 		return nil
 	}
 	m.reseated = false
--- a/internal/cluster/recall.go
+++ b/internal/cluster/recall.go
@@ -138,12 +138,12 @@
 	return m.machine.Get(kind, key)
 }
 
-// each goes through what stands of a kind and a prefix, in the order of keys, until f says no. Nothing else is done with the memory meanwhile.
-func (m *memory) each(kind uint8, prefix string, f func(replication.Record) bool) {
+// each goes through what stands of a kind, in the order of keys, until f says no. Nothing else is done with the memory meanwhile.
+func (m *memory) each(kind uint8, f func(replication.Record) bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.machine != nil {
-		m.machine.Each(kind, prefix, f)
+		m.machine.Each(kind, "", f)
 	}
 }
 
@@ -497,7 +497,7 @@
 				continue
 			}
 			sum := uint64(0)
-			m.each(r.Kind, "", func(o replication.Record) bool {
+			m.each(r.Kind, func(o replication.Record) bool {
 				if !o.Dead {
 					t.Number++
 					sum ^= sumOf(o.Key, o.Value)
--- a/internal/cluster/recall_test.go
+++ b/internal/cluster/recall_test.go
@@ -688,17 +688,17 @@
 	}
 	m.Changes.Close() // silent for all
 	k2, value2, _ := purgefloor.Record(purgefloor.Floor{Object: "another", Time: now + 5})
-	before := m.purges(2)
+	before := m.purges()
 	need.Of(m.ask(0, AskWrite, two, replication.Record{Kind: purgefloor.ID, Key: k2, Value: value2}))(t)
 	m.Until(soon, "it is taken", func() error {
-		n := m.purges(2)
+		n := m.purges()
 		return processes.When(n != before+1, fmt.Errorf("%d after %d", n, before))
 	})
 }
 
-// purges is how many a process has learned from others.
-func (m *memoryRig) purges(i int) int64 {
-	return need.Of(m.asked(i, AskCounts))(m).Counts["PurgesLearned"]
+// purges is how many the third process has learned from others.
+func (m *memoryRig) purges() int64 {
+	return need.Of(m.asked(2, AskCounts))(m).Counts["PurgesLearned"]
 }
 
 // Writers at one time share a save: with each its own, there were as many saves as writes.
--- a/internal/cluster/report.go
+++ b/internal/cluster/report.go
@@ -12,7 +12,9 @@
 const Report = "report"
 
 const (
-	ReportEach  = 60.0 // s
+	// ReportEach is the time in seconds from one report to the next.
+	ReportEach = 60.0
+
 	reportLook  = 100 * time.Millisecond
 	reportAsked = 32 // members that are asked at a time
 	mostMissing = 50 // names that a line has
--- a/internal/cluster/seal.go
+++ b/internal/cluster/seal.go
@@ -120,25 +120,28 @@
 	return k.all[0].Seal(b, nonce, text, append(b[:headLength:headLength], bound...))
 }
 
-var (
-	errSealed   = errors.New("sealed by no key of ours")
-	errReplayed = errors.New("came before")
-)
+var errSealed = errors.New("sealed by no key of ours")
+
+// openedText is a text that one of the keys opened.
+type openedText struct {
+	boot, number uint64 // the incarnation of the process that sealed it, and its number there
+	text         []byte
+}
 
 // open opens what was sealed as a kind, by any of the keys.
-func (k *Keys) open(kind byte, b, bound []byte) (boot, number uint64, text []byte, err error) {
+func (k *Keys) open(kind byte, b, bound []byte) (openedText, error) {
 	if len(b) < sealLength || b[0] != kind {
-		return 0, 0, nil, errSealed
+		return openedText{}, errSealed
 	}
 	k.mu.RLock()
 	defer k.mu.RUnlock()
 	head, nonce, sealed := b[:headLength:headLength], b[headLength:headLength+chacha20poly1305.NonceSizeX], b[headLength+chacha20poly1305.NonceSizeX:]
 	for _, aead := range k.all {
-		if text, err = aead.Open(nil, nonce, sealed, append(head, bound...)); err == nil {
-			return binary.BigEndian.Uint64(b[1:]), binary.BigEndian.Uint64(b[9:]), text, nil
+		if text, err := aead.Open(nil, nonce, sealed, append(head, bound...)); err == nil {
+			return openedText{boot: binary.BigEndian.Uint64(b[1:]), number: binary.BigEndian.Uint64(b[9:]), text: text}, nil
 		}
 	}
-	return 0, 0, nil, errSealed
+	return openedText{}, errSealed
 }
 
 // numbers tells what has come before, by process. Guards against datagrams that are kept and sent again: old news would be
--- a/internal/cluster/variants_test.go
+++ b/internal/cluster/variants_test.go
@@ -159,17 +159,17 @@
 	return n
 }
 
-// joined has tv and phone be one at a process: it has many GETs of phones go by tv.
-func (v *variantRig) joined(i int, object string, ask ...string) {
+// joined has tv and phone be one for the first object at a process: it has many GETs of phones go by tv.
+func (v *variantRig) joined(i int, ask ...string) {
 	v.Helper()
 	v.Until(soon, fmt.Sprintf("n%d has phones go by tv", i), func() error {
 		for _, class := range ask {
-			v.get(i, 1, object, class)
+			v.get(i, 1, first, class)
 		}
-		v.by(object, "tv")
-		_, _, other := v.get(i, 20, object, "phone")
+		v.by(first, "tv")
+		_, _, other := v.get(i, 20, first, "phone")
 		require.Zero(v, other)
-		n := v.by(object, "tv")
+		n := v.by(first, "tv")
 		return processes.When(n < 6, fmt.Errorf("%d of 20", n))
 	})
 }
@@ -214,11 +214,11 @@
 // A join that one has found is at work at others that never saw one of the classes, also at one that was killed and started.
 func TestVariantsAreLearnedFromOthers(t *testing.T) {
 	v := vary(t, 3, 1, true)
-	v.joined(0, first, "tv")
-	v.joined(1, first)
+	v.joined(0, "tv")
+	v.joined(1)
 	v.Processes[1].Kill()
 	v.Processes[1].Start()
-	v.joined(1, first)
+	v.joined(1)
 	alone, _, _ := v.get(1, 50, second, "phone")
 	assert.Equal(t, 50, alone)
 	assert.Equal(t, 50, v.by(second, "phone"), "nobody has told of it")
@@ -237,15 +237,15 @@
 	for _, way := range []string{"version", "purge", "unannounced"} {
 		t.Run(way, func(t *testing.T) {
 			v := vary(t, 3, 1, way == "version")
-			v.joined(0, first, "tv")
-			v.joined(2, first)
+			v.joined(0, "tv")
+			v.joined(2)
 			v.change(first, "phone")
 			if way == "purge" {
-				before := v.purges(2)
+				before := v.purges()
 				v.Changes.Push(fmt.Sprintf(`{"seq":2,"invalidate":{"object":%q,"bucket":17,"time":%d}}`, first, time.Now().UnixMilli()))
 				v.Until(soon, "n2 is told", func() error {
 					zero, err := v.memberRig.asked(0, AskCounts)
-					return processes.When(v.purges(2) == before || err != nil || zero.Counts["Purges"] == 0, fmt.Errorf("%d %w", v.purges(2), err))
+					return processes.When(v.purges() == before || err != nil || zero.Counts["Purges"] == 0, fmt.Errorf("%d %w", v.purges(), err))
 				})
 				for _, i := range []int{0, 2} {
 					newest, older, other := v.get(i, 100, first, "phone")
@@ -270,8 +270,8 @@
 // A split that one part of a cut has seen stands in the other once the cut is healed.
 func TestASplitWinsAfterACut(t *testing.T) {
 	v := vary(t, 3, 1, false)
-	v.joined(0, first, "tv")
-	v.joined(1, first)
+	v.joined(0, "tv")
+	v.joined(1)
 	cut := processes.Fault{What: processes.Cut, A: []int{0}, B: []int{1, 2}}
 	v.Begin(cut)
 	v.until("the cut is seen", []int{1, 2}, "majority", []int{1, 2})
@@ -364,7 +364,7 @@
 		})
 	}()
 	t.Cleanup(func() { end(); <-ended })
-	v.joined(0, first, "tv", "phone")
+	v.joined(0, "tv", "phone")
 	c.Until(soon, "the join is told", func() error {
 		return processes.When(told.Load() < 1, errors.New("not told"))
 	})
--- a/internal/dispatcher/joint.go
+++ b/internal/dispatcher/joint.go
@@ -119,11 +119,11 @@
 	if n.joint == nil {
 		return
 	}
-	for over, stop, stops, ok := n.joint.Pass(now); ok; over, stop, stops, ok = n.joint.Pass(now) {
-		n.shed(over, 0)
-		if stops {
-			n.module.HandleClientGone(now, stop.id)
-			n.forget(stop)
+	for late, ok := n.joint.Pass(now); ok; late, ok = n.joint.Pass(now) {
+		n.shed(late.Over, 0)
+		if late.Stops {
+			n.module.HandleClientGone(now, late.Stop.id)
+			n.forget(late.Stop)
 		}
 	}
 }
