--- a/core/admission/callers_test.go
+++ b/core/admission/callers_test.go
@@ -322,14 +322,7 @@
 			ends = ends[1:]
 		}
 		room = math.Min(capacity*0.02, room+capacity*step)
-		var now10 []string
-		for _, name := range names {
-			for owed[name] += rates[name] * step; owed[name] >= 1; owed[name]-- {
-				now10 = append(now10, name)
-			}
-		}
-		chance.Shuffle(len(now10), func(i, j int) { now10[i], now10[j] = now10[j], now10[i] })
-		for _, name := range now10 {
+		for _, name := range arrivals(chance, names, owed, rates, step) {
 			late := now > seconds/4 // the first quarter is for the level to settle
 			if late {
 				asked[name]++
@@ -351,6 +344,17 @@
 	return served, asked
 }
 
+// arrivals are the tenants of the GETs of one step, in any order; owed is what is left of a GET by tenant.
+func arrivals(chance *rand.Rand, names []string, owed, rates map[string]float64, step float64) (all []string) {
+	for _, name := range names {
+		for owed[name] += rates[name] * step; owed[name] >= 1; owed[name]-- {
+			all = append(all, name)
+		}
+	}
+	chance.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+	return all
+}
+
 func TestOneThatFloodsTakesNothingFromTheOther(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
--- a/core/admission/settings.go
+++ b/core/admission/settings.go
@@ -71,46 +71,61 @@
 // MostServices is how many delivery services rules can name: they are kept as bits.
 const MostServices = 64
 
+// faults are what was found wrong in settings, in the order in which it was found.
+type faults []error
+
+func (f *faults) add(format string, v ...any) { *f = append(*f, fmt.Errorf(format, v...)) }
+
 // Check finds every fault of the settings; nil if there is none.
 func (s *Settings) Check() error {
-	var all []error
-	fault := func(format string, v ...any) { all = append(all, fmt.Errorf(format, v...)) }
-	ids, tenants := map[string]bool{}, map[string]bool{}
+	var all faults
+	s.checkKeys(&all)
+	tenants := s.checkTenants(&all)
+	for _, n := range s.Names {
+		if !tenants[n.Tenant] {
+			all.add("certificates: %q names tenant %q, which does not exist", n.Name, n.Tenant)
+		}
+	}
+	if s.Anonymous != "" && !tenants[s.Anonymous] {
+		all.add("anonymous: there is no tenant %q", s.Anonymous)
+	}
+	if l := s.Limits; l.Verdicts < 1 || l.Callers < 1 || l.Checks <= 0 || l.ChecksByConn <= 0 || l.CheckBurst < 1 {
+		all.add("limits: each must be above 0")
+	}
+	return errors.Join(all...)
+}
+
+func (s *Settings) checkKeys(all *faults) {
+	ids := map[string]bool{}
 	for _, k := range s.Keys {
 		if k.ID == "" || ids[k.ID] {
-			fault("keys: id %q is empty or there twice", k.ID)
+			all.add("keys: id %q is empty or there twice", k.ID)
 		}
 		ids[k.ID] = true
 		if k.Until != 0 && k.Until < k.From {
-			fault("keys: %q ends before it begins", k.ID)
+			all.add("keys: %q ends before it begins", k.ID)
 		}
 	}
 	if len(s.Keys) == 0 && !s.NoKeys { // guards against a file that lost its keys and would lock everyone out
-		fault("keys: there are none, and the settings do not say that this is meant")
+		all.add("keys: there are none, and the settings do not say that this is meant")
 	}
+}
+
+// checkTenants gives the names of all tenants.
+func (s *Settings) checkTenants(all *faults) map[string]bool {
+	names := map[string]bool{}
 	for i, t := range s.Tenants {
-		if t.Name == "" || tenants[t.Name] {
-			fault("tenants: name %q is empty or there twice", t.Name)
+		if t.Name == "" || names[t.Name] {
+			all.add("tenants: name %q is empty or there twice", t.Name)
 		}
-		tenants[t.Name] = true
+		names[t.Name] = true
 		for _, role := range t.Roles {
 			if _, ok := s.Roles[role]; !ok {
-				fault("tenants[%d]: there is no role %q", i, role)
+				all.add("tenants[%d]: there is no role %q", i, role)
 			}
 		}
 	}
-	for _, n := range s.Names {
-		if !tenants[n.Tenant] {
-			fault("certificates: %q names tenant %q, which does not exist", n.Name, n.Tenant)
-		}
-	}
-	if s.Anonymous != "" && !tenants[s.Anonymous] {
-		fault("anonymous: there is no tenant %q", s.Anonymous)
-	}
-	if l := s.Limits; l.Verdicts < 1 || l.Callers < 1 || l.Checks <= 0 || l.ChecksByConn <= 0 || l.CheckBurst < 1 {
-		fault("limits: each must be above 0")
-	}
-	return errors.Join(all...)
+	return names
 }
 
 // rightsKey is the same for tenants with the same roles and no rules of their own.
--- a/core/cluster/channel/machine.go
+++ b/core/cluster/channel/machine.go
@@ -315,18 +315,9 @@
 		delete(c.loose, r.Key)
 		return
 	case r.Kind == WriterKind:
-		v := reading{b: r.Value}
-		ep, number = v.number(), v.number()
-		if v.bad {
-			m.spoilt++
-			return
-		}
-		if c.forgot(writer, number) {
-			c.loose[r.Key] = max(c.loose[r.Key], 0)
+		if !m.learnWriter(now, c, r, writer) {
 			return
 		}
-		c.wake(now, writer, number)
-		c.raise(writer, number, ep)
 	case r.Kind == EntryKind && (r.Dead || len(r.Value) == 0):
 		delete(c.loose, r.Key)
 		if writer != "" && c.forgot(writer, number) {
@@ -347,6 +338,23 @@
 	m.advance(now, c)
 }
 
+// learnWriter takes the record of how far a writer's messages were let go; false if it changes nothing.
+func (m *Machine) learnWriter(now float64, c *channel, r replication.Record, writer string) bool {
+	v := reading{b: r.Value}
+	ep, number := v.number(), v.number()
+	if v.bad {
+		m.spoilt++
+		return false
+	}
+	if c.forgot(writer, number) {
+		c.loose[r.Key] = max(c.loose[r.Key], 0)
+		return false
+	}
+	c.wake(now, writer, number)
+	c.raise(writer, number, ep)
+	return true
+}
+
 // raise: others have let all up to a number go.
 func (c *channel) raise(writer string, number, ep uint64) {
 	if writer == "" && !c.valid(ep, number) {
--- a/core/cluster/channel/readers.go
+++ b/core/cluster/channel/readers.go
@@ -67,129 +67,203 @@
 	if r == nil {
 		return nil
 	}
-	c := r.c
-	end := func(w Word) Note {
-		delete(m.readers, id)
-		n := Note{Word: w}
-		switch w {
-		case Behind:
-			n.Where = m.others
-		case Ended:
-			n.Generation = max(c.life, c.ended)
-			p := Position{Channel: c.d.Name, Generation: n.Generation, Ended: n.Generation}
-			n.Position = p.Token()
-		}
-		return n
-	}
-	if a := r.place.Generation; r.life != c.life || !r.started && a > 0 && (a <= c.life || a == c.ended) || c.ended > 0 && len(c.items) == 0 {
-		return []Note{end(Ended)}
-	}
-	if r.started && r.cursor > c.end() || c.d.Order == Total && !c.valid(r.place.Epoch, r.place.Place) {
-		return []Note{end(Reset)}
+	if word, lost := r.lost(); lost {
+		return []Note{m.end(id, r, word)}
 	}
 	var out []Note
 	if !r.started {
 		if !r.covered() {
-			if now-r.opened >= c.d.Wait {
-				return []Note{end(Behind)}
+			if now-r.opened >= r.c.d.Wait {
+				return []Note{m.end(id, r, Behind)}
 			}
 			return nil
 		}
-		r.started, r.cursor = true, c.first
-		r.had = map[string]*Entry{}
-		for k := range c.items {
-			if e := c.items[k].e; e != nil && e.Place == 0 && e.Number <= r.seen[e.Writer] && (r.had[e.Key] == nil || law(e, r.had[e.Key]) > 0) {
-				r.had[e.Key] = e
+		if r.start() {
+			if !r.c.d.Told {
+				return []Note{m.end(id, r, Cut)}
 			}
+			out = append(out, Note{Word: Gap, From: r.place.Place, Position: r.token()})
 		}
-		behind := !r.since()
-		for w, n := range c.base {
-			if behind = behind || r.seen[w] < n; n > r.seen[w] {
-				r.seen[w] = n
-			}
+	}
+	if r.cursor < r.c.first {
+		if r.c.d.Slow || !r.c.d.Told {
+			return []Note{m.end(id, r, Cut)}
 		}
-		if behind {
-			if !c.d.Told {
-				return []Note{end(Cut)}
-			}
-			out = append(out, Note{Word: Gap, From: r.place.Place, Position: r.token()})
+		out = append(out, r.skip())
+	}
+	out, open := m.takeItems(id, r, out, min(max(most, 1), MostTake))
+	if !open {
+		return out
+	}
+	r.keepPlace()
+	if r.stale(now) && len(out) == 0 {
+		return []Note{m.end(id, r, Behind)}
+	}
+	return out
+}
+
+// end closes a reader, and gives the note that tells it why.
+func (m *Machine) end(id uint64, r *reader, why Word) Note {
+	delete(m.readers, id)
+	n := Note{Word: why}
+	switch why {
+	case Behind:
+		n.Where = m.others
+	case Ended:
+		n.Generation = max(r.c.life, r.c.ended)
+		p := Position{Channel: r.c.d.Name, Generation: n.Generation, Ended: n.Generation}
+		n.Position = p.Token()
+	}
+	return n
+}
+
+// lost tells whether the reader's place is of a channel that ended, or one that the log does not have, and how it is told.
+func (r *reader) lost() (why Word, lost bool) {
+	c, of := r.c, r.place.Generation
+	switch {
+	case r.life != c.life,
+		!r.started && of > 0 && (of <= c.life || of == c.ended),
+		c.ended > 0 && len(c.items) == 0:
+		return Ended, true
+	case r.started && r.cursor > c.end(),
+		c.d.Order == Total && !c.valid(r.place.Epoch, r.place.Place):
+		return Reset, true
+	}
+	return 0, false
+}
+
+// start has a reader with a token begin at the log's first item. It tells whether some of what it has not seen is no longer there.
+func (r *reader) start() (behind bool) {
+	c := r.c
+	r.started, r.cursor = true, c.first
+	r.had = map[string]*Entry{}
+	for k := range c.items {
+		e := c.items[k].e
+		if e == nil || e.Place != 0 || e.Number > r.seen[e.Writer] {
+			continue
+		}
+		if r.had[e.Key] == nil || law(e, r.had[e.Key]) > 0 {
+			r.had[e.Key] = e
 		}
 	}
-	if r.cursor < c.first {
-		if c.d.Slow || !c.d.Told {
-			return []Note{end(Cut)}
+	behind = !r.since()
+	for w, n := range c.base {
+		behind = behind || r.seen[w] < n
+		if n > r.seen[w] {
+			r.seen[w] = n
 		}
-		r.cursor = c.first
-		n := Note{Word: Gap, Position: c.basis}
-		if r.seen != nil {
-			for w, b := range c.base {
-				r.seen[w] = max(r.seen[w], b)
-			}
-			n.Position = r.token()
+	}
+	return behind
+}
+
+// skip moves a slow reader to the log's first item, and gives the gap's note.
+func (r *reader) skip() Note {
+	r.cursor = r.c.first
+	n := Note{Word: Gap, Position: r.c.basis}
+	if r.seen != nil {
+		for w, b := range r.c.base {
+			r.seen[w] = max(r.seen[w], b)
 		}
-		out = append(out, n)
+		n.Position = r.token()
 	}
+	return n
+}
+
+// takeItems appends the notes of the next items up to a number of notes; open is false where the last one closed the reader.
+func (m *Machine) takeItems(id uint64, r *reader, out []Note, most int) (all []Note, open bool) {
+	c := r.c
 	size := 0
-	for most = min(max(most, 1), MostTake); len(out) < most && size < takeBytes && r.cursor < c.end(); {
+	for len(out) < most && size < takeBytes && r.cursor < c.end() {
 		i := &c.items[r.cursor-c.first]
 		r.cursor++
-		w, from, to := i.writer, i.from, i.to
-		if i.e != nil {
-			w, to = i.e.lane()
-			from = to
-		}
-		seen := r.seen != nil && to > 0 && to <= r.seen[w]
-		if r.seen != nil && to > 0 {
-			r.seen[w] = max(r.seen[w], to)
-		}
 		before := len(out)
-		if i.over {
-			return append(out, end(Ended))
-		}
-		if i.generation > r.gen && (r.gen != 0 || i.mark) {
-			out = append(out, Note{Word: Turned, Generation: i.generation})
-		}
-		r.gen = max(r.gen, i.generation)
-		switch {
-		case seen:
-		case i.e != nil && r.wish == Latest && c.newest[i.e.Key] != i.e: // a newer one follows
-		case i.e != nil:
-			had := r.had[i.e.Key]
-			out = append(out, Note{Word: Shown, Entry: i.e, Late: i.late || had != nil && law(had, i.e) > 0, Generation: i.generation})
-		case to > 0 && !i.mark && (from != 1 || r.cursor > r.fresh): // what was before a new reader came is no gap
-			if !c.d.Told {
-				return append(out, end(Cut))
-			}
-			out = append(out, Note{Word: Gap, Writer: w, From: from, To: to})
-		}
-		if before == len(out) {
-			continue
+		if out, open = m.takeItem(id, r, i, out); !open {
+			return out, false
 		}
-		pos := i.pos
-		if r.seen != nil {
-			pos = r.token()
+		if before < len(out) {
+			size += r.locate(out[before:], i)
 		}
-		for k := before; k < len(out); k++ { // of two notes of one item the first is before it: it stands where the last one stood
-			if out[k].Position = pos; k < len(out)-1 {
-				out[k].Position = ""
-			}
-		}
-		if size += len(pos); i.e != nil {
-			size += i.e.Size()
+	}
+	return out, true
+}
+
+// takeItem appends what an item is to a reader; open is false where that closed the reader.
+func (m *Machine) takeItem(id uint64, r *reader, i *item, out []Note) (all []Note, open bool) {
+	c := r.c
+	w, from, to := i.writer, i.from, i.to
+	if i.e != nil {
+		w, to = i.e.lane()
+		from = to
+	}
+	seen := r.see(w, to)
+	if i.over {
+		return append(out, m.end(id, r, Ended)), false
+	}
+	if i.generation > r.gen && (r.gen != 0 || i.mark) {
+		out = append(out, Note{Word: Turned, Generation: i.generation})
+	}
+	r.gen = max(r.gen, i.generation)
+	switch {
+	case seen:
+	case i.e != nil && r.wish == Latest && c.newest[i.e.Key] != i.e: // a newer one follows
+	case i.e != nil:
+		had := r.had[i.e.Key]
+		late := i.late || had != nil && law(had, i.e) > 0
+		out = append(out, Note{Word: Shown, Entry: i.e, Late: late, Generation: i.generation})
+	case to > 0 && !i.mark && (from != 1 || r.cursor > r.fresh): // what was before a new reader came is no gap
+		if !c.d.Told {
+			return append(out, m.end(id, r, Cut)), false
 		}
+		out = append(out, Note{Word: Gap, Writer: w, From: from, To: to})
+	}
+	return out, true
+}
+
+// see tells whether the reader had a writer's number before, and marks it as had.
+func (r *reader) see(writer string, number uint64) (before bool) {
+	if r.seen == nil || number == 0 {
+		return false
+	}
+	before = number <= r.seen[writer]
+	r.seen[writer] = max(r.seen[writer], number)
+	return before
+}
+
+// locate puts the position after an item into its notes, and gives the bytes that they count for.
+func (r *reader) locate(notes []Note, i *item) (size int) {
+	position := i.pos
+	if r.seen != nil {
+		position = r.token()
+	}
+	for k := range notes { // of two notes of one item the first is before it: it stands where the last one stood
+		notes[k].Position = ""
+	}
+	notes[len(notes)-1].Position = position
+	size = len(position)
+	if i.e != nil {
+		size += i.e.Size()
 	}
-	if r.cursor == c.end() {
+	return size
+}
+
+// keepPlace notes where the reader stands in the log.
+func (r *reader) keepPlace() {
+	c := r.c
+	switch {
+	case r.cursor == c.end():
 		r.seen, r.had = nil, nil // from here on the log's own positions hold
 		if c.d.Order == Total {
 			r.place = Position{Epoch: c.epoch, Place: c.vec[""]}
 		}
-		if c.oldest > 0 && now-c.oldest >= c.d.Wait && now-r.opened >= c.d.Wait && len(out) == 0 {
-			return []Note{end(Behind)}
-		}
-	} else if c.d.Order == Total && r.cursor > c.first {
+	case c.d.Order == Total && r.cursor > c.first:
 		r.place = c.placeAt(r.cursor - 1 - c.first)
 	}
-	return out
+}
+
+// stale tells whether a reader that has all of the log waits for too long for what the log itself waits for.
+func (r *reader) stale(now float64) bool {
+	c := r.c
+	return r.cursor == c.end() && c.oldest > 0 && now-c.oldest >= c.d.Wait && now-r.opened >= c.d.Wait
 }
 
 // placeAt is the position after an item of Total.
--- a/core/cluster/lease/duties_test.go
+++ b/core/cluster/lease/duties_test.go
@@ -24,56 +24,59 @@
 	return s
 }
 
+// grants are commands, and who has duty d0 after them by which token.
+var grants = map[string]struct {
+	commands []Command
+	holder   string
+	token    uint64
+}{
+	"nobody stands":           {nil, "", 0},
+	"the only one":            {[]Command{{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1}}, "a", 1},
+	"the first, who keeps it": {[]Command{{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1}, {Act: Stand, Duties: []string{"d0"}, Name: "b", Boot: 1, Priority: 9}}, "a", 1},
+	"by priority": {[]Command{
+		{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1},
+		{Act: Stand, Duties: []string{"d0"}, Name: "b", Boot: 1},
+		{Act: Stand, Duties: []string{"d0"}, Name: "c", Boot: 1, Priority: 1},
+		{Act: GiveBack, Duty: "d0", Token: 1},
+	}, "c", 2},
+	"by the zone wished for": {[]Command{
+		{Act: Declare, Duty: "d0", Length: 3, Zone: "east"},
+		{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1},
+		{Act: Stand, Duties: []string{"d0"}, Name: "b", Boot: 1, Zone: "west"},
+		{Act: Stand, Duties: []string{"d0"}, Name: "c", Boot: 1, Zone: "east"},
+		{Act: GiveBack, Duty: "d0", Token: 1},
+	}, "c", 2},
+	"who is named": {[]Command{
+		{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1},
+		{Act: Stand, Duties: []string{"d0"}, Name: "b", Boot: 1},
+		{Act: Stand, Duties: []string{"d0"}, Name: "c", Boot: 1, Priority: 1},
+		{Act: HandOver, Duty: "d0", Token: 1, Name: "b"},
+		{Act: GiveBack, Duty: "d0", Token: 1},
+	}, "b", 2},
+	"another than who let it run out": {[]Command{
+		{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1, Priority: 9},
+		{Act: Stand, Duties: []string{"d0"}, Name: "b", Boot: 1},
+		{Act: Expire, Duty: "d0", Token: 1},
+	}, "b", 2},
+	"who let it run out, where there is no other": {[]Command{{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1}, {Act: Expire, Duty: "d0", Token: 1}}, "a", 2},
+	"no one by an old token": {[]Command{
+		{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1},
+		{Act: GiveBack, Duty: "d0", Token: 1},
+		{Act: Stand, Duties: []string{"d0"}, Name: "b", Boot: 1},
+		{Act: Expire, Duty: "d0", Token: 1},
+		{Act: GiveBack, Duty: "d0", Token: 1},
+	}, "b", 2},
+	"not one that is gone": {[]Command{
+		{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1},
+		{Act: Stand, Duties: []string{"d0"}, Name: "b", Boot: 1},
+		{Act: Gone, Name: "b", Boot: 1},
+		{Act: GiveBack, Duty: "d0", Token: 1},
+	}, "", 0},
+	"after a recovery, far above": {[]Command{{Act: Skip}, {Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1}}, "a", Jump + 1},
+}
+
 func TestWhoGetsADuty(t *testing.T) {
-	for name, tt := range map[string]struct {
-		commands []Command
-		holder   string
-		token    uint64
-	}{
-		"nobody stands":           {nil, "", 0},
-		"the only one":            {[]Command{{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1}}, "a", 1},
-		"the first, who keeps it": {[]Command{{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1}, {Act: Stand, Duties: []string{"d0"}, Name: "b", Boot: 1, Priority: 9}}, "a", 1},
-		"by priority": {[]Command{
-			{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1},
-			{Act: Stand, Duties: []string{"d0"}, Name: "b", Boot: 1},
-			{Act: Stand, Duties: []string{"d0"}, Name: "c", Boot: 1, Priority: 1},
-			{Act: GiveBack, Duty: "d0", Token: 1},
-		}, "c", 2},
-		"by the zone wished for": {[]Command{
-			{Act: Declare, Duty: "d0", Length: 3, Zone: "east"},
-			{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1},
-			{Act: Stand, Duties: []string{"d0"}, Name: "b", Boot: 1, Zone: "west"},
-			{Act: Stand, Duties: []string{"d0"}, Name: "c", Boot: 1, Zone: "east"},
-			{Act: GiveBack, Duty: "d0", Token: 1},
-		}, "c", 2},
-		"who is named": {[]Command{
-			{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1},
-			{Act: Stand, Duties: []string{"d0"}, Name: "b", Boot: 1},
-			{Act: Stand, Duties: []string{"d0"}, Name: "c", Boot: 1, Priority: 1},
-			{Act: HandOver, Duty: "d0", Token: 1, Name: "b"},
-			{Act: GiveBack, Duty: "d0", Token: 1},
-		}, "b", 2},
-		"another than who let it run out": {[]Command{
-			{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1, Priority: 9},
-			{Act: Stand, Duties: []string{"d0"}, Name: "b", Boot: 1},
-			{Act: Expire, Duty: "d0", Token: 1},
-		}, "b", 2},
-		"who let it run out, where there is no other": {[]Command{{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1}, {Act: Expire, Duty: "d0", Token: 1}}, "a", 2},
-		"no one by an old token": {[]Command{
-			{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1},
-			{Act: GiveBack, Duty: "d0", Token: 1},
-			{Act: Stand, Duties: []string{"d0"}, Name: "b", Boot: 1},
-			{Act: Expire, Duty: "d0", Token: 1},
-			{Act: GiveBack, Duty: "d0", Token: 1},
-		}, "b", 2},
-		"not one that is gone": {[]Command{
-			{Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1},
-			{Act: Stand, Duties: []string{"d0"}, Name: "b", Boot: 1},
-			{Act: Gone, Name: "b", Boot: 1},
-			{Act: GiveBack, Duty: "d0", Token: 1},
-		}, "", 0},
-		"after a recovery, far above": {[]Command{{Act: Skip}, {Act: Stand, Duties: []string{"d0"}, Name: "a", Boot: 1}}, "a", Jump + 1},
-	} {
+	for name, tt := range grants {
 		t.Run(name, func(t *testing.T) {
 			s := with(1)
 			for _, c := range tt.commands {
@@ -153,21 +156,25 @@
 				require.Less(t, d.Token, s.Next)
 				seen[d.Token], last = who, max(last, d.Token)
 			}
-			loads := 0
-			for _, n := range s.loads {
-				loads += n
-			}
-			held := 0
-			for _, d := range s.duties {
-				if d.Held() {
-					held++
-				}
-			}
+			loads, held := loadsAndHeld(s)
 			require.Equal(t, held, loads)
 		}
 	})
 }
 
+// loadsAndHeld is the sum of all holders' loads, and the number of duties that are held.
+func loadsAndHeld(s *State) (loads, held int) {
+	for _, n := range s.loads {
+		loads += n
+	}
+	for _, d := range s.duties {
+		if d.Held() {
+			held++
+		}
+	}
+	return loads, held
+}
+
 // Nobody can make the state grow without bound.
 func TestBounds(t *testing.T) {
 	s := NewState()
--- a/core/cluster/lease/seats.go
+++ b/core/cluster/lease/seats.go
@@ -77,27 +77,52 @@
 			return Change{Promote, id, w.Name}
 		}
 	}
+	if id, ok := s.replacedVoter(voters, alive); ok {
+		return Change{Remove, id, s.seats[id].Name}
+	}
+	if id, ok := s.replacedLearner(learners, willing, alive); ok {
+		return Change{Remove, id, s.seats[id].Name}
+	}
+	if len(learners) > 0 {
+		return Change{}
+	}
+	return s.nextLearner(voters, willing, alive)
+}
+
+// replacedVoter is a voter that is away while another of its name votes; false for none.
+func (s *State) replacedVoter(voters []uint64, alive map[uint64]Willing) (uint64, bool) {
 	for _, id := range voters {
-		seat := s.seats[id]
 		if _, ok := alive[id]; ok {
 			continue
 		}
+		name := s.seats[id].Name
 		replaced := slices.ContainsFunc(voters, func(o uint64) bool {
 			w, ok := alive[o]
-			return ok && o != id && w.Name == seat.Name
+			return ok && o != id && w.Name == name
 		})
 		if replaced {
-			return Change{Remove, id, seat.Name}
+			return id, true
 		}
 	}
-	for _, id := range learners { // one that came and went, and came with another disk
-		if _, ok := alive[id]; !ok && slices.ContainsFunc(willing, func(w Willing) bool { return w.Alive && w.Name == s.seats[id].Name && w.ID != id }) {
-			return Change{Remove, id, s.seats[id].Name}
+	return 0, false
+}
+
+// replacedLearner is a learner that came and went, and came with another disk; false for none.
+func (s *State) replacedLearner(learners []uint64, willing []Willing, alive map[uint64]Willing) (uint64, bool) {
+	for _, id := range learners {
+		if _, ok := alive[id]; ok {
+			continue
+		}
+		name := s.seats[id].Name
+		if slices.ContainsFunc(willing, func(w Willing) bool { return w.Alive && w.Name == name && w.ID != id }) {
+			return id, true
 		}
 	}
-	if len(learners) > 0 {
-		return Change{}
-	}
+	return 0, false
+}
+
+// nextLearner adds one who is willing, where a seat is free or one of its name is away.
+func (s *State) nextLearner(voters []uint64, willing []Willing, alive map[uint64]Willing) Change {
 	for _, w := range willing {
 		if !w.Alive || slices.Contains(voters, w.ID) {
 			continue
--- a/core/cluster/lease/state.go
+++ b/core/cluster/lease/state.go
@@ -221,89 +221,104 @@
 	if c.Check() != nil {
 		return nil
 	}
-	d := s.duties[c.Duty]
 	switch c.Act {
-	case Declare:
-		if d == nil {
-			if len(s.duties) >= MostDuties {
-				return nil
-			}
-			d = &Duty{Name: c.Duty}
-			s.duties[c.Duty] = d
+	case Stand:
+		return s.stand(c)
+	case Gone:
+		return s.gone(c)
+	case Skip:
+		s.Next += Jump
+		return nil
+	case Sit:
+		s.sit(c)
+		return nil
+	}
+	d := s.duties[c.Duty]
+	if d == nil && c.Act == Declare && len(s.duties) < MostDuties {
+		d = &Duty{Name: c.Duty}
+		s.duties[c.Duty] = d
+	}
+	if d == nil || !s.change(d, c) {
+		return nil
+	}
+	return []string{d.Name}
+}
+
+// stand has a dispatcher wait for several duties, and names those that this changed.
+func (s *State) stand(c Command) (changed []string) {
+	room := MostStanding
+	for _, d := range s.duties {
+		room -= len(d.Waiting)
+	}
+	for _, name := range c.Duties {
+		if d := s.duties[name]; d != nil && room > 0 && d.stand(c) {
+			s.grant(d)
+			changed = append(changed, name)
+			room--
 		}
-		d.Length, d.Zone = c.Length, c.Zone // of the next lease: a running one keeps the longer at the granter
+	}
+	return changed
+}
+
+// gone takes a dispatcher that left out of all duties' lines, and names those that this changed.
+func (s *State) gone(c Command) (changed []string) {
+	for _, name := range s.Names() {
+		d := s.duties[name]
+		n := len(d.Waiting)
+		d.Waiting = slices.DeleteFunc(d.Waiting, func(o Candidate) bool { return o.Name == c.Name && (c.Boot == 0 || o.Boot == c.Boot) })
+		if len(d.Waiting) != n {
+			changed = append(changed, name)
+		}
+	}
+	return changed
+}
+
+// change does a command on one duty; false where it does not fit the duty's state.
+func (s *State) change(d *Duty, c Command) bool {
+	running := d.Held() && d.Token == c.Token
+	switch c.Act {
 	case Drop:
-		if d == nil || d.Held() {
-			return nil
+		if d.Held() {
+			return false
 		}
 		delete(s.duties, c.Duty)
-		return []string{c.Duty}
-	case Stand:
-		room := MostStanding
-		for _, d := range s.duties {
-			room -= len(d.Waiting)
+		return true
+	case Mark: // guards against a number that two holders tell, or one tells twice: whose command is later finds it marked
+		if !running || c.Number != d.Mark+1 {
+			return false
 		}
-		for _, name := range c.Duties {
-			if d := s.duties[name]; d != nil && room > 0 && d.stand(c) {
-				s.grant(d)
-				changed = append(changed, name)
-				room--
-			}
+		d.Mark = c.Number
+		return true
+	case Told:
+		if c.Number > d.Mark || c.Number <= d.Told {
+			return false
 		}
-		return changed
+		d.Told = c.Number
+		return true
+	case Declare:
+		d.Length, d.Zone = c.Length, c.Zone // of the next lease: a running one keeps the longer at the granter
 	case Withdraw:
-		if d == nil {
-			return nil
-		}
 		d.Waiting = slices.DeleteFunc(d.Waiting, func(o Candidate) bool { return o.Name == c.Name })
 	case GiveBack, Expire:
-		if d == nil || !d.Held() || d.Token != c.Token {
-			return nil
+		if !running {
+			return false
 		}
 		s.end(d, c.Act == Expire)
 	case HandOver:
-		if d == nil || d.Token != c.Token || c.Name == d.Holder.Name && d.Held() {
-			return nil
+		if d.Token != c.Token || c.Name == d.Holder.Name && d.Held() {
+			return false
 		}
 		d.To = c.Name
 	case Prove:
-		if d == nil || !d.Held() || d.Token != c.Token {
-			return nil
+		if !running {
+			return false
 		}
 		d.Holder.Failures = 0
-	case Gone:
-		for _, name := range s.Names() {
-			d := s.duties[name]
-			n := len(d.Waiting)
-			d.Waiting = slices.DeleteFunc(d.Waiting, func(o Candidate) bool { return o.Name == c.Name && (c.Boot == 0 || o.Boot == c.Boot) })
-			if len(d.Waiting) != n {
-				changed = append(changed, name)
-			}
-		}
-		return changed
-	case Skip:
-		s.Next += Jump
-		return nil
-	case Sit:
-		s.sit(c)
-		return nil
-	case Mark: // guards against a number that two holders tell, or one tells twice: whose command is later finds it marked
-		if d == nil || !d.Held() || d.Token != c.Token || c.Number != d.Mark+1 {
-			return nil
-		}
-		d.Mark = c.Number
-		return []string{d.Name}
-	case Told:
-		if d == nil || c.Number > d.Mark || c.Number <= d.Told {
-			return nil
-		}
-		d.Told = c.Number
-		return []string{d.Name}
 	default:
-		return nil
+		return false
 	}
 	s.grant(d)
-	return []string{d.Name}
+	return true
 }
 
 // stand has a dispatcher wait for a duty; true where that changed something.
@@ -436,14 +451,7 @@
 		if !d.Held() || d.To != "" || float64(loads[d.Holder.Name]) <= math.Ceil(levelBound*even) {
 			continue
 		}
-		to := -1
-		for i, c := range d.Waiting {
-			if c.Failures == 0 && c.Priority >= d.Holder.Priority && (d.Zone == "" || c.Zone == d.Zone || d.Holder.Zone != d.Zone) &&
-				float64(loads[c.Name]) < even && (to < 0 || loads[c.Name] < loads[d.Waiting[to].Name]) {
-				to = i
-			}
-		}
-		if to >= 0 {
+		if to := d.lighter(loads, even); to >= 0 {
 			loads[d.Holder.Name]--
 			loads[d.Waiting[to].Name]++
 			all = append(all, Command{Act: HandOver, Duty: name, Token: d.Token, Name: d.Waiting[to].Name})
@@ -452,6 +460,23 @@
 	return all
 }
 
+// lighter is the place of the candidate with the least load, under the even one, to whom a held duty may be handed over; -1 for none.
+func (d *Duty) lighter(loads map[string]int, even float64) int {
+	to := -1
+	for i, c := range d.Waiting {
+		if c.Failures != 0 || c.Priority < d.Holder.Priority {
+			continue
+		}
+		if d.Zone != "" && c.Zone != d.Zone && d.Holder.Zone == d.Zone {
+			continue
+		}
+		if float64(loads[c.Name]) < even && (to < 0 || loads[c.Name] < loads[d.Waiting[to].Name]) {
+			to = i
+		}
+	}
+	return to
+}
+
 // weight is a dispatcher's random weight for a duty: the same at every voter.
 func weight(name, duty string) uint64 {
 	h := fnv.New64a()
--- a/core/cluster/membership/gossip.go
+++ b/core/cluster/membership/gossip.go
@@ -75,7 +75,7 @@
 
 // learn takes a record of a member: from news, from itself, or from a table.
 func (m *Machine) learn(r Member, table bool) {
-	if r.Name == "" || r.Address == "" || len(r.Name) > longWord || len(r.Address) > longWord || len(r.Zone) > longWord || r.State > Left {
+	if !r.valid() {
 		return
 	}
 	if r.Name == m.self.Name {
@@ -93,11 +93,7 @@
 		r.State = Suspect // a table may be of those who were cut off; and who was just heard may refute it
 	}
 	if same && r.Version > p.Version {
-		p.Version, p.Wire, p.Load = r.Version, r.Wire, r.Load
-		if p.Generation != r.Generation || p.Vote != r.Vote {
-			p.Generation, p.Vote = r.Generation, r.Vote
-			m.spread(p.Member)
-		}
+		m.renew(p, &r)
 	}
 	if same && r.State == Suspect {
 		m.suspect(p, r.By)
@@ -109,6 +105,26 @@
 		}
 		return
 	}
+	m.replace(p, r)
+}
+
+// valid tells whether a record from outside can be of a member.
+func (r *Member) valid() bool {
+	named := r.Name != "" && r.Address != ""
+	return named && len(r.Name) <= longWord && len(r.Address) <= longWord && len(r.Zone) <= longWord && r.State <= Left
+}
+
+// renew takes what a later version of a member's record says of it.
+func (m *Machine) renew(p *peer, r *Member) {
+	p.Version, p.Wire, p.Load = r.Version, r.Wire, r.Load
+	if p.Generation != r.Generation || p.Vote != r.Vote {
+		p.Generation, p.Vote = r.Generation, r.Vote
+		m.spread(p.Member)
+	}
+}
+
+// replace puts a record that beats the known one in its place.
+func (m *Machine) replace(p *peer, r Member) {
 	accused := r.State == Suspect
 	if accused {
 		r.State = Alive
--- a/core/cluster/membership/members_test.go
+++ b/core/cluster/membership/members_test.go
@@ -109,21 +109,7 @@
 			batch := w.pending
 			w.pending = nil
 			for _, s := range batch {
-				o := w.all[s.to]
-				lost := p.loses != nil && (p.loses(s.from, s.to) || s.Stream && p.loses(s.to, s.from))
-				if o.gone || s.to == p.stall || lost {
-					continue
-				}
-				m := s.Message
-				m.News = append([]Member(nil), m.News...)
-				if w.spoil != nil {
-					w.spoil(&m)
-				}
-				o.Step(m, w.now)
-				if p.twice {
-					o.Step(m, w.now)
-				}
-				w.collect(s.to)
+				w.deliver(p, s)
 			}
 			if p.late {
 				break
@@ -132,6 +118,25 @@
 	}
 }
 
+// deliver gives one message to whom it goes, unless it is lost in the phase.
+func (w *net) deliver(p phase, s sent) {
+	o := w.all[s.to]
+	lost := p.loses != nil && (p.loses(s.from, s.to) || s.Stream && p.loses(s.to, s.from))
+	if o.gone || s.to == p.stall || lost {
+		return
+	}
+	m := s.Message
+	m.News = append([]Member(nil), m.News...)
+	if w.spoil != nil {
+		w.spoil(&m)
+	}
+	o.Step(m, w.now)
+	if p.twice {
+		o.Step(m, w.now)
+	}
+	w.collect(s.to)
+}
+
 // check holds what all think against what is: the checker knows no rule of the protocol.
 func (w *net) check() error {
 	var wrong []string
@@ -145,26 +150,7 @@
 		if o.gone || o.left {
 			continue
 		}
-		known := map[string]Known{}
-		for _, k := range o.Members() {
-			known[k.Name] = k
-		}
-		for _, x := range w.all {
-			if x == o {
-				continue
-			}
-			k, ok := known[x.name]
-			switch in := ok && k.State == Alive; {
-			case x.gone || x.left:
-				if ok && k.State != Left && k.State != Failed {
-					wrong = append(wrong, fmt.Sprintf("%s holds %s, which is gone, to be %v", o.name, x.name, k.State))
-				}
-			case !in:
-				wrong = append(wrong, fmt.Sprintf("%s holds %s to be %v", o.name, x.name, k.State))
-			case k.Boot != x.self.Boot:
-				wrong = append(wrong, fmt.Sprintf("%s has an older %s", o.name, x.name))
-			}
-		}
+		wrong = append(wrong, w.checkMembers(o)...)
 		if v := o.View(); v.Seen != live || live > 1 && v.Level < Majority {
 			wrong = append(wrong, fmt.Sprintf("%s sees %d of %d, %v; %d live", o.name, v.Seen, v.Of, v.Level, live))
 		}
@@ -178,6 +164,31 @@
 	return nil
 }
 
+// checkMembers holds what one thinks of each other against what is.
+func (w *net) checkMembers(o *one) (wrong []string) {
+	known := map[string]Known{}
+	for _, k := range o.Members() {
+		known[k.Name] = k
+	}
+	for _, x := range w.all {
+		if x == o {
+			continue
+		}
+		k, ok := known[x.name]
+		switch in := ok && k.State == Alive; {
+		case x.gone || x.left:
+			if ok && k.State != Left && k.State != Failed {
+				wrong = append(wrong, fmt.Sprintf("%s holds %s, which is gone, to be %v", o.name, x.name, k.State))
+			}
+		case !in:
+			wrong = append(wrong, fmt.Sprintf("%s holds %s to be %v", o.name, x.name, k.State))
+		case k.Boot != x.self.Boot:
+			wrong = append(wrong, fmt.Sprintf("%s has an older %s", o.name, x.name))
+		}
+	}
+	return wrong
+}
+
 func phases() []phase {
 	apart := func(i int) func(a, b int) bool { return func(a, b int) bool { return (a == i) != (b == i) } }
 	restart := func(i int) func(*net) { return func(w *net) { w.start(w.all[i]) } }
@@ -272,13 +283,7 @@
 			w.play(cut, rapid.Float64Range(0, 12).Draw(t, "span"))
 		}
 		w.play(cut, 70)
-		has := map[int]bool{}
-		for i, o := range w.all {
-			if !o.gone && o.May(Decide) {
-				has[part[i]] = true
-			}
-		}
-		assert.LessOrEqual(t, len(has), 1, "parts with a majority")
+		assert.LessOrEqual(t, w.deciding(part), 1, "parts with a majority")
 		w.play(calm, 120)
 		for _, o := range w.all {
 			if !o.gone {
@@ -288,6 +293,17 @@
 	})
 }
 
+// deciding is the number of parts in which somebody sees a majority.
+func (w *net) deciding(part []int) int {
+	has := map[int]bool{}
+	for i, o := range w.all {
+		if !o.gone && o.May(Decide) {
+			has[part[i]] = true
+		}
+	}
+	return len(has)
+}
+
 // again starts one anew with what it remembers.
 func (w *net) again(o *one) { w.memory = o.Agreed(); w.start(o); w.memory = Agreed{} }
 
--- a/core/cluster/membership/probe.go
+++ b/core/cluster/membership/probe.go
@@ -98,21 +98,27 @@
 	across := m.rounds%acrossEach == 0
 	for range 2 {
 		for _, want := range []bool{across, !across} {
-			for i, p := range m.round {
-				if p.State.In() && m.byName[p.Name] == p && (p.Zone != m.self.Zone) == want {
-					m.round = slices.Delete(m.round, i, i+1)
-					return p
-				}
+			if p := m.draw(want); p != nil {
+				return p
 			}
-			if m.any(want) { // of these the round is over, not of the others
-				m.refill(want)
-				for i, p := range m.round {
-					if (p.Zone != m.self.Zone) == want {
-						m.round = slices.Delete(m.round, i, i+1)
-						return p
-					}
-				}
+			if !m.any(want) { // of these the round is over, not of the others
+				continue
 			}
+			m.refill(want)
+			if p := m.draw(want); p != nil {
+				return p
+			}
+		}
+	}
+	return nil
+}
+
+// draw takes the first member of the own zone, or of others, out of the round; nil for none.
+func (m *Machine) draw(across bool) *peer {
+	for i, p := range m.round {
+		if p.State.In() && m.byName[p.Name] == p && (p.Zone != m.self.Zone) == across {
+			m.round = slices.Delete(m.round, i, i+1)
+			return p
 		}
 	}
 	return nil
--- a/core/cluster/membership/view.go
+++ b/core/cluster/membership/view.go
@@ -91,35 +91,11 @@
 	}
 	m.dirty = false
 	silent := m.now-m.heard > m.quiet() && m.In() > 0
-	v := View{Doubt: doubt}
-	suspects := 0
-	count := func(counted, in, suspect bool) {
-		if counted {
-			v.Of++
-			if in {
-				v.Seen++
-			}
-			if suspect {
-				suspects++
-			}
-		}
-	}
-	count(m.counted, true, false)
-	v.Digest = hash(m.self.Name)
-	others := 0
-	for _, p := range m.list {
-		in := p.State.In()
-		count(p.counted, p.State == Alive && !p.silent && !silent, p.State == Suspect || p.silent)
-		if in {
-			others++
-			v.Digest ^= hash(p.Name)
-		}
-		if p.differs > 0 && p.toldOf {
-			v.Differs++
-		}
-	}
+	c := m.census(silent)
+	v := c.View
+	v.Doubt = doubt
 	switch {
-	case m.standing != Belongs, silent, others == 0 && (len(m.s.Peers) > 0 || len(m.list) > 0):
+	case m.standing != Belongs, silent, c.others == 0 && (len(m.s.Peers) > 0 || len(m.list) > 0):
 		v.Level = Alone
 	case v.Seen == v.Of:
 		v.Level = Whole
@@ -129,7 +105,7 @@
 		v.Level = Minority
 	}
 	if !doubt && v.Of > 0 {
-		v.Sure = 1 - float64(suspects)/float64(v.Of)
+		v.Sure = 1 - float64(c.suspects)/float64(v.Of)
 	}
 	was := m.view
 	if m.view = v; was.Level != v.Level || was.Of == 0 {
@@ -140,6 +116,44 @@
 	}
 }
 
+// census is a view in the making.
+type census struct {
+	View
+	suspects int // of those that count
+	others   int // members but this one
+}
+
+// census counts the members; silent tells whether nothing is heard of any.
+func (m *Machine) census(silent bool) (c census) {
+	c.add(m.counted, true, false)
+	c.Digest = hash(m.self.Name)
+	for _, p := range m.list {
+		c.add(p.counted, p.State == Alive && !p.silent && !silent, p.State == Suspect || p.silent)
+		if p.State.In() {
+			c.others++
+			c.Digest ^= hash(p.Name)
+		}
+		if p.differs > 0 && p.toldOf {
+			c.Differs++
+		}
+	}
+	return c
+}
+
+// add counts one member, if it counts for a majority.
+func (c *census) add(counted, seen, suspect bool) {
+	if !counted {
+		return
+	}
+	c.Of++
+	if seen {
+		c.Seen++
+	}
+	if suspect {
+		c.suspects++
+	}
+}
+
 // settle counts newcomers that have been there for long enough.
 func (m *Machine) settle() {
 	if !m.May(Count) && len(m.list) > 0 && m.view.Of > 0 {
--- a/core/cluster/quota/divider.go
+++ b/core/cluster/quota/divider.go
@@ -233,93 +233,123 @@
 	}
 }
 
+// division is how one budget is divided anew.
+type division struct {
+	account *Account
+	targets map[uint32]int64 // what each seat is to have
+	floor   int64            // what each is to keep without word
+	sets    map[uint32]Part  // parts that change, by seat
+	hungry  []uint32         // seats that are to have more than that
+	free    int64            // what nobody has
+}
+
 // divide finds who is to have how much of one budget, and what of that has to be in the ledger first.
 func (d *Divider) divide(now float64, a *Account, c *Command) {
 	if a.Kind == Amount {
-		if _, ok := d.turned[a.Name]; !ok {
-			d.turned[a.Name] = d.since
-		}
-		if now-d.turned[a.Name] >= a.Window*(1+Drift) {
-			d.turned[a.Name] = now
-			c.Turns = append(c.Turns, a.Name)
+		d.turn(now, a, c)
+	}
+	v := division{account: a, targets: d.target(now, a), floor: d.floor(a), sets: map[uint32]Part{}}
+	d.targets[a.Name] = v.targets
+	for _, id := range slices.Sorted(maps.Keys(d.ledger.Seats)) {
+		if !slices.Contains(c.Forget, id) {
+			d.reclaim(now, id, &v)
 		}
 	}
-	targets := d.target(now, a)
-	d.targets[a.Name] = targets
-	free := a.Whole - a.Sum()
-	if d.ledger.Hold {
-		free = 0
+	if !d.ledger.Hold {
+		v.release()
 	}
-	sets := map[uint32]Part{}
-	floor := d.floor(a)
-	var hungry []uint32
-	for _, id := range slices.Sorted(maps.Keys(d.ledger.Seats)) {
-		if slices.Contains(c.Forget, id) {
+	v.raiseFloors()
+	d.feed(a, v.hungry, v.targets, v.sets, v.free)
+	for _, id := range slices.Sorted(maps.Keys(v.sets)) {
+		was, to := a.Parts[id], v.sets[id]
+		change := to.Out - was.Out
+		small := change > 0 && float64(change) < least*float64(was.Out)
+		if to.Floor == was.Floor && (small || change == 0 && to.Used == was.Used) {
 			continue
 		}
-		was := a.Parts[id]
-		q, asks := d.batch[id]
-		i := slices.IndexFunc(q.Asks, func(o Ask) bool { return o.Budget == a.Name })
-		switch {
-		case asks && i >= 0:
-			ask := q.Asks[i]
-			to := was
-			if a.Kind == Amount {
-				spent := min(was.Out, max(0, ask.Used-was.Used))                              // moves from what is out to what is spent: the sum stays
-				to.Used, to.Out = ask.Used, was.Out-spent                                     // less than it was where all was counted as spent: it has let go of that, and counts on
-				if kept := max(0, ask.Keep-ask.Used); kept < to.Out && targets[id] < to.Out { // it binds itself to less than it had
-					to.Out = max(kept, targets[id])
-				}
-			} else {
-				to.Floor = min(was.Out, max(min(ask.Floor, was.Floor), floor))
-				to.Out = min(was.Out, max(ask.Keep, targets[id], to.Floor))
-			}
-			if was.Out > to.Out && float64(was.Out-to.Out) < math.Max(1, least*float64(was.Out)) && a.Sum() <= a.Whole {
-				if to.Out = was.Out; a.Kind == Amount { // not worth an entry
-					to = was
-				}
-			}
-			if targets[id] > to.Out {
-				hungry = append(hungry, id)
-			}
-			sets[id] = to
-		case asks && was.Out > 0, d.ended(now, id) && was.Out > was.Floor:
-			to := Part{Out: was.Floor, Floor: was.Floor}
-			if asks { // and not about this: it uses nothing of it any more
-				to = Part{}
-			}
-			if a.Kind == Amount { // guards against units that were used and never told: all that was out counts as spent
-				to = Part{Used: was.Used + was.Out}
-			}
-			sets[id] = to
+		c.Sets = append(c.Sets, Set{Budget: a.Name, ID: id, Part: to})
+	}
+}
+
+// turn begins an amount's next window when its time has come.
+func (d *Divider) turn(now float64, a *Account, c *Command) {
+	if _, ok := d.turned[a.Name]; !ok {
+		d.turned[a.Name] = d.since
+	}
+	if now-d.turned[a.Name] >= a.Window*(1+Drift) {
+		d.turned[a.Name] = now
+		c.Turns = append(c.Turns, a.Name)
+	}
+}
+
+// reclaim finds what one seat keeps of its part before anything is given.
+func (d *Divider) reclaim(now float64, id uint32, v *division) {
+	was := v.account.Parts[id]
+	q, asks := d.batch[id]
+	i := slices.IndexFunc(q.Asks, func(o Ask) bool { return o.Budget == v.account.Name })
+	switch {
+	case asks && i >= 0:
+		to := v.keeps(was, q.Asks[i], v.targets[id])
+		if v.targets[id] > to.Out {
+			v.hungry = append(v.hungry, id)
+		}
+		v.sets[id] = to
+	case asks && was.Out > 0, d.ended(now, id) && was.Out > was.Floor:
+		to := Part{Out: was.Floor, Floor: was.Floor}
+		if asks { // and not about this: it uses nothing of it any more
+			to = Part{}
+		}
+		if v.account.Kind == Amount { // guards against units that were used and never told: all that was out counts as spent
+			to = Part{Used: was.Used + was.Out}
+		}
+		v.sets[id] = to
+	}
+}
+
+// keeps is what a seat that asks keeps of its part.
+func (v *division) keeps(was Part, ask Ask, target int64) Part {
+	a, to := v.account, was
+	if a.Kind == Amount {
+		spent := min(was.Out, max(0, ask.Used-was.Used))                         // moves from what is out to what is spent: the sum stays
+		to.Used, to.Out = ask.Used, was.Out-spent                                // less than it was where all was counted as spent: it has let go of that, and counts on
+		if kept := max(0, ask.Keep-ask.Used); kept < to.Out && target < to.Out { // it binds itself to less than it had
+			to.Out = max(kept, target)
 		}
+	} else {
+		to.Floor = min(was.Out, max(min(ask.Floor, was.Floor), v.floor))
+		to.Out = min(was.Out, max(ask.Keep, target, to.Floor))
 	}
-	for id, to := range sets {
-		if more := a.Parts[id].Out - to.Out - max(0, to.Used-a.Parts[id].Used); !d.ledger.Hold {
-			free += more
+	if was.Out > to.Out && float64(was.Out-to.Out) < math.Max(1, least*float64(was.Out)) && a.Sum() <= a.Whole {
+		if to.Out = was.Out; a.Kind == Amount { // not worth an entry
+			to = was
 		}
 	}
-	for _, id := range hungry { // floors first, and who has nothing may take of the reserve
-		to := sets[id]
-		if more := min(free, floor-to.Out); more > 0 && a.Kind != Amount {
+	return to
+}
+
+// release works out what is free once all that is reclaimed is back.
+func (v *division) release() {
+	a := v.account
+	v.free = a.Whole - a.Sum()
+	for id, to := range v.sets {
+		v.free += a.Parts[id].Out - to.Out - max(0, to.Used-a.Parts[id].Used)
+	}
+}
+
+// raiseFloors gives the hungry their floors first: who has nothing may take of the reserve.
+func (v *division) raiseFloors() {
+	a := v.account
+	for _, id := range v.hungry {
+		to := v.sets[id]
+		if more := min(v.free, v.floor-to.Out); more > 0 && a.Kind != Amount {
 			to.Out += more
-			free -= more
+			v.free -= more
 		}
-		to.Floor = max(to.Floor, min(floor, to.Out))
+		to.Floor = max(to.Floor, min(v.floor, to.Out))
 		if a.Kind == Amount {
 			to.Floor = 0
 		}
-		sets[id] = to
-	}
-	d.feed(a, hungry, targets, sets, free)
-	for _, id := range slices.Sorted(maps.Keys(sets)) {
-		was, to := a.Parts[id], sets[id]
-		change := to.Out - was.Out
-		small := change > 0 && float64(change) < least*float64(was.Out)
-		if to.Floor == was.Floor && (small || change == 0 && to.Used == was.Used) {
-			continue
-		}
-		c.Sets = append(c.Sets, Set{Budget: a.Name, ID: id, Part: to})
+		v.sets[id] = to
 	}
 }
 
@@ -359,16 +389,7 @@
 // target is what each is to have: by need, zones first and then in each; what nobody needs is spread over all.
 func (d *Divider) target(now float64, a *Account) map[uint32]int64 {
 	targets := map[uint32]int64{}
-	byZone := map[string][]uint32{}
-	n := 0
-	for _, id := range slices.Sorted(maps.Keys(d.ledger.Seats)) {
-		s := d.seen[id]
-		if s == nil || s.last.Leaves || d.ended(now, id) || !slices.ContainsFunc(s.last.Asks, func(o Ask) bool { return o.Budget == a.Name }) {
-			continue
-		}
-		byZone[d.ledger.Seats[id].Zone] = append(byZone[d.ledger.Seats[id].Zone], id)
-		n++
-	}
+	byZone, n := d.asking(now, a)
 	if n == 0 || a.Gone {
 		return targets
 	}
@@ -406,23 +427,43 @@
 	if a.Kind == Amount {
 		left *= foothold
 	}
+	spread(a, byZone, targets, left, need)
+	if a.Kind != Amount {
+		d.round(now, a, targets, int64(whole), need)
+	}
+	return targets
+}
+
+// asking gives the seats that ask about a budget, by zone, and how many they are.
+func (d *Divider) asking(now float64, a *Account) (byZone map[string][]uint32, n int) {
+	byZone = map[string][]uint32{}
+	for _, id := range slices.Sorted(maps.Keys(d.ledger.Seats)) {
+		s := d.seen[id]
+		if s == nil || s.last.Leaves || d.ended(now, id) || !slices.ContainsFunc(s.last.Asks, func(o Ask) bool { return o.Budget == a.Name }) {
+			continue
+		}
+		zone := d.ledger.Seats[id].Zone
+		byZone[zone] = append(byZone[zone], id)
+		n++
+	}
+	return byZone, n
+}
+
+// spread adds what nobody needs to all targets, by how much what comes by chance varies.
+func spread(a *Account, byZone map[string][]uint32, targets map[uint32]int64, left float64, need func(uint32) float64) {
 	roots := 0.0
 	for id := range targets {
 		roots += math.Sqrt(1 + need(id))
 	}
 	for _, ids := range byZone {
 		for _, id := range ids {
-			t := targets[id] + int64(math.Max(0, left*math.Sqrt(1+need(id))/roots)) // by how much what comes by chance varies
+			t := targets[id] + int64(math.Max(0, left*math.Sqrt(1+need(id))/roots))
 			if a.Ceiling > 0 {
 				t = min(t, a.Ceiling)
 			}
 			targets[id] = t
 		}
 	}
-	if a.Kind != Amount {
-		d.round(now, a, targets, int64(whole), need)
-	}
-	return targets
 }
 
 // round gives out what whole numbers leave over, one each to those who lack most, others in turn: of a whole that is smaller than their number
--- a/core/cluster/quota/ledger.go
+++ b/core/cluster/quota/ledger.go
@@ -152,6 +152,37 @@
 
 // Apply does a command, whole or not at all; false where it was not done.
 func (l *Ledger) Apply(c *Command) bool {
+	if !l.fits(c) {
+		return false
+	}
+	l.Token, l.Seq = c.Token, c.Seq
+	l.Hold = l.Hold && !c.Unhold
+	if c.Generation > l.Generation {
+		l.declare(c)
+	}
+	for _, s := range c.Sets {
+		a := l.Accounts[s.Budget]
+		a.Spent += max(0, s.Used-a.Parts[s.ID].Used)
+		if a.Parts[s.ID] = s.Part; s.Part == (Part{}) {
+			delete(a.Parts, s.ID)
+		}
+	}
+	for _, id := range c.Forget {
+		l.forget(id)
+	}
+	l.enrol(c.Enrol)
+	for _, name := range c.Turns {
+		if a := l.Accounts[name]; a != nil && a.Kind == Amount {
+			a.Spent = 0
+			a.Turn++
+		}
+	}
+	maps.DeleteFunc(l.Accounts, func(_ string, a *Account) bool { return a.Gone && len(a.Parts) == 0 })
+	return true
+}
+
+// fits tells whether a command may be done: it is newer than the last one, within all bounds, and gives no more than there is.
+func (l *Ledger) fits(c *Command) bool {
 	if c.Token < l.Token || c.Token == l.Token && c.Seq <= l.Seq || len(c.Declare) > MostBudgets || len(l.Seats)+len(c.Enrol) > MostHolders {
 		return false
 	}
@@ -175,22 +206,12 @@
 			return false
 		}
 	}
-	l.Token, l.Seq = c.Token, c.Seq
-	l.Hold = l.Hold && !c.Unhold
-	if c.Generation > l.Generation {
-		l.declare(c)
-	}
-	for _, s := range c.Sets {
-		a := l.Accounts[s.Budget]
-		a.Spent += max(0, s.Used-a.Parts[s.ID].Used)
-		if a.Parts[s.ID] = s.Part; s.Part == (Part{}) {
-			delete(a.Parts, s.ID)
-		}
-	}
-	for _, id := range c.Forget {
-		l.forget(id)
-	}
-	for _, s := range c.Enrol {
+	return true
+}
+
+// enrol gives seats to processes that have none.
+func (l *Ledger) enrol(all []Seat) {
+	for _, s := range all {
 		if len(s.Name) > LongestName || len(s.Zone) > LongestName || len(s.Address) > LongestName || l.Seat(s.Name, s.Boot) != 0 {
 			continue
 		}
@@ -198,14 +219,6 @@
 		l.NextID++
 		l.Seats[s.ID] = s
 	}
-	for _, name := range c.Turns {
-		if a := l.Accounts[name]; a != nil && a.Kind == Amount {
-			a.Spent = 0
-			a.Turn++
-		}
-	}
-	maps.DeleteFunc(l.Accounts, func(_ string, a *Account) bool { return a.Gone && len(a.Parts) == 0 })
-	return true
 }
 
 // declare takes settings in. A whole may be under its sum then: nothing more is given of it until that holds.
--- a/core/cluster/variant/checker_test.go
+++ b/core/cluster/variant/checker_test.go
@@ -270,28 +270,31 @@
 
 // tell spreads what a dispatcher has to tell.
 func (w *world) tell(d int) {
+	late := 30.0
+	if w.beats {
+		late = 90
+	}
 	for _, f := range w.modules[d].Facts(16) {
 		b := variant.EncodeFact(&f)
 		for p := range w.modules {
 			for copies := w.rng.IntN(3); p != d && copies > 0; copies-- {
-				late := 30.0
-				if w.beats {
-					late = 90
-				}
-				w.in(w.rng.Float64()*w.rng.Float64()*late, func() {
-					if w.cut == d || w.cut == p {
-						return
-					}
-					f, err := variant.DecodeFact(b)
-					if err == nil {
-						w.modules[p].Learn(w.now, []variant.Fact{f})
-					}
-				})
+				w.in(w.rng.Float64()*w.rng.Float64()*late, func() { w.deliver(d, p, b) })
 			}
 		}
 	}
 }
 
+// deliver has a dispatcher learn another's fact, unless one of them is cut off.
+func (w *world) deliver(from, to int, fact []byte) {
+	if w.cut == from || w.cut == to {
+		return
+	}
+	f, err := variant.DecodeFact(fact)
+	if err == nil {
+		w.modules[to].Learn(w.now, []variant.Fact{f})
+	}
+}
+
 func play(t *testing.T, m mode, seed uint64) *world {
 	w := &world{mode: m, now: 1, rng: rand.New(rand.NewPCG(seed, 1)), cut: -1} // a forward that began at 0 has no time
 	if w.spread == 0 {
@@ -403,7 +406,7 @@
 	},
 	{"what a shard had not heard of counts", "module.go", "return f.order <= a.Known && f.purge", "return f.purge"},
 	{"who shares a floor tells facts", "module.go", "(x.purge < f.purge || f.purge == 0 || x.owner == own || x.owner == g) && (y.purge < f.purge || f.purge == 0 || y.owner == g || y.owner == own)", "own != 1 || g != 1"},
-	{"evidence never lapses", "evidence.go", "if timed(v, e.generation) {\n\t\t\tfor w", "if false {\n\t\t\tfor w"},
+	{"evidence never lapses", "evidence.go", "if timed(v, m.entries[i].generation) {\n\t\t\tfor w", "if false {\n\t\t\tfor w"},
 	{"a place beside counts as a witness by itself", "evidence.go", "m.bear(v, i, a.Class, a.Host, a.Proof, at)", "m.bear(v, i, a.Class, a.Host+uint32(a.Beside)<<8, a.Proof, at)"},
 	{"facts of no known age join", "evidence.go", "if at, known = m.since(f.Beat); !m.timely", "if !m.timely"},
 	{"beats of two givers are compared", "beats.go", "x.beat.Giver == b.Giver && ", ""},
@@ -444,118 +447,155 @@
 	}
 }
 
+// orders gives every order of so many events.
+func orders(events int, done []int, do func(order []int)) {
+	if len(done) == events {
+		do(done)
+		return
+	}
+	for e := range events {
+		if !slices.Contains(done, e) {
+			orders(events, append(done[:len(done):len(done)], e), do)
+		}
+	}
+}
+
+// two is two dispatchers that ask for one object of two classes.
+type two struct {
+	m              [2]*variant.Module
+	o              variant.Object
+	versions       bool
+	content        [2]uint64
+	version, purge uint64
+	known          [2]uint64
+	facts          []variant.Fact
+}
+
+func newTwo(versions bool) *two {
+	w := &two{o: variant.Object{Object: 5}, versions: versions, content: [2]uint64{1, 1}, version: 1}
+	for d := range w.m {
+		w.m[d], _ = variant.New(variant.Settings{Objects: 4, Self: strconv.Itoa(d), Services: []variant.Service{{
+			Classes: []string{"a", "b"}, Proof: variant.ByTag, Witnesses: 1, Repeats: true, Fresh: math.Inf(1),
+		}}})
+	}
+	return w
+}
+
+func (w *two) ask(d, c int) variant.Answer {
+	g := variant.Generation{Purge: w.m[d].Told(w.o)}
+	if w.versions {
+		g.Version = w.version
+	}
+	return variant.Answer{Object: w.o, Class: c, Host: uint32(c), Proof: w.content[c], Generation: g, Known: w.known[d]}
+}
+
+// do has an event happen; early is an answer that began before all.
+func (w *two) do(now float64, event int, early variant.Answer) {
+	switch event {
+	case 0, 1, 2:
+		w.m[event/2].Answered(now, w.ask(event/2, event%2))
+	case 3:
+		w.m[0].Answered(now, early)
+	case 4: // class b alone becomes another; its purge is news at a dispatcher later
+		w.content[1], w.version, w.purge = 2, 2, 1
+	case 5, 6:
+		if d := event - 5; w.purge > 0 {
+			w.known[d] = w.purge
+			w.m[d].Purged(0, w.o.Object, -1, w.purge, w.purge)
+		}
+	case 7:
+		w.facts = append(append(w.facts, w.m[0].Facts(9)...), w.m[1].Facts(9)...)
+		w.m[0].Learn(now, w.facts)
+		w.m[1].Learn(now, w.facts)
+	}
+}
+
+// right judges an answer that dispatcher d lets through to class c.
+func (w *two) right(d, c int, a variant.Answer) bool {
+	truth := map[[2]uint64]uint64{{1, 0}: 1, {1, 1}: 1, {2, 0}: 1, {2, 1}: 2} // by version and class
+	right := truth[[2]uint64{w.version, uint64(c)}] == a.Proof
+	if !w.versions && w.known[d] < w.purge { // it may be the older generation's
+		right = right || truth[[2]uint64{1, uint64(c)}] == a.Proof
+	}
+	return right
+}
+
 // Small scope: every order of a few events at two dispatchers, two classes: answers that began before or after a purge, a change of one
 // class, and facts delivered at any time; after each event all that Fits lets through is judged.
 func TestSmallScope(t *testing.T) {
 	const events = 8
-	orders := 0
+	played := 0
 	for _, versions := range []bool{true, false} {
-		var run func(done []int)
-		run = func(done []int) {
-			if len(done) < events {
-				for e := range events {
-					if !slices.Contains(done, e) {
-						run(append(done[:len(done):len(done)], e))
-					}
-				}
-				return
-			}
-			orders++
-			var m [2]*variant.Module
-			for d := range m {
-				m[d], _ = variant.New(variant.Settings{Objects: 4, Self: strconv.Itoa(d), Services: []variant.Service{{
-					Classes: []string{"a", "b"}, Proof: variant.ByTag, Witnesses: 1, Repeats: true, Fresh: math.Inf(1),
-				}}})
-			}
-			o := variant.Object{Object: 5}
-			content, version, purge := [2]uint64{1, 1}, uint64(1), uint64(0)
-			truth := map[[2]uint64]uint64{{1, 0}: 1, {1, 1}: 1, {2, 0}: 1, {2, 1}: 2} // by version and class
-			var facts []variant.Fact
-			var known [2]uint64
-			ask := func(d, c int) variant.Answer {
-				g := variant.Generation{Purge: m[d].Told(o)}
-				if versions {
-					g.Version = version
-				}
-				return variant.Answer{Object: o, Class: c, Host: uint32(c), Proof: content[c], Generation: g, Known: known[d]}
-			}
-			early := ask(0, 1) // began before all, comes at its time
-			for n, e := range done {
+		orders(events, nil, func(order []int) {
+			played++
+			w := newTwo(versions)
+			early := w.ask(0, 1) // began before all, comes at its time
+			for n, e := range order {
 				now := float64(n + 1)
-				switch e {
-				case 0, 1, 2:
-					m[e/2].Answered(now, ask(e/2, e%2))
-				case 3:
-					m[0].Answered(now, early)
-				case 4: // class b alone becomes another; its purge is news at a dispatcher later
-					content[1], version, purge = 2, 2, 1
-				case 5, 6:
-					if d := e - 5; purge > 0 {
-						known[d] = purge
-						m[d].Purged(0, o.Object, -1, purge, purge)
-					}
-				case 7:
-					facts = append(append(facts, m[0].Facts(9)...), m[1].Facts(9)...)
-					m[0].Learn(now, facts)
-					m[1].Learn(now, facts)
-				}
-				for d := range m {
+				w.do(now, e, early)
+				for d := range w.m {
 					for c := range 2 {
-						a := ask(d, 1-c)
-						if !m[d].Fits(now, c, variant.Key{Class: 1 - c}, &a) {
-							continue
+						a := w.ask(d, 1-c)
+						if w.m[d].Fits(now, c, variant.Key{Class: 1 - c}, &a) {
+							require.True(t, w.right(d, c, a), "wrong bytes in order %v at %d, dispatcher %d, class %d, versions %v", order, n, d, c, versions)
 						}
-						right := truth[[2]uint64{version, uint64(c)}] == a.Proof
-						if !versions && known[d] < purge { // it may be the older generation's
-							right = right || truth[[2]uint64{1, uint64(c)}] == a.Proof
-						}
-						require.True(t, right, "wrong bytes in order %v at %d, dispatcher %d, class %d, versions %v", done, n, d, c, versions)
 					}
 				}
 			}
+		})
+	}
+	assert.Equal(t, 80640, played)
+}
+
+// presumptions counts what came of GETs with presume.
+type presumptions struct {
+	wrong, presumed, checks, gets int
+	stated                        float64 // sum of the chances that were stated
+}
+
+// play asks for both classes of many objects, a part of which differ.
+func (p *presumptions) play(t *testing.T, seed uint64) {
+	rng := rand.New(rand.NewPCG(seed, 2))
+	contrary := rng.Float64() // uniform: what the rule of succession supposes
+	m, err := variant.New(variant.Settings{Objects: 1 << 12, Seed: seed, Self: "x", Services: []variant.Service{{
+		Classes: []string{"a", "b"}, Proof: variant.ByTag, Witnesses: 1, Repeats: true, Presume: &variant.Presumed{Objects: 5, Checks: 0.05},
+	}}})
+	require.NoError(t, err)
+	for n := range uint64(400) {
+		o := variant.Object{Object: n + 1}
+		differs := rng.Float64() < contrary
+		if chance := m.Wrong(0, 0); chance > 0 { // each object that is presumed anew
+			p.stated += chance
+			p.presumed++
+			if differs {
+				p.wrong++
+			}
+		}
+		for c := range 2 {
+			k := m.Key(float64(n), o, c)
+			p.gets++
+			if k.Checks {
+				p.checks++
+			}
+			proof := n + 1
+			if k.Class == 1 && differs {
+				proof += 1 << 20
+			}
+			m.Answered(float64(n), variant.Answer{Object: o, Class: k.Class, Proof: proof, Generation: variant.Generation{Version: 1}})
 		}
-		run(nil)
 	}
-	assert.Equal(t, 80640, orders)
 }
 
 // With presume, the share of wrong presumptions is measured beside the stated chance.
 func TestPresumed(t *testing.T) {
 	const seeds = 1000
-	wrong, presumed, stated, checks, gets := 0, 0, 0.0, 0, 0
+	var p presumptions
 	for seed := range uint64(seeds) {
-		rng := rand.New(rand.NewPCG(seed, 2))
-		contrary := rng.Float64() // uniform: what the rule of succession supposes
-		m, err := variant.New(variant.Settings{Objects: 1 << 12, Seed: seed, Self: "x", Services: []variant.Service{{
-			Classes: []string{"a", "b"}, Proof: variant.ByTag, Witnesses: 1, Repeats: true, Presume: &variant.Presumed{Objects: 5, Checks: 0.05},
-		}}})
-		require.NoError(t, err)
-		for n := range uint64(400) {
-			o := variant.Object{Object: n + 1}
-			differs := rng.Float64() < contrary
-			if chance := m.Wrong(0, 0); chance > 0 { // each object that is presumed anew
-				stated += chance
-				presumed++
-				if differs {
-					wrong++
-				}
-			}
-			for c := range 2 {
-				k := m.Key(float64(n), o, c)
-				gets++
-				if k.Checks {
-					checks++
-				}
-				proof := n + 1
-				if k.Class == 1 && differs {
-					proof += 1 << 20
-				}
-				m.Answered(float64(n), variant.Answer{Object: o, Class: k.Class, Proof: proof, Generation: variant.Generation{Version: 1}})
-			}
-		}
+		p.play(t, seed)
 	}
-	t.Logf("presumed %d, wrong %.4f, stated %.4f; checks %.3f of GETs", presumed, float64(wrong)/float64(presumed), stated/float64(presumed), float64(checks)/float64(gets))
-	require.Greater(t, presumed, 1000)
-	assert.InDelta(t, stated/float64(presumed), float64(wrong)/float64(presumed), 0.02)
-	assert.NotZero(t, checks)
+	presumed := float64(p.presumed)
+	t.Logf("presumed %d, wrong %.4f, stated %.4f; checks %.3f of GETs", p.presumed, float64(p.wrong)/presumed, p.stated/presumed, float64(p.checks)/float64(p.gets))
+	require.Greater(t, p.presumed, 1000)
+	assert.InDelta(t, p.stated/presumed, float64(p.wrong)/presumed, 0.02)
+	assert.NotZero(t, p.checks)
 }
--- a/core/cluster/variant/evidence.go
+++ b/core/cluster/variant/evidence.go
@@ -1,6 +1,9 @@
 package variant
 
-import "math"
+import (
+	"math"
+	"math/bits"
+)
 
 // pair numbers the pairs of classes.
 func pair(a, b int) int {
@@ -44,25 +47,29 @@
 			d.first = bearer{a.Host, at}
 		}
 		m.tell(told{Fact{Object: a.Object, Class: a.Class, Proof: a.Proof, Generation: a.Generation, Split: true, Splits: uint32(d.splits), Beat: beat}, a.Host})
-	} else {
-		tells := beat.Giver != 0 && m.due(v, i, a.Class, a.Host, at)
-		fresh := (beat.Giver == 0 || tells) && m.bear(v, i, a.Class, a.Host, a.Proof, at)
-		if !fresh && int(d.n) < v.Witnesses && a.Beside > 0 && a.Beside <= maxBeside {
-			d.vain = max(d.vain, uint8(a.Beside))
-		}
-		if tells || fresh && (d.n == 1 || !lapses) {
-			m.tell(told{Fact{Object: a.Object, Class: a.Class, Proof: a.Proof, Generation: a.Generation, Splits: uint32(d.splits), Beat: beat}, a.Host})
-		}
-		if d.stands >= 0 && d.checks < math.MaxUint16 {
-			d.checks++
-		}
-		if !fresh && !lapses && d.stands >= 0 {
-			return // nothing new
-		}
+	} else if !m.confirm(v, i, &a, at, beat) {
+		return
 	}
 	m.settle(v, i, t, -1)
 }
 
+// confirm takes an answer that does not contradict what is known of its class; false if it brings nothing new.
+func (m *Module) confirm(v *Service, i int, a *Answer, at uint32, beat Beat) bool {
+	d, lapses := &m.of(i)[a.Class], timed(v, a.Generation)
+	tells := beat.Giver != 0 && m.due(v, i, a.Class, a.Host, at)
+	fresh := (beat.Giver == 0 || tells) && m.bear(v, i, a.Class, a.Host, a.Proof, at)
+	if !fresh && int(d.n) < v.Witnesses && a.Beside > 0 && a.Beside <= maxBeside {
+		d.vain = max(d.vain, uint8(a.Beside))
+	}
+	if tells || fresh && (d.n == 1 || !lapses) {
+		m.tell(told{Fact{Object: a.Object, Class: a.Class, Proof: a.Proof, Generation: a.Generation, Splits: uint32(d.splits), Beat: beat}, a.Host})
+	}
+	if d.stands >= 0 && d.checks < math.MaxUint16 {
+		d.checks++
+	}
+	return fresh || lapses || d.stands < 0
+}
+
 // Learn takes facts from peers. What is of no use or makes no sense is passed over.
 func (m *Module) Learn(now float64, facts []Fact) {
 	t := m.tick(now)
@@ -80,30 +87,35 @@
 		if !m.advance(i, f.Generation) {
 			continue
 		}
-		d := &m.of(i)[f.Class]
-		if f.Split && f.Splits > 0 { // the split below is the teller's last
-			d.splits = max(d.splits, uint8(min(f.Splits-1, math.MaxUint8)))
-		}
-		lapses, at, known := timed(v, f.Generation), t, true
-		if lapses {
-			if at, known = m.since(f.Beat); !m.timely(v, i, d, t) {
-				d.n = 0
-			}
-		}
-		differs := d.n > 0 && d.proof != f.Proof
-		if f.Split || differs && !lapses {
-			m.contrary(v, i, f.Class, t)
-		}
-		if lapses && (f.Split || differs) { // evidence is asked for anew; where nobody knows which is newer nothing is held against the class
-			for j := range int(d.n) {
-				known = known && at >= m.borne(i, f.Class, j).at
-			}
+		m.weigh(v, i, f, host, t)
+		m.settle(v, i, t, int(f.Stands)-1)
+	}
+}
+
+// weigh takes a peer's fact as evidence of its class.
+func (m *Module) weigh(v *Service, i int, f *Fact, host, t uint32) {
+	d := &m.of(i)[f.Class]
+	if f.Split && f.Splits > 0 { // the split below is the teller's last
+		d.splits = max(d.splits, uint8(min(f.Splits-1, math.MaxUint8)))
+	}
+	lapses, at, known := timed(v, f.Generation), t, true
+	if lapses {
+		if at, known = m.since(f.Beat); !m.timely(v, i, d, t) {
 			d.n = 0
 		}
-		if known && (lapses || !f.Split && !differs) {
-			m.bear(v, i, f.Class, host, f.Proof, at)
+	}
+	differs := d.n > 0 && d.proof != f.Proof
+	if f.Split || differs && !lapses {
+		m.contrary(v, i, f.Class, t)
+	}
+	if lapses && (f.Split || differs) { // evidence is asked for anew; where nobody knows which is newer nothing is held against the class
+		for j := range int(d.n) {
+			known = known && at >= m.borne(i, f.Class, j).at
 		}
-		m.settle(v, i, t, int(f.Stands)-1)
+		d.n = 0
+	}
+	if known && (lapses || !f.Split && !differs) {
+		m.bear(v, i, f.Class, host, f.Proof, at)
 	}
 }
 
@@ -112,9 +124,7 @@
 // learned, out of a full table.
 func (m *Module) place(i int, o Object, g Generation) int {
 	if i >= 0 {
-		if e := &m.entries[i]; !e.ref {
-			e.ref = true
-		}
+		m.entries[i].touch()
 		return i
 	}
 	s, tag := m.set(o)
@@ -235,101 +245,141 @@
 	m.notice(Notice{Object: m.entries[i].object, Class: c, Standing: c, Split: true, Generation: m.entries[i].generation})
 }
 
+// classSet is a set of an object's classes, a bit each.
+type classSet uint32
+
+func (s classSet) has(c int) bool { return s&(1<<c) != 0 }
+
+// several tells whether there is more than one.
+func (s classSet) several() bool { return s&(s-1) != 0 }
+
 // settle works out anew which classes are one, and which stands: the one that stood, then the one that stood last, then the first declared.
 // hint is a class that stands at a peer: it takes over if it was declared earlier, so that all dispatchers end with one.
 func (m *Module) settle(v *Service, i int, t uint32, hint int) {
-	e, k := &m.entries[i], m.of(i)
+	k := m.of(i)
+	m.expire(v, i)
+	before := m.divide(i, t)
+	m.compare(v, i, t)
+	var done classSet
+	for j := range k {
+		if done.has(j) {
+			continue
+		}
+		set := m.same(v, k, j, t)
+		done |= set
+		if !set.several() {
+			k[j].stands, k[j].from = -1, -1
+			continue
+		}
+		stands := standing(k, &before, set)
+		if hint >= 0 && set.has(hint) && hint < int(stands) {
+			stands = int8(hint)
+		}
+		m.join(i, set, stands, &before, t)
+	}
+	e := &m.entries[i]
+	for j := range k {
+		if b := before[j]; b >= 0 && int(b) != j && k[j].stands < 0 {
+			m.notice(Notice{Object: e.object, Class: j, Standing: j, Split: true, Generation: e.generation})
+		}
+	}
+}
+
+// expire works out anew when the evidence of each class lapses.
+func (m *Module) expire(v *Service, i int) {
+	k := m.of(i)
 	for j := range k {
 		d := &k[j]
 		d.expires = math.MaxUint32
-		if timed(v, e.generation) {
+		if timed(v, m.entries[i].generation) {
 			for w := range int(d.n) {
 				d.expires = min(d.expires, m.borne(i, j, w).at+uint32(min(v.Fresh*ticks, math.MaxUint32/2)))
 			}
 		}
 	}
-	differ := func(a, b int) bool {
-		x, y := &k[a], &k[b]
-		return x.n > 0 && y.n > 0 && x.proof != y.proof && t < min(x.expires, y.expires) && !x.disputed && !y.disputed
-	}
-	var before [MaxClasses]int8
+}
+
+// differ tells whether the evidence of two classes is good at a tick and of two contents.
+func differ(x, y *class, t uint32) bool {
+	return x.n > 0 && y.n > 0 && x.proof != y.proof && t < min(x.expires, y.expires) && !x.disputed && !y.disputed
+}
+
+// divide splits the classes that differ from the one that stood for them last. It gives the classes that stood for each but for those.
+func (m *Module) divide(i int, t uint32) (before [MaxClasses]int8) {
+	k := m.of(i)
 	for j := range k {
 		before[j] = k[j].stands
-		if l := int(k[j].last); l >= 0 && differ(j, l) {
+		if l := int(k[j].last); l >= 0 && differ(&k[j], &k[l], t) {
 			before[j] = -1
 			m.split(i, j, t)
 		}
 	}
+	return before
+}
+
+// compare counts each pair of classes whose evidence is good for or against the pattern of the object's group.
+func (m *Module) compare(v *Service, i int, t uint32) {
+	k := m.of(i)
 	for j := range k {
 		for l := range j {
-			if differ(j, l) {
+			if differ(&k[j], &k[l], t) {
 				m.count(v, i, l, j, false)
 			} else if k[j].proof == k[l].proof && m.sure(v, &k[j], t) && m.sure(v, &k[l], t) {
 				m.count(v, i, l, j, true)
 			}
 		}
 	}
-	var done uint32
-	for j := range k {
-		if done&(1<<j) != 0 {
-			continue
+}
+
+// same is the set of a class and those declared after it that are sure to have its content; empty where it is not sure itself.
+func (m *Module) same(v *Service, k []class, j int, t uint32) (set classSet) {
+	if !m.sure(v, &k[j], t) {
+		return 0
+	}
+	for l := j; l < len(k); l++ {
+		if m.sure(v, &k[l], t) && k[l].proof == k[j].proof {
+			set |= 1 << l
 		}
-		if !m.sure(v, &k[j], t) {
-			k[j].stands, k[j].from = -1, -1
-			continue
+	}
+	return set
+}
+
+// standing is the class of a set that stood, or else stood last, or else was declared first.
+func standing(k []class, before *[MaxClasses]int8, set classSet) int8 {
+	for l := range k {
+		if set.has(l) && before[l] == int8(l) {
+			return int8(l)
 		}
-		var set uint32
-		for l := j; l < len(k); l++ {
-			if m.sure(v, &k[l], t) && k[l].proof == k[j].proof {
-				set |= 1 << l
-			}
+	}
+	for l := range k {
+		if set.has(l) && k[l].last == int8(l) {
+			return int8(l)
 		}
-		done |= set
-		if set&(set-1) == 0 {
-			k[j].stands, k[j].from = -1, -1
+	}
+	return int8(bits.TrailingZeros32(uint32(set)))
+}
+
+// join has one class of a set stand for all of it.
+func (m *Module) join(i int, set classSet, stands int8, before *[MaxClasses]int8, t uint32) {
+	e, k := &m.entries[i], m.of(i)
+	for l := range k {
+		if !set.has(l) {
 			continue
 		}
-		stands := int8(j)
-		for _, by := range []func(l int) bool{
-			func(l int) bool { return before[l] == int8(l) },
-			func(l int) bool { return k[l].last == int8(l) },
-		} {
-			found := false
-			for l := range k {
-				if set&(1<<l) != 0 && by(l) {
-					stands, found = int8(l), true
-					break
-				}
-			}
-			if found {
-				break
-			}
+		d := &k[l]
+		if d.from >= 0 && !set.has(int(d.from)) {
+			d.from = -1
 		}
-		if hint >= 0 && set&(1<<hint) != 0 && hint < int(stands) {
-			stands = int8(hint)
+		if d.stands == stands {
+			continue
 		}
-		for l := range k {
-			if d := &k[l]; set&(1<<l) != 0 {
-				if d.from >= 0 && set&(1<<d.from) == 0 {
-					d.from = -1
-				}
-				if d.stands == stands {
-					continue
-				}
-				d.from = int8(l)
-				if b := before[l]; b >= 0 && set&(1<<b) != 0 {
-					d.from = b
-				}
-				d.stands, d.last, d.since, d.checks = stands, stands, t, 0
-				if int8(l) != stands {
-					m.notice(Notice{Object: e.object, Class: l, Standing: int(stands), Generation: e.generation})
-				}
-			}
+		d.from = int8(l)
+		if b := before[l]; b >= 0 && set.has(int(b)) {
+			d.from = b
 		}
-	}
-	for j := range k {
-		if b := before[j]; b >= 0 && int(b) != j && k[j].stands < 0 {
-			m.notice(Notice{Object: e.object, Class: j, Standing: j, Split: true, Generation: e.generation})
+		d.stands, d.last, d.since, d.checks = stands, stands, t, 0
+		if int8(l) != stands {
+			m.notice(Notice{Object: e.object, Class: l, Standing: int(stands), Generation: e.generation})
 		}
 	}
 }
@@ -348,17 +398,9 @@
 	if v.Presume == nil {
 		return
 	}
-	g := group{e.object.Service, e.object.Group}
-	p := m.patterns[g]
+	p := m.patternOf(group{e.object.Service, e.object.Group})
 	if p == nil {
-		if len(m.patterns) >= maxGroups {
-			return
-		}
-		p = &pattern{}
-		for j := range p.stands {
-			p.stands[j] = -1
-		}
-		m.patterns[g] = p
+		return
 	}
 	if agrees {
 		p.agreed[pair(a, b)]++
@@ -376,6 +418,20 @@
 	}
 }
 
+// patternOf is the pattern of a group, a new one where there was none; nil where there are too many groups.
+func (m *Module) patternOf(g group) *pattern {
+	p := m.patterns[g]
+	if p != nil || len(m.patterns) >= maxGroups {
+		return p
+	}
+	p = &pattern{}
+	for j := range p.stands {
+		p.stands[j] = -1
+	}
+	m.patterns[g] = p
+	return p
+}
+
 // Wrong estimates the chance that what is presumed for a new object of a group is wrong, at worst over its classes: by the rule of
 // succession, 1/(n+2) after n objects with none against. 0 where nothing is presumed.
 func (m *Module) Wrong(service, g int) float64 {
--- a/core/cluster/variant/facts.go
+++ b/core/cluster/variant/facts.go
@@ -158,48 +158,55 @@
 	return uint32(h), err == nil
 }
 
+// faultList is what is wrong with settings, in the order in which it was found.
+type faultList []error
+
+func (f *faultList) add(format string, a ...any) { *f = append(*f, fmt.Errorf(format, a...)) }
+
 // check names all that is wrong with settings.
 func (s *Settings) check() error {
-	var faults []error
-	fault := func(f string, a ...any) { faults = append(faults, fmt.Errorf(f, a...)) }
+	var all faultList
 	declared := false
 	for i := range s.Services {
-		v := &s.Services[i]
-		if len(v.Classes) == 0 {
-			continue
-		}
-		declared = true
-		if len(v.Classes) > MaxClasses {
-			fault("service %d: %d classes, %d at most", i, len(v.Classes), MaxClasses)
-		}
-		seen := map[string]bool{}
-		for _, c := range v.Classes {
-			if c == "" || seen[c] {
-				fault("service %d: class %q is empty or named twice", i, c)
-			}
-			seen[c] = true
-		}
-		if v.Proof < ByTag || v.Proof > ByBody {
-			fault("service %d: no proof of sameness is named", i)
-		}
-		if v.Witnesses < 1 || v.Witnesses > MaxWitnesses {
-			fault("service %d: %d witnesses, 1 to %d", i, v.Witnesses, MaxWitnesses)
-		}
-		if math.IsNaN(v.Fresh) || v.Fresh < 0 {
-			fault("service %d: fresh %v s, 0 at least", i, v.Fresh)
-		}
-		if p := v.Presume; p != nil && (p.Objects < 1 || !(p.Checks > 0 && p.Checks <= 1)) {
-			fault("service %d: presumes after %d objects with checks %v: 1 object at least, and a share over 0 up to 1", i, p.Objects, p.Checks)
+		if len(s.Services[i].Classes) > 0 {
+			declared = true
+			s.Services[i].check(i, &all)
 		}
 	}
 	if declared && (s.Objects < 1 || s.Objects > MaxObjects) {
-		fault("%d objects, 1 to %d", s.Objects, MaxObjects)
+		all.add("%d objects, 1 to %d", s.Objects, MaxObjects)
 	}
 	if s.Parts < 0 || s.Parts > maxNotices {
-		fault("%d parts, up to %d", s.Parts, maxNotices)
+		all.add("%d parts, up to %d", s.Parts, maxNotices)
 	}
 	if declared && (s.Self == "" || len(s.Self) > maxWitness-9) {
-		fault("the dispatcher's name %q is empty or longer than %d bytes", s.Self, maxWitness-9)
+		all.add("the dispatcher's name %q is empty or longer than %d bytes", s.Self, maxWitness-9)
+	}
+	return errors.Join(all...)
+}
+
+// check adds what is wrong with a service that declares classes.
+func (v *Service) check(i int, all *faultList) {
+	if len(v.Classes) > MaxClasses {
+		all.add("service %d: %d classes, %d at most", i, len(v.Classes), MaxClasses)
+	}
+	seen := map[string]bool{}
+	for _, c := range v.Classes {
+		if c == "" || seen[c] {
+			all.add("service %d: class %q is empty or named twice", i, c)
+		}
+		seen[c] = true
+	}
+	if v.Proof < ByTag || v.Proof > ByBody {
+		all.add("service %d: no proof of sameness is named", i)
+	}
+	if v.Witnesses < 1 || v.Witnesses > MaxWitnesses {
+		all.add("service %d: %d witnesses, 1 to %d", i, v.Witnesses, MaxWitnesses)
+	}
+	if math.IsNaN(v.Fresh) || v.Fresh < 0 {
+		all.add("service %d: fresh %v s, 0 at least", i, v.Fresh)
+	}
+	if p := v.Presume; p != nil && (p.Objects < 1 || !(p.Checks > 0 && p.Checks <= 1)) {
+		all.add("service %d: presumes after %d objects with checks %v: 1 object at least, and a share over 0 up to 1", i, p.Objects, p.Checks)
 	}
-	return errors.Join(faults...)
 }
--- a/core/cluster/variant/module.go
+++ b/core/cluster/variant/module.go
@@ -65,6 +65,13 @@
 	_          [3]byte
 }
 
+// touch marks an entry as asked for since the hand came by; one that is marked already is left clean in the caches.
+func (e *entry) touch() {
+	if !e.ref {
+		e.ref = true
+	}
+}
+
 // floor is the newest purge of an object or a group that was told here. By its hash several may share one: owner is whose purge it is.
 type floor struct {
 	purge uint64 // Unix ms
@@ -372,15 +379,10 @@
 	draw := mix(math.Float64bits(now) ^ m.s.Seed ^ mix(o.Object) ^ uint64(c)<<56)
 	low, high := float64(draw&0xffffffff)/(1<<32), float64(draw>>32)/(1<<32)
 	if i >= 0 {
-		if e := &m.entries[i]; !e.ref {
-			e.ref = true // else the line is left clean
-		}
+		m.entries[i].touch()
 		k := m.of(i)
 		if d := &k[c]; d.stands >= 0 && t < d.expires && current {
-			stands := int(d.stands)
-			if d.from >= 0 && t-d.since < warm*ticks && low*d.warms(c)*ticks >= float64(t-d.since) {
-				stands = int(d.from)
-			}
+			stands := d.standing(c, t, low)
 			if stands == c {
 				return own
 			}
@@ -393,6 +395,21 @@
 			own.Beside = m.beside(v, k, c, t)
 		}
 	}
+	return m.presume(v, o, i, t, high, own)
+}
+
+// standing is the class by which a GET of class c is looked for where one stands for it: part of them, by a draw, go by the one before while
+// the key is warmed.
+func (d *class) standing(c int, t uint32, draw float64) int {
+	if d.from >= 0 && t-d.since < warm*ticks && draw*d.warms(c)*ticks >= float64(t-d.since) {
+		return int(d.from)
+	}
+	return int(d.stands)
+}
+
+// presume gives the key of an object whose evidence is not there, by the pattern of its group; own where there is no such pattern.
+func (m *Module) presume(v *Service, o Object, i int, t uint32, draw float64, own Key) Key {
+	c := own.Class
 	if v.Presume == nil {
 		return own
 	}
@@ -404,7 +421,7 @@
 	if i >= 0 && !m.presumable(i, d, c, t) {
 		return own
 	}
-	if high < max(v.Presume.Checks, checksFirst*float64(v.Presume.Objects)/float64(max(1, p.agreed[pair(d, c)]))) {
+	if draw < max(v.Presume.Checks, checksFirst*float64(v.Presume.Objects)/float64(max(1, p.agreed[pair(d, c)]))) {
 		return Key{Class: c, Own: true, Checks: true, Presume: true, Told: own.Told}
 	}
 	return Key{Class: d, Presume: true, Told: own.Told}
--- a/core/coalescing/joint_test.go
+++ b/core/coalescing/joint_test.go
@@ -141,13 +141,7 @@
 		if w.n == 3 {
 			return nil
 		}
-		id := w.n
-		w.n++
-		one, role := w.table.Enter(w.now, key, w.now+1+float64(id%2), id)
-		w.waiters[id], w.entered[id], w.state[id] = one, w.purges, "open"
-		if role != Follows {
-			w.works[id], w.begun[id] = true, w.purges
-		}
+		w.enter()
 	case 1: // its client leaves
 		if w.state[who] != "open" {
 			return nil
@@ -169,19 +163,38 @@
 		w.purges++
 		w.table.Purged("a", 0)
 	case 7:
-		w.now += 0.97
-		for late, ok := w.table.Pass(w.now); ok; late, ok = w.table.Pass(w.now) {
-			if w.state[late.Over] != "open" {
-				return fmt.Errorf("%d is over twice", late.Over)
-			}
-			if w.state[late.Over] = "answered"; late.Stops {
-				w.works[late.Stop] = false
-			}
+		if err := w.pass(); err != nil {
+			return err
 		}
 	}
 	return w.check()
 }
 
+// enter has the next GET come.
+func (w *world) enter() {
+	id := w.n
+	w.n++
+	one, role := w.table.Enter(w.now, key, w.now+1+float64(id%2), id)
+	w.waiters[id], w.entered[id], w.state[id] = one, w.purges, "open"
+	if role != Follows {
+		w.works[id], w.begun[id] = true, w.purges
+	}
+}
+
+// pass lets time pass, and takes out those that have waited for too long.
+func (w *world) pass() error {
+	w.now += 0.97
+	for late, ok := w.table.Pass(w.now); ok; late, ok = w.table.Pass(w.now) {
+		if w.state[late.Over] != "open" {
+			return fmt.Errorf("%d is over twice", late.Over)
+		}
+		if w.state[late.Over] = "answered"; late.Stops {
+			w.works[late.Stop] = false
+		}
+	}
+	return nil
+}
+
 func (w *world) ended(who int, how How) error {
 	w.works[who] = false
 	all := []int{}
--- a/core/proxycall/calls_test.go
+++ b/core/proxycall/calls_test.go
@@ -86,6 +86,39 @@
 	assert.Equal(t, [4]int{5, 5}, got)
 }
 
+// step does one of what a proxy or time can do to a call, and gives what that proved of a forward.
+func step(t *rapid.T, table *Table, now float64, c *Call) Proof {
+	switch rapid.IntRange(0, 5).Draw(t, "what") {
+	case 0:
+		if c.Phase == Deciding {
+			table.Name(now, c, c.Forwards, c.Until)
+		}
+	case 1:
+		status := rapid.SampledFrom([]int{200, 404, 500}).Draw(t, "status")
+		return table.Replied(now, c, Reply{Status: status, Age: -1}, 0, false)
+	case 2:
+		return table.Ended(now, c)
+	case 3:
+		_, p := table.Again(now, rapid.Uint64Range(1, 3).Draw(t, "by"), c.ID, rapid.Bool().Draw(t, "unsent"))
+		return p
+	case 4:
+		for gone, ok := table.Pass(now); ok; gone, ok = table.Pass(now) {
+			require.Equal(t, Over, gone.Phase, "passed, and not over")
+		}
+	case 5:
+		table.End(c)
+	}
+	return Nothing
+}
+
+// openByProxy is the sum of all proxies' open calls.
+func openByProxy(table *Table) (sum int) {
+	for _, n := range table.by {
+		sum += n
+	}
+	return sum
+}
+
 // Whatever proxies do in whatever order: ids differ, the books add up, nothing is told twice, and all ends once the holds are over.
 func TestWhatHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -103,35 +136,11 @@
 				continue
 			}
 			c := open[rapid.IntRange(0, len(open)-1).Draw(t, "which")]
-			count := func(p Proof) {
-				if p != Nothing && p != Left {
-					told[c]++
-					require.False(t, told[c] > c.Forwards, "%d ends of %d forwards", told[c], c.Forwards)
-				}
-			}
-			switch rapid.IntRange(0, 5).Draw(t, "what") {
-			case 0:
-				if c.Phase == Deciding {
-					table.Name(now, c, c.Forwards, c.Until)
-				}
-			case 1:
-				count(table.Replied(now, c, Reply{Status: rapid.SampledFrom([]int{200, 404, 500}).Draw(t, "status"), Age: -1}, 0, false))
-			case 2:
-				count(table.Ended(now, c))
-			case 3:
-				_, p := table.Again(now, rapid.Uint64Range(1, 3).Draw(t, "by"), c.ID, rapid.Bool().Draw(t, "unsent"))
-				count(p)
-			case 4:
-				for gone, ok := table.Pass(now); ok; gone, ok = table.Pass(now) {
-					require.Equal(t, Over, gone.Phase, "passed, and not over")
-				}
-			case 5:
-				table.End(c)
-			}
-			by := 0
-			for _, n := range table.by {
-				by += n
+			if p := step(t, table, now, c); p != Nothing && p != Left {
+				told[c]++
+				require.False(t, told[c] > c.Forwards, "%d ends of %d forwards", told[c], c.Forwards)
 			}
+			by := openByProxy(table)
 			require.False(t, by != table.Len() || table.Len() > 20, "%d by proxy, %d in all", by, table.Len())
 		}
 		for _, c := range open {
--- a/core/settings/settings.go
+++ b/core/settings/settings.go
@@ -19,38 +19,42 @@
 	MostHeld       int     // GETs that a dispatcher may hold
 }
 
+// object is the settings object as its sender writes it; times are in microseconds. It is an alias, as errors of
+// encoding/json would otherwise bear the type's name.
+type object = struct {
+	Balancers, Index, Zone int
+	Zones, MachineTypes    []string
+	Classes                []struct {
+		Name                        string
+		Aim, Deadline, RepeatWindow int64
+		AimStretch, Worth           float64
+		DedupScope, Effect          string
+	}
+	Extra struct {
+		SeatsByZone                                []float64
+		FlowKbPerS, ParentBreaksAt, ParentColdFrom float64
+		GoneEverywhere, ParentCold                 int64
+		GoodFor                                    []int64
+		NoteLevel                                  string
+		SharesFills, Straight                      bool
+		ShieldKind                                 *int
+		SourceKind                                 *int
+	}
+	Limits struct {
+		MaxAttempts, MaxStreams, MostHeld        int
+		ConnectTimeout, IdleClose, MaxRetryAfter int64
+		MayCancel, RetryAfter, SecondCopies      bool
+	}
+	MembershipMode, Weights string
+	Rules                   struct {
+		ColdFrom, TipMultiple float64
+		Fall, RampTime        int64
+	}
+}
+
 // Decode reads the settings object; keys that it does not know are skipped.
 func Decode(raw []byte) (Settings, error) {
-	var o struct {
-		Balancers, Index, Zone int
-		Zones, MachineTypes    []string
-		Classes                []struct {
-			Name                        string
-			Aim, Deadline, RepeatWindow int64
-			AimStretch, Worth           float64
-			DedupScope, Effect          string
-		}
-		Extra struct {
-			SeatsByZone                                []float64
-			FlowKbPerS, ParentBreaksAt, ParentColdFrom float64
-			GoneEverywhere, ParentCold                 int64
-			GoodFor                                    []int64
-			NoteLevel                                  string
-			SharesFills, Straight                      bool
-			ShieldKind                                 *int
-			SourceKind                                 *int
-		}
-		Limits struct {
-			MaxAttempts, MaxStreams, MostHeld        int
-			ConnectTimeout, IdleClose, MaxRetryAfter int64
-			MayCancel, RetryAfter, SecondCopies      bool
-		}
-		MembershipMode, Weights string
-		Rules                   struct {
-			ColdFrom, TipMultiple float64
-			Fall, RampTime        int64
-		}
-	}
+	var o object
 	if err := json.Unmarshal(raw, &o); err != nil {
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
