--- a/client/publish.go
+++ b/client/publish.go
@@ -2,14 +2,15 @@
 
 import (
 	"context"
-	"elderwall/core/cluster/channel"
-	"elderwall/internal/cluster"
 	"errors"
 	"fmt"
 	"maps"
 	"math/rand/v2"
 	"sync"
 	"time"
+
+	"elderwall/core/cluster/channel"
+	"elderwall/internal/cluster"
 )
 
 const (
--- a/cmd/elderwall-operator/budgetsplay.go
+++ b/cmd/elderwall-operator/budgetsplay.go
@@ -1,13 +1,14 @@
 package main
 
 import (
+	"fmt"
+	"os"
+	"path/filepath"
+
 	"elderwall/core/cluster/quota"
 	"elderwall/emulator"
 	"elderwall/internal/chart"
 	"elderwall/internal/table"
-	"fmt"
-	"os"
-	"path/filepath"
 )
 
 // budgetsPlayCommand plays dispatchers that share a budget, with no sockets.
--- a/cmd/elderwall-operator/check.go
+++ b/cmd/elderwall-operator/check.go
@@ -1,10 +1,11 @@
 package main
 
 import (
-	"elderwall/internal/operator"
-	"elderwall/internal/service"
 	"fmt"
 	"os"
+
+	"elderwall/internal/operator"
+	"elderwall/internal/service"
 )
 
 // checkCommand checks an operator's file.
--- a/cmd/elderwall-operator/commands_test.go
+++ b/cmd/elderwall-operator/commands_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"elderwall/internal/standin/need"
 	"io"
 	"os"
 	"path/filepath"
@@ -11,6 +10,8 @@
 	"github.com/alecthomas/kong"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/standin/need"
 )
 
 // command runs one and gives what it prints.
--- a/cmd/elderwall-operator/duties.go
+++ b/cmd/elderwall-operator/duties.go
@@ -2,17 +2,18 @@
 
 import (
 	"context"
-	"elderwall/core/cluster/lease"
-	"elderwall/core/cluster/quota"
-	"elderwall/internal/cluster"
-	"elderwall/internal/snakejson"
-	"elderwall/internal/table"
 	"errors"
 	"fmt"
 	"maps"
 	"os"
 	"slices"
 	"strings"
+
+	"elderwall/core/cluster/lease"
+	"elderwall/core/cluster/quota"
+	"elderwall/internal/cluster"
+	"elderwall/internal/snakejson"
+	"elderwall/internal/table"
 )
 
 func (a asked) keys() (*cluster.Keys, error) {
--- a/cmd/elderwall-operator/emulate.go
+++ b/cmd/elderwall-operator/emulate.go
@@ -1,14 +1,15 @@
 package main
 
 import (
-	"elderwall/emulator"
-	"elderwall/internal/scenario"
-	"elderwall/internal/table"
 	"fmt"
 	"io"
 	"os"
 	"slices"
 	"time"
+
+	"elderwall/emulator"
+	"elderwall/internal/scenario"
+	"elderwall/internal/table"
 )
 
 // emulateCommand plays a scenario with no sockets.
--- a/cmd/elderwall-operator/fleet.go
+++ b/cmd/elderwall-operator/fleet.go
@@ -2,9 +2,6 @@
 
 import (
 	"context"
-	"elderwall/core/cluster/membership"
-	"elderwall/internal/cluster"
-	"elderwall/internal/table"
 	"fmt"
 	"io"
 	"os"
@@ -13,6 +10,10 @@
 	"time"
 
 	"github.com/dustin/go-humanize"
+
+	"elderwall/core/cluster/membership"
+	"elderwall/internal/cluster"
+	"elderwall/internal/table"
 )
 
 // fleetCommand asks dispatchers that know each other.
--- a/cmd/elderwall-operator/fleetchannels.go
+++ b/cmd/elderwall-operator/fleetchannels.go
@@ -3,10 +3,6 @@
 import (
 	"bufio"
 	"context"
-	"elderwall/client"
-	"elderwall/core/cluster/channel"
-	"elderwall/internal/cluster"
-	"elderwall/internal/operator"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -14,6 +10,11 @@
 	"os"
 	"os/signal"
 	"time"
+
+	"elderwall/client"
+	"elderwall/core/cluster/channel"
+	"elderwall/internal/cluster"
+	"elderwall/internal/operator"
 )
 
 // several are dispatchers, any of which will do.
--- a/cmd/elderwall-operator/fleetplay.go
+++ b/cmd/elderwall-operator/fleetplay.go
@@ -1,13 +1,14 @@
 package main
 
 import (
-	"elderwall/emulator"
-	"elderwall/internal/snakejson"
-	"elderwall/internal/table"
 	"fmt"
 	"os"
 	"slices"
 	"time"
+
+	"elderwall/emulator"
+	"elderwall/internal/snakejson"
+	"elderwall/internal/table"
 )
 
 // fleetPlayCommand plays members with no sockets.
--- a/cmd/elderwall-operator/golden_test.go
+++ b/cmd/elderwall-operator/golden_test.go
@@ -2,6 +2,15 @@
 
 import (
 	"bytes"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
 	"elderwall/client"
 	"elderwall/core/cluster/channel"
 	"elderwall/core/cluster/lease"
@@ -15,14 +24,6 @@
 	"elderwall/internal/snakejson"
 	"elderwall/internal/standin/need"
 	"elderwall/internal/token"
-	"encoding/json"
-	"os"
-	"path/filepath"
-	"strings"
-	"testing"
-
-	"github.com/stretchr/testify/assert"
-	"github.com/stretchr/testify/require"
 )
 
 // goldenPrinted compares a value of a type with every field set, as the commands write it with --json.
--- a/cmd/elderwall-operator/hold.go
+++ b/cmd/elderwall-operator/hold.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"elderwall/core/cluster/lease"
-	"elderwall/internal/cluster"
 	"errors"
 	"fmt"
 	"math/rand/v2"
@@ -13,6 +11,9 @@
 	"slices"
 	"syscall"
 	"time"
+
+	"elderwall/core/cluster/lease"
+	"elderwall/internal/cluster"
 )
 
 // holdCommand runs a command under a duty.
--- a/cmd/elderwall-operator/keys.go
+++ b/cmd/elderwall-operator/keys.go
@@ -1,9 +1,6 @@
 package main
 
 import (
-	"elderwall/core/admission"
-	"elderwall/internal/table"
-	"elderwall/internal/token"
 	"errors"
 	"fmt"
 	"io"
@@ -12,6 +9,10 @@
 	"slices"
 	"strings"
 	"time"
+
+	"elderwall/core/admission"
+	"elderwall/internal/table"
+	"elderwall/internal/token"
 )
 
 // keysCommand keeps a key set: every change writes the file anew, whole, and a dispatcher takes it on SIGHUP.
--- a/cmd/elderwall-operator/load.go
+++ b/cmd/elderwall-operator/load.go
@@ -2,13 +2,14 @@
 
 import (
 	"bufio"
-	"elderwall/internal/load"
-	"elderwall/internal/standin"
 	"errors"
 	"fmt"
 	"os"
 	"runtime"
 	"time"
+
+	"elderwall/internal/load"
+	"elderwall/internal/standin"
 )
 
 // loadCommand runs an experiment.
--- a/cmd/elderwall-operator/main.go
+++ b/cmd/elderwall-operator/main.go
@@ -3,13 +3,14 @@
 package main
 
 import (
-	"elderwall/internal/extensions"
-	"elderwall/internal/service"
 	"errors"
 	"fmt"
 	"os"
 
 	"github.com/alecthomas/kong"
+
+	"elderwall/internal/extensions"
+	"elderwall/internal/service"
 )
 
 // columnGap is how many spaces stand between the columns of printed tables.
--- a/cmd/elderwall-operator/memoryplay.go
+++ b/cmd/elderwall-operator/memoryplay.go
@@ -1,11 +1,6 @@
 package main
 
 import (
-	"elderwall/core/cluster/channel"
-	"elderwall/core/cluster/replication"
-	"elderwall/emulator"
-	"elderwall/internal/chart"
-	"elderwall/internal/table"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -14,6 +9,12 @@
 	"sync"
 
 	"github.com/fxamacker/cbor/v2"
+
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/replication"
+	"elderwall/emulator"
+	"elderwall/internal/chart"
+	"elderwall/internal/table"
 )
 
 // memoryPlayCommand plays what dispatchers remember together, with no sockets.
--- a/cmd/elderwall-operator/pages_test.go
+++ b/cmd/elderwall-operator/pages_test.go
@@ -1,11 +1,6 @@
 package main
 
 import (
-	"elderwall/internal/load"
-	"elderwall/internal/operator"
-	"elderwall/internal/scenario"
-	"elderwall/internal/service"
-	"elderwall/internal/standin/need"
 	"encoding/json"
 	"fmt"
 	"os"
@@ -18,6 +13,12 @@
 	"github.com/alecthomas/kong"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/load"
+	"elderwall/internal/operator"
+	"elderwall/internal/scenario"
+	"elderwall/internal/service"
+	"elderwall/internal/standin/need"
 )
 
 var (
--- a/cmd/elderwall-operator/token.go
+++ b/cmd/elderwall-operator/token.go
@@ -2,14 +2,15 @@
 
 import (
 	"crypto/rand"
-	"elderwall/core/admission"
-	"elderwall/internal/token"
 	"encoding/hex"
 	"fmt"
 	"io"
 	"os"
 	"strings"
 	"time"
+
+	"elderwall/core/admission"
+	"elderwall/internal/token"
 )
 
 const idBytes = 12 // of a token's id; two alike in 2^48 tokens
--- a/cmd/elderwall/deploy_test.go
+++ b/cmd/elderwall/deploy_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"debug/elf"
-	"elderwall/internal/standin/need"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -13,6 +12,8 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/standin/need"
 )
 
 // The line run must stay in the one process that it starts, linked dynamically against the C library: with an operator's
--- a/core/admission/golden_test.go
+++ b/core/admission/golden_test.go
@@ -1,9 +1,10 @@
 package admission_test
 
 import (
+	"testing"
+
 	"elderwall/core/admission"
 	"elderwall/internal/goldentest"
-	"testing"
 )
 
 // What a client is told of a GET that is not admitted, and whether it may try again.
--- a/core/cluster/channel/channels_test.go
+++ b/core/cluster/channel/channels_test.go
@@ -1,8 +1,6 @@
 package channel
 
 import (
-	"elderwall/core/cluster/replication"
-	"elderwall/internal/standin/need"
 	"errors"
 	"fmt"
 	"strings"
@@ -10,6 +8,9 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/core/cluster/replication"
+	"elderwall/internal/standin/need"
 )
 
 func TestDeclarationsThatCannotBeKept(t *testing.T) {
--- a/core/cluster/channel/contract_test.go
+++ b/core/cluster/channel/contract_test.go
@@ -1,12 +1,13 @@
 package channel
 
 import (
-	"elderwall/internal/contract"
 	"encoding/binary"
 	"errors"
 	"fmt"
 	"math/rand/v2"
 	"testing"
+
+	"elderwall/internal/contract"
 )
 
 // The laws are orders over what may be written and over what may not, and rubbish is refused.
--- a/core/cluster/channel/golden_test.go
+++ b/core/cluster/channel/golden_test.go
@@ -1,12 +1,13 @@
 package channel
 
 import (
-	"elderwall/internal/goldentest"
 	"encoding/base64"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/goldentest"
 )
 
 func TestGoldenEntries(t *testing.T) {
--- a/core/cluster/channel/machine.go
+++ b/core/cluster/channel/machine.go
@@ -2,13 +2,14 @@
 
 import (
 	"cmp"
-	"elderwall/core/cluster/replication"
 	"errors"
 	"fmt"
 	"maps"
 	"math"
 	"math/rand/v2"
 	"slices"
+
+	"elderwall/core/cluster/replication"
 )
 
 // Errors of a write and of opening. None leaves anything behind.
@@ -296,10 +297,11 @@
 
 // Learn takes a record in that replica has got, from others or from oneself.
 func (m *Machine) Learn(now float64, r replication.Record) {
-	name, writer, number, ep, err := readKey(r.Key)
+	key, err := readKey(r.Key)
+	writer, number, ep := key.writer, key.number, key.epoch
 	var c *channel
 	if err == nil {
-		c = m.channel(name)
+		c = m.channel(key.channel)
 	}
 	switch {
 	case c == nil:
@@ -314,18 +316,9 @@
 		delete(c.loose, r.Key)
 		return
 	case r.Kind == WriterKind:
-		v := reading{b: r.Value}
-		ep, number = v.number(), v.number()
-		if v.bad {
-			m.spoilt++
+		if !m.learnWriter(now, c, r, writer) {
 			return
 		}
-		if c.forgot(writer, number) {
-			c.loose[r.Key] = max(c.loose[r.Key], 0)
-			return
-		}
-		c.wake(now, writer, number)
-		c.raise(writer, number, ep)
 	case r.Kind == EntryKind && (r.Dead || len(r.Value) == 0):
 		delete(c.loose, r.Key)
 		if writer != "" && c.forgot(writer, number) {
@@ -346,11 +339,26 @@
 	m.advance(now, c)
 }
 
+// learnWriter takes the record of how far a writer's messages were let go; false if it changes nothing.
+func (m *Machine) learnWriter(now float64, c *channel, r replication.Record, writer string) bool {
+	v := reading{b: r.Value}
+	ep, number := v.number(), v.number()
+	if v.bad {
+		m.spoilt++
+		return false
+	}
+	if c.forgot(writer, number) {
+		c.loose[r.Key] = max(c.loose[r.Key], 0)
+		return false
+	}
+	c.wake(now, writer, number)
+	c.raise(writer, number, ep)
+	return true
+}
+
 // raise: others have let all up to a number go.
 func (c *channel) raise(writer string, number, ep uint64) {
-	if writer != "" {
-		ep = 0
-	} else if !c.valid(ep, number) {
+	if writer == "" && !c.valid(ep, number) {
 		return
 	}
 	if number > c.floor[writer] && number > c.vec[writer] {
@@ -751,10 +759,10 @@
 		}
 		c.loose[k] = now + 10*Within
 		r := replication.Record{Kind: EntryKind, Key: k, Dead: true}
-		if _, w, of, life, err := readKey(k); err == nil && of == 0 {
-			g, ok := c.gone[w]
-			if r.Kind, r.Value = WriterKind, number(0, math.MaxUint64); life == c.life && c.ended == 0 {
-				if r.Value = number(0, g.Number); !ok || c.vec[w] > 0 { // it came back
+		if key, err := readKey(k); err == nil && key.number == 0 {
+			g, ok := c.gone[key.writer]
+			if r.Kind, r.Value = WriterKind, number(0, math.MaxUint64); key.epoch == c.life && c.ended == 0 {
+				if r.Value = number(0, g.Number); !ok || c.vec[key.writer] > 0 { // it came back
 					delete(c.loose, k)
 					continue
 				}
--- a/core/cluster/purgefloor/golden_test.go
+++ b/core/cluster/purgefloor/golden_test.go
@@ -1,10 +1,11 @@
 package purgefloor_test
 
 import (
-	"elderwall/core/cluster/purgefloor"
-	"elderwall/internal/goldentest"
 	"strings"
 	"testing"
+
+	"elderwall/core/cluster/purgefloor"
+	"elderwall/internal/goldentest"
 )
 
 func TestGoldenFloors(t *testing.T) {
--- a/core/cluster/replication/fall_test.go
+++ b/core/cluster/replication/fall_test.go
@@ -1,12 +1,13 @@
 package replication
 
 import (
-	"elderwall/internal/standin/need"
 	"fmt"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/standin/need"
 )
 
 // What was deleted does not come back by a catch-up whose answer was under way while the deletion came: x holds a high tombstone that s has forgotten,
--- a/core/cluster/replication/order_test.go
+++ b/core/cluster/replication/order_test.go
@@ -1,9 +1,10 @@
 package replication
 
 import (
-	"elderwall/internal/contract"
 	"math/rand/v2"
 	"testing"
+
+	"elderwall/internal/contract"
 )
 
 // Whatever a Law leaves open, of two records of a key one stands, the same everywhere.
--- a/core/cluster/replication/replica_test.go
+++ b/core/cluster/replication/replica_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"elderwall/internal/standin/need"
 	"fmt"
 	"os"
 	"slices"
@@ -13,6 +12,8 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/standin/need"
 )
 
 func schedules(least int) uint64 {
--- a/core/cluster/variant/golden_test.go
+++ b/core/cluster/variant/golden_test.go
@@ -1,9 +1,10 @@
 package variant_test
 
 import (
+	"testing"
+
 	"elderwall/core/cluster/variant"
 	"elderwall/internal/goldentest"
-	"testing"
 )
 
 func goldenFact() variant.Fact {
--- a/core/cluster/variant/module_test.go
+++ b/core/cluster/variant/module_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"elderwall/internal/contract"
 	"fmt"
 	"math"
 	"math/rand/v2"
@@ -11,6 +10,8 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/contract"
 )
 
 func settings(witnesses int, fresh float64, p *Presumed) Settings {
--- a/core/endpoints/dials.go
+++ b/core/endpoints/dials.go
@@ -3,8 +3,9 @@
 package endpoints
 
 import (
-	"elderwall/core/routing/rendezvous"
 	"math"
+
+	"elderwall/core/routing/rendezvous"
 )
 
 const (
--- a/core/routing/golden_fleet_test.go
+++ b/core/routing/golden_fleet_test.go
@@ -3,7 +3,6 @@
 import (
 	"container/heap"
 	"crypto/sha256"
-	"elderwall/core/routing"
 	"encoding/binary"
 	"encoding/hex"
 	"fmt"
@@ -11,6 +10,8 @@
 	"math"
 	"math/rand/v2"
 	"slices"
+
+	"elderwall/core/routing"
 )
 
 // The kinds of host of the scripted fleet.
--- a/core/routing/golden_test.go
+++ b/core/routing/golden_test.go
@@ -10,8 +10,6 @@
 package routing_test
 
 import (
-	"elderwall/core/routing"
-	"elderwall/core/routing/retrybudget"
 	"encoding/json"
 	"flag"
 	"os"
@@ -22,6 +20,9 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/core/routing"
+	"elderwall/core/routing/retrybudget"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
--- a/core/settings/golden_test.go
+++ b/core/settings/golden_test.go
@@ -1,11 +1,12 @@
 package settings_test
 
 import (
-	"elderwall/core/settings"
-	"elderwall/internal/goldentest"
 	"os"
 	"path/filepath"
 	"testing"
+
+	"elderwall/core/settings"
+	"elderwall/internal/goldentest"
 )
 
 func TestGoldenSettings(t *testing.T) {
--- a/core/sharding/shards_test.go
+++ b/core/sharding/shards_test.go
@@ -1,10 +1,6 @@
 package sharding
 
 import (
-	"elderwall/core/routing"
-	"elderwall/core/routing/rendezvous"
-	"elderwall/core/timerwheel"
-	"elderwall/internal/standin/need"
 	"fmt"
 	"math"
 	"math/rand/v2"
@@ -14,6 +10,11 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
+
+	"elderwall/core/routing"
+	"elderwall/core/routing/rendezvous"
+	"elderwall/core/timerwheel"
+	"elderwall/internal/standin/need"
 )
 
 // traffic is GETs a second by key.
@@ -479,8 +480,8 @@
 func (s *shard) Schedule(delay float64, _ string) {
 	s.after(delay, func() { s.put(func() { s.d.HandleTimer(s.now) }) })
 }
-func (s *shard) PollEndpoints() {}
-func (s *shard) HostEjected(uint32) {}
+func (s *shard) PollEndpoints()       {}
+func (s *shard) HostEjected(uint32)   {}
 func (s *shard) HostRecovered(uint32) {}
 
 func (s *shard) AccrueCredit(host uint32, since, first, add, most float64) float64 {
--- a/core/timerwheel/due_test.go
+++ b/core/timerwheel/due_test.go
@@ -1,7 +1,6 @@
 package timerwheel
 
 import (
-	"elderwall/internal/standin/need"
 	"fmt"
 	"math"
 	"math/rand/v2"
@@ -11,6 +10,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
+
+	"elderwall/internal/standin/need"
 )
 
 func TestWheel(t *testing.T) {
--- a/emulator/budgets.go
+++ b/emulator/budgets.go
@@ -2,12 +2,13 @@
 
 import (
 	"cmp"
-	"elderwall/core/cluster/quota"
-	"elderwall/core/timerwheel"
 	"fmt"
 	"math"
 	"math/rand/v2"
 	"slices"
+
+	"elderwall/core/cluster/quota"
+	"elderwall/core/timerwheel"
 )
 
 // Ways in which a whole may be divided, side by side.
--- a/emulator/channels_test.go
+++ b/emulator/channels_test.go
@@ -1,11 +1,12 @@
 package emulator
 
 import (
-	"elderwall/core/cluster/channel"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/core/cluster/channel"
 )
 
 // Readers that move through kills and cuts are shown what is declared, and all of it.
--- a/emulator/emulate_test.go
+++ b/emulator/emulate_test.go
@@ -1,13 +1,14 @@
 package emulator
 
 import (
-	"elderwall/core/cluster/quota"
-	"elderwall/core/routing/retrybudget"
 	"math/rand/v2"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/core/cluster/quota"
+	"elderwall/core/routing/retrybudget"
 )
 
 func run(t *testing.T, change func(*Scenario)) *Result {
--- a/emulator/flows.go
+++ b/emulator/flows.go
@@ -1,8 +1,9 @@
 package emulator
 
 import (
-	"elderwall/core/timerwheel"
 	"math"
+
+	"elderwall/core/timerwheel"
 )
 
 // pipe is a link that its transfers share evenly, as far as each has use for its part.
--- a/emulator/golden_test.go
+++ b/emulator/golden_test.go
@@ -7,10 +7,6 @@
 package emulator_test
 
 import (
-	"elderwall/core/cluster/replication"
-	"elderwall/core/routing/retrybudget"
-	"elderwall/emulator"
-	"elderwall/internal/snakejson"
 	"flag"
 	"os"
 	"path/filepath"
@@ -20,6 +16,11 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/core/cluster/replication"
+	"elderwall/core/routing/retrybudget"
+	"elderwall/emulator"
+	"elderwall/internal/snakejson"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
--- a/emulator/links_test.go
+++ b/emulator/links_test.go
@@ -2,13 +2,14 @@
 
 import (
 	"context"
-	"elderwall/core/cluster/membership"
-	"elderwall/internal/contract"
 	"errors"
 	"math/rand/v2"
 	"sync"
 	"testing"
 	"time"
+
+	"elderwall/core/cluster/membership"
+	"elderwall/internal/contract"
 )
 
 // The emulator's links carry what the real ones do: whole, each once, and never holding up who sends.
--- a/emulator/members.go
+++ b/emulator/members.go
@@ -2,12 +2,13 @@
 
 import (
 	"cmp"
-	"elderwall/core/cluster/membership"
-	"elderwall/core/timerwheel"
 	"fmt"
 	"math"
 	"math/rand/v2"
 	"slices"
+
+	"elderwall/core/cluster/membership"
+	"elderwall/core/timerwheel"
 )
 
 // Protocols by which an emulated fleet may know itself.
--- a/emulator/memory.go
+++ b/emulator/memory.go
@@ -2,9 +2,6 @@
 
 import (
 	"bytes"
-	"elderwall/core/cluster/replication"
-	"elderwall/core/routing/rendezvous"
-	"elderwall/core/timerwheel"
 	"encoding/binary"
 	"fmt"
 	"maps"
@@ -14,6 +11,10 @@
 	"strconv"
 
 	"github.com/cespare/xxhash/v2"
+
+	"elderwall/core/cluster/replication"
+	"elderwall/core/routing/rendezvous"
+	"elderwall/core/timerwheel"
 )
 
 // More kinds of trouble, of a fleet's memory: what a member that ended finds on its disk.
--- a/emulator/memory_test.go
+++ b/emulator/memory_test.go
@@ -1,7 +1,6 @@
 package emulator
 
 import (
-	"elderwall/core/cluster/replication"
 	"os"
 	"strconv"
 	"testing"
@@ -9,6 +8,8 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/core/cluster/replication"
 )
 
 // schedules is how many are played: few in CI, thousands once.
--- a/emulator/scenario.go
+++ b/emulator/scenario.go
@@ -4,9 +4,10 @@
 package emulator
 
 import (
-	"elderwall/core/routing/retrybudget"
 	"errors"
 	"fmt"
+
+	"elderwall/core/routing/retrybudget"
 )
 
 // Kinds of trouble that a scenario can have.
--- a/emulator/world.go
+++ b/emulator/world.go
@@ -1,12 +1,13 @@
 package emulator
 
 import (
-	"elderwall/core/routing"
-	"elderwall/core/routing/rendezvous"
-	"elderwall/core/timerwheel"
 	"fmt"
 	"math"
 	"math/rand/v2"
+
+	"elderwall/core/routing"
+	"elderwall/core/routing/rendezvous"
+	"elderwall/core/timerwheel"
 )
 
 const (
--- a/examples/fetch/main.go
+++ b/examples/fetch/main.go
@@ -5,7 +5,6 @@
 import (
 	"crypto/tls"
 	"crypto/x509"
-	"elderwall/internal/standin"
 	"errors"
 	"flag"
 	"fmt"
@@ -13,6 +12,8 @@
 	"math/rand/v2"
 	"os"
 	"strings"
+
+	"elderwall/internal/standin"
 )
 
 func main() {
--- a/examples/fetch/main_test.go
+++ b/examples/fetch/main_test.go
@@ -1,8 +1,6 @@
 package main
 
 import (
-	"elderwall/internal/standin/need"
-	"elderwall/internal/thrift"
 	"encoding/binary"
 	"io"
 	"net"
@@ -11,6 +9,9 @@
 	"testing"
 
 	"github.com/stretchr/testify/assert"
+
+	"elderwall/internal/standin/need"
+	"elderwall/internal/thrift"
 )
 
 func TestMain(m *testing.M) {
--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -3,7 +3,6 @@
 package main
 
 import (
-	"elderwall/internal/standin"
 	"fmt"
 	"log"
 	"os"
@@ -11,6 +10,8 @@
 	"strings"
 	"sync"
 	"time"
+
+	"elderwall/internal/standin"
 )
 
 // store is what a cache or the parent holds.
--- a/internal/authn/gate.go
+++ b/internal/authn/gate.go
@@ -5,13 +5,6 @@
 import (
 	"crypto/sha256"
 	"crypto/tls"
-	"elderwall/core/admission"
-	"elderwall/core/cluster/quota"
-	"elderwall/internal/call"
-	"elderwall/internal/certs"
-	"elderwall/internal/clock"
-	"elderwall/internal/counters"
-	"elderwall/internal/token"
 	"net"
 	"net/netip"
 	"strconv"
@@ -19,6 +12,14 @@
 	"time"
 
 	"github.com/rs/zerolog"
+
+	"elderwall/core/admission"
+	"elderwall/core/cluster/quota"
+	"elderwall/internal/call"
+	"elderwall/internal/certs"
+	"elderwall/internal/clock"
+	"elderwall/internal/counters"
+	"elderwall/internal/token"
 )
 
 // Fleet is what all dispatchers together let a tenant have.
--- a/internal/authn/gate_test.go
+++ b/internal/authn/gate_test.go
@@ -1,12 +1,6 @@
 package authn
 
 import (
-	"elderwall/core/admission"
-	"elderwall/internal/call"
-	"elderwall/internal/clock"
-	"elderwall/internal/counters"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/token"
 	"fmt"
 	"strings"
 	"testing"
@@ -15,6 +9,13 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/core/admission"
+	"elderwall/internal/call"
+	"elderwall/internal/clock"
+	"elderwall/internal/counters"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/token"
 )
 
 const noon = 1764590400.0 // Unix s
--- a/internal/benchwire/golden_test.go
+++ b/internal/benchwire/golden_test.go
@@ -1,11 +1,12 @@
 package benchwire_test
 
 import (
+	"encoding/json"
+	"testing"
+
 	"elderwall/core/routing"
 	"elderwall/internal/benchwire"
 	"elderwall/internal/goldentest"
-	"encoding/json"
-	"testing"
 )
 
 func TestGoldenBatches(t *testing.T) {
--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -2,8 +2,9 @@
 package call
 
 import (
-	"elderwall/core/admission"
 	"time"
+
+	"elderwall/core/admission"
 )
 
 // Call is one open call of a client. One answer goes out for it; whatever comes after that is dropped.
--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -7,7 +7,6 @@
 	"crypto/sha256"
 	"crypto/tls"
 	"crypto/x509"
-	"elderwall/core/admission"
 	"encoding/hex"
 	"encoding/pem"
 	"errors"
@@ -16,6 +15,8 @@
 	"net"
 	"sync/atomic"
 	"time"
+
+	"elderwall/core/admission"
 )
 
 const (
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -1,12 +1,13 @@
 package certs
 
 import (
-	"elderwall/internal/standin"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/standin"
 )
 
 func TestFilesThatAreNotWholeAreRefused(t *testing.T) {
--- a/internal/changelog/changelog.go
+++ b/internal/changelog/changelog.go
@@ -3,8 +3,6 @@
 
 import (
 	"context"
-	"elderwall/internal/clock"
-	"elderwall/internal/sse"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -16,6 +14,9 @@
 	"time"
 
 	"github.com/rs/zerolog"
+
+	"elderwall/internal/clock"
+	"elderwall/internal/sse"
 )
 
 const (
--- a/internal/changelog/changelog_test.go
+++ b/internal/changelog/changelog_test.go
@@ -3,9 +3,6 @@
 import (
 	"bufio"
 	"context"
-	"elderwall/internal/changelog"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
 	"fmt"
 	"io"
 	"net/http"
@@ -15,6 +12,10 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
 	"go.uber.org/goleak"
+
+	"elderwall/internal/changelog"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/changelog/golden_test.go
+++ b/internal/changelog/golden_test.go
@@ -2,9 +2,6 @@
 
 import (
 	"bufio"
-	"elderwall/internal/changelog"
-	"elderwall/internal/goldentest"
-	"elderwall/internal/standin/need"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -12,6 +9,10 @@
 	"strings"
 	"testing"
 	"time"
+
+	"elderwall/internal/changelog"
+	"elderwall/internal/goldentest"
+	"elderwall/internal/standin/need"
 )
 
 const goldenFleet = `{"seq":2,"fleet":{"generation":7,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"10.1.0.9:4100",` +
--- a/internal/changelog/witness.go
+++ b/internal/changelog/witness.go
@@ -1,8 +1,9 @@
 package changelog
 
 import (
-	"elderwall/internal/clock"
 	"math"
+
+	"elderwall/internal/clock"
 )
 
 // toldIn is by when a change counts as told: what comes on a stream that was up to date is no older than that.
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -1,13 +1,14 @@
 package clock_test
 
 import (
-	"elderwall/internal/clock"
 	"fmt"
 	"math"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
+
+	"elderwall/internal/clock"
 )
 
 // steps is by how much a wall clock is stepped in these tests.
--- a/internal/cluster/budgets_test.go
+++ b/internal/cluster/budgets_test.go
@@ -2,10 +2,6 @@
 
 import (
 	"context"
-	"elderwall/core/cluster/quota"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/processes"
 	"errors"
 	"fmt"
 	"math/rand/v2"
@@ -16,6 +12,11 @@
 	"time"
 
 	"github.com/stretchr/testify/assert"
+
+	"elderwall/core/cluster/quota"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/processes"
 )
 
 const (
@@ -30,7 +31,6 @@
 	whole            int // that all may have; from a time on
 	over             int // fills that found more
 	worst            int
-	wholeSince       time.Time
 }
 
 func (o *origin) answer(a standin.Ask) string {
--- a/internal/cluster/contract_test.go
+++ b/internal/cluster/contract_test.go
@@ -1,8 +1,6 @@
 package cluster
 
 import (
-	"elderwall/core/cluster/membership"
-	"elderwall/internal/contract"
 	"encoding/base64"
 	"maps"
 	"path/filepath"
@@ -13,6 +11,9 @@
 	"go.etcd.io/bbolt"
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
+
+	"elderwall/core/cluster/membership"
+	"elderwall/internal/contract"
 )
 
 // All that keeps something on a disk, behind the seam that the contract needs.
--- a/internal/cluster/disk.go
+++ b/internal/cluster/disk.go
@@ -2,7 +2,6 @@
 
 import (
 	"crypto/rand"
-	"elderwall/internal/cluster/raftvoter"
 	"encoding/binary"
 	"errors"
 	"fmt"
@@ -12,6 +11,8 @@
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
+
+	"elderwall/internal/cluster/raftvoter"
 )
 
 const logFile = "log.db"
--- a/internal/cluster/divide.go
+++ b/internal/cluster/divide.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"elderwall/core/cluster/quota"
 	"errors"
 	"fmt"
 	"math"
@@ -11,6 +10,8 @@
 	"strings"
 	"sync"
 	"time"
+
+	"elderwall/core/cluster/quota"
 )
 
 const (
--- a/internal/cluster/duties_test.go
+++ b/internal/cluster/duties_test.go
@@ -5,10 +5,6 @@
 	"bytes"
 	"cmp"
 	"context"
-	"elderwall/core/cluster/lease"
-	"elderwall/internal/chart"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/processes"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -30,6 +26,11 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/core/cluster/lease"
+	"elderwall/internal/chart"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/processes"
 )
 
 const (
@@ -683,7 +684,8 @@
 		})
 		return by, most
 	}
-	settle, was := time.Now(), holders()
+	settle := time.Now()
+	holders()
 	held := time.Since(settle).Seconds()
 	was, most := spread()
 	t.Logf("%d duties are held after %.1f s, and spread after %.1f s, %d at one at most", many, held, time.Since(settle).Seconds(), most)
--- a/internal/cluster/follow.go
+++ b/internal/cluster/follow.go
@@ -2,14 +2,15 @@
 
 import (
 	"context"
-	"elderwall/core/cluster/channel"
-	"elderwall/core/cluster/membership"
-	"elderwall/core/cluster/replication"
 	"errors"
 	mrand "math/rand/v2"
 	"slices"
 	"sync"
 	"time"
+
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/membership"
+	"elderwall/core/cluster/replication"
 )
 
 const (
@@ -109,7 +110,7 @@
 func (w *following) relearn() {
 	for _, kind := range []uint8{channel.WriterKind, channel.EntryKind} {
 		var all []replication.Record
-		w.fleet.memory.each(kind, "", func(r replication.Record) bool {
+		w.fleet.memory.each(kind, func(r replication.Record) bool {
 			all = append(all, r)
 			return true
 		})
--- a/internal/cluster/follow_figures_test.go
+++ b/internal/cluster/follow_figures_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"elderwall/core/cluster/channel"
-	"elderwall/internal/chart"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -16,6 +14,9 @@
 	"time"
 
 	"github.com/stretchr/testify/require"
+
+	"elderwall/core/cluster/channel"
+	"elderwall/internal/chart"
 )
 
 // TestChannelFigures measures messages a second and lateness by order and readers, through a kill; it prints a table and draws a chart.
--- a/internal/cluster/follow_test.go
+++ b/internal/cluster/follow_test.go
@@ -2,11 +2,6 @@
 
 import (
 	"context"
-	"elderwall/core/cluster/channel"
-	"elderwall/core/cluster/purgefloor"
-	"elderwall/core/cluster/replication"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/processes"
 	"errors"
 	"fmt"
 	"maps"
@@ -23,6 +18,12 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/purgefloor"
+	"elderwall/core/cluster/replication"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/processes"
 )
 
 // channelRig is dispatchers that keep channels; its readers and writers keep what they saw and sent, and share no code with what puts it in order.
@@ -156,7 +157,6 @@
 type sent struct {
 	writer string
 	bodies []string // by number less one
-	after  []map[string]uint64
 }
 
 // write writes so many messages into a channel, one at a time, going from process to process as it has to.
--- a/internal/cluster/golden_test.go
+++ b/internal/cluster/golden_test.go
@@ -2,10 +2,6 @@
 
 import (
 	"bytes"
-	"elderwall/core/cluster/membership"
-	"elderwall/core/cluster/replication"
-	"elderwall/internal/goldentest"
-	"elderwall/internal/standin/need"
 	"encoding/base64"
 	"encoding/json"
 	"fmt"
@@ -22,6 +18,11 @@
 	"go.etcd.io/bbolt"
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
+
+	"elderwall/core/cluster/membership"
+	"elderwall/core/cluster/replication"
+	"elderwall/internal/goldentest"
+	"elderwall/internal/standin/need"
 )
 
 // goldenWire adds the bytes of a value that has every field, and of one that has none, and checks that both are read back.
--- a/internal/cluster/golden_words_test.go
+++ b/internal/cluster/golden_words_test.go
@@ -1,6 +1,10 @@
 package cluster
 
 import (
+	"maps"
+	"slices"
+	"testing"
+
 	"elderwall/core/cluster/channel"
 	"elderwall/core/cluster/lease"
 	"elderwall/core/cluster/membership"
@@ -9,9 +13,6 @@
 	"elderwall/core/cluster/replication"
 	"elderwall/core/cluster/variant"
 	"elderwall/internal/goldentest"
-	"maps"
-	"slices"
-	"testing"
 )
 
 // Numbers and words that stand on the wire and in files: a constant that is moved within its list would change them.
--- a/internal/cluster/hold.go
+++ b/internal/cluster/hold.go
@@ -2,9 +2,6 @@
 
 import (
 	"context"
-	"elderwall/core/cluster/channel"
-	"elderwall/core/cluster/lease"
-	"elderwall/internal/cluster/raftvoter"
 	"errors"
 	"fmt"
 	mrand "math/rand/v2"
@@ -12,6 +9,10 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/lease"
+	"elderwall/internal/cluster/raftvoter"
 )
 
 const (
--- a/internal/cluster/memory_test.go
+++ b/internal/cluster/memory_test.go
@@ -1,11 +1,6 @@
 package cluster
 
 import (
-	"elderwall/core/cluster/membership"
-	"elderwall/core/cluster/purgefloor"
-	"elderwall/core/cluster/replication"
-	"elderwall/core/cluster/variant"
-	"elderwall/internal/standin/need"
 	"encoding/binary"
 	"fmt"
 	"os"
@@ -14,6 +9,12 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/core/cluster/membership"
+	"elderwall/core/cluster/purgefloor"
+	"elderwall/core/cluster/replication"
+	"elderwall/core/cluster/variant"
+	"elderwall/internal/standin/need"
 )
 
 // What a machine wants saved comes back as one upon the other; a spoilt file is put aside and told.
--- a/internal/cluster/processes_test.go
+++ b/internal/cluster/processes_test.go
@@ -4,9 +4,6 @@
 	"cmp"
 	"context"
 	"crypto/rand"
-	"elderwall/internal/contract"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/processes"
 	"encoding/json"
 	"errors"
 	"flag"
@@ -23,6 +20,10 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/contract"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/processes"
 )
 
 func TestMain(m *testing.M) {
--- a/internal/cluster/pump.go
+++ b/internal/cluster/pump.go
@@ -2,8 +2,8 @@
 
 import (
 	"context"
-	"elderwall/core/cluster/channel"
 	"encoding/binary"
+	"errors"
 	"net"
 	"slices"
 	"sync"
@@ -11,6 +11,8 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"elderwall/core/cluster/channel"
 )
 
 const (
@@ -231,7 +233,8 @@
 		n, gone = unix.Write(int(fd), r.out)
 		return true
 	})
-	if err != nil || gone != nil && gone != unix.EAGAIN && gone != unix.EINTR {
+	again := errors.Is(gone, unix.EAGAIN) || errors.Is(gone, unix.EINTR)
+	if err != nil || gone != nil && !again {
 		return false
 	}
 	if n = max(n, 0); n == len(r.out) {
--- a/internal/cluster/purges.go
+++ b/internal/cluster/purges.go
@@ -1,13 +1,14 @@
 package cluster
 
 import (
-	"elderwall/core/cluster/purgefloor"
-	"elderwall/core/cluster/replication"
-	"elderwall/internal/clock"
 	"errors"
 	"time"
 
 	lru "github.com/hashicorp/golang-lru/v2/simplelru"
+
+	"elderwall/core/cluster/purgefloor"
+	"elderwall/core/cluster/replication"
+	"elderwall/internal/clock"
 )
 
 const (
--- a/internal/cluster/raftvoter/council.go
+++ b/internal/cluster/raftvoter/council.go
@@ -4,9 +4,6 @@
 package raftvoter
 
 import (
-	"elderwall/core/cluster/channel"
-	"elderwall/core/cluster/lease"
-	"elderwall/core/cluster/quota"
 	"encoding/binary"
 	"errors"
 	"fmt"
@@ -17,6 +14,10 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"go.etcd.io/raft/v3/tracker"
 	"google.golang.org/protobuf/proto"
+
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/lease"
+	"elderwall/core/cluster/quota"
 )
 
 // Figures.
@@ -577,7 +578,7 @@
 // compact keeps the log short. Who voted is told anew in a snapshot at each change: one that is taken in and gets a snapshot passes it over
 // where it is not named in it.
 func (m *Machine) compact() error {
-	if m.applied < m.saved+snapshotEach && !(m.reseated && m.applied > m.saved) {
+	if m.applied < m.saved+snapshotEach && (!m.reseated || m.applied <= m.saved) {
 		return nil
 	}
 	m.reseated = false
--- a/internal/cluster/raftvoter/golden_test.go
+++ b/internal/cluster/raftvoter/golden_test.go
@@ -1,11 +1,6 @@
 package raftvoter
 
 import (
-	"elderwall/core/cluster/channel"
-	"elderwall/core/cluster/lease"
-	"elderwall/core/cluster/quota"
-	"elderwall/internal/goldentest"
-	"elderwall/internal/standin/need"
 	"io"
 	"log"
 	"testing"
@@ -15,6 +10,12 @@
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
+
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/lease"
+	"elderwall/core/cluster/quota"
+	"elderwall/internal/goldentest"
+	"elderwall/internal/standin/need"
 )
 
 func TestGoldenEntriesOfTheLog(t *testing.T) {
--- a/internal/cluster/raftvoter/sim_test.go
+++ b/internal/cluster/raftvoter/sim_test.go
@@ -1,10 +1,6 @@
 package raftvoter
 
 import (
-	"elderwall/core/cluster/channel"
-	"elderwall/core/cluster/lease"
-	"elderwall/core/cluster/quota"
-	"elderwall/internal/standin/need"
 	"errors"
 	"fmt"
 	"io"
@@ -20,6 +16,11 @@
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
+
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/lease"
+	"elderwall/core/cluster/quota"
+	"elderwall/internal/standin/need"
 )
 
 // sim is a council, dispatchers that stand for duties, and what takes their acts, on one clock: a schedule of faults is drawn
--- a/internal/cluster/report.go
+++ b/internal/cluster/report.go
@@ -2,17 +2,20 @@
 
 import (
 	"context"
-	"elderwall/core/cluster/lease"
 	"time"
 
 	"golang.org/x/sync/errgroup"
+
+	"elderwall/core/cluster/lease"
 )
 
 // Report is the duty to write one summary of the fleet's counters now and then.
 const Report = "report"
 
 const (
-	ReportEach  = 60.0 // s
+	// ReportEach is the time in seconds from one report to the next.
+	ReportEach = 60.0
+
 	reportLook  = 100 * time.Millisecond
 	reportAsked = 32 // members that are asked at a time
 	mostMissing = 50 // names that a line has
--- a/internal/cluster/tell.go
+++ b/internal/cluster/tell.go
@@ -2,8 +2,9 @@
 
 import (
 	"bytes"
-	"elderwall/core/cluster/channel"
 	"time"
+
+	"elderwall/core/cluster/channel"
 )
 
 // Channels that the fleet writes to by itself.
--- a/internal/cluster/transport_test.go
+++ b/internal/cluster/transport_test.go
@@ -3,9 +3,6 @@
 import (
 	"bufio"
 	"context"
-	"elderwall/core/cluster/channel"
-	"elderwall/internal/contract"
-	"elderwall/internal/standin/need"
 	"encoding/base64"
 	"io"
 	"net"
@@ -19,6 +16,10 @@
 	"github.com/stretchr/testify/require"
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
+
+	"elderwall/core/cluster/channel"
+	"elderwall/internal/contract"
+	"elderwall/internal/standin/need"
 )
 
 const (
--- a/internal/cluster/user_test.go
+++ b/internal/cluster/user_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+
 	"elderwall/client"
 	"elderwall/core/cluster/channel"
 	"elderwall/internal/cluster"
--- a/internal/cluster/voter.go
+++ b/internal/cluster/voter.go
@@ -3,11 +3,6 @@
 import (
 	"context"
 	"crypto/rand"
-	"elderwall/core/cluster/channel"
-	"elderwall/core/cluster/lease"
-	"elderwall/core/cluster/membership"
-	"elderwall/core/cluster/quota"
-	"elderwall/internal/cluster/raftvoter"
 	"encoding/binary"
 	"errors"
 	"fmt"
@@ -22,6 +17,12 @@
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
+
+	"elderwall/core/cluster/channel"
+	"elderwall/core/cluster/lease"
+	"elderwall/core/cluster/membership"
+	"elderwall/core/cluster/quota"
+	"elderwall/internal/cluster/raftvoter"
 )
 
 const (
--- a/internal/cluster/wire.go
+++ b/internal/cluster/wire.go
@@ -1,11 +1,12 @@
 package cluster
 
 import (
-	"elderwall/core/cluster/membership"
 	"errors"
 	"fmt"
 
 	"github.com/fxamacker/cbor/v2"
+
+	"elderwall/core/cluster/membership"
 )
 
 // Versions of the wire. Each process tells its own in its record, and reads both.
--- a/internal/downstream/accept_test.go
+++ b/internal/downstream/accept_test.go
@@ -1,10 +1,6 @@
 package downstream_test
 
 import (
-	"elderwall/internal/call"
-	"elderwall/internal/downstream"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
 	"errors"
 	"io"
 	"net"
@@ -16,6 +12,11 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/call"
+	"elderwall/internal/downstream"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
 )
 
 // lacking is a listener of a process with so few descriptors that only so many sockets can be open.
--- a/internal/downstream/call.go
+++ b/internal/downstream/call.go
@@ -1,10 +1,11 @@
 package downstream
 
 import (
-	"elderwall/internal/clock"
-	"elderwall/internal/thrift"
 	"sync/atomic"
 	"time"
+
+	"elderwall/internal/clock"
+	"elderwall/internal/thrift"
 )
 
 // Call is one open call of a client.
--- a/internal/downstream/close_test.go
+++ b/internal/downstream/close_test.go
@@ -2,11 +2,6 @@
 
 import (
 	"crypto/tls"
-	"elderwall/core/admission"
-	"elderwall/internal/call"
-	"elderwall/internal/downstream"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
 	"encoding/binary"
 	"io"
 	"net"
@@ -18,6 +13,12 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/core/admission"
+	"elderwall/internal/call"
+	"elderwall/internal/downstream"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
 )
 
 // oneCall is a listener whose first connection waits, once its second bytes were read, until the test lets it go on: what comes then is unread.
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -1,8 +1,6 @@
 package downstream
 
 import (
-	"elderwall/core/admission"
-	"elderwall/internal/call"
 	"fmt"
 	"maps"
 	"net"
@@ -12,6 +10,9 @@
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"elderwall/core/admission"
+	"elderwall/internal/call"
 )
 
 type conn struct {
--- a/internal/downstream/crossing_test.go
+++ b/internal/downstream/crossing_test.go
@@ -2,13 +2,6 @@
 
 import (
 	"context"
-	"elderwall/core/admission"
-	"elderwall/internal/call"
-	"elderwall/internal/counters"
-	"elderwall/internal/downstream"
-	"elderwall/internal/memquota"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
 	"io"
 	"net"
 	"net/netip"
@@ -20,6 +13,14 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/core/admission"
+	"elderwall/internal/call"
+	"elderwall/internal/counters"
+	"elderwall/internal/downstream"
+	"elderwall/internal/memquota"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
 )
 
 // standing is callers that all stand the same way.
--- a/internal/downstream/front.go
+++ b/internal/downstream/front.go
@@ -2,12 +2,13 @@
 package downstream
 
 import (
-	"elderwall/core/admission"
-	"elderwall/internal/call"
-	"elderwall/internal/thrift"
 	"net"
 	"net/netip"
 	"time"
+
+	"elderwall/core/admission"
+	"elderwall/internal/call"
+	"elderwall/internal/thrift"
 )
 
 const (
--- a/internal/downstream/front_test.go
+++ b/internal/downstream/front_test.go
@@ -2,12 +2,6 @@
 
 import (
 	"context"
-	"elderwall/internal/call"
-	"elderwall/internal/counters"
-	"elderwall/internal/downstream"
-	"elderwall/internal/memquota"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
 	"encoding/binary"
 	"io"
 	"net"
@@ -23,6 +17,13 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
+
+	"elderwall/internal/call"
+	"elderwall/internal/counters"
+	"elderwall/internal/downstream"
+	"elderwall/internal/memquota"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/downstream/golden_test.go
+++ b/internal/downstream/golden_test.go
@@ -1,11 +1,12 @@
 package downstream
 
 import (
+	"strings"
+	"testing"
+
 	"elderwall/core/admission"
 	"elderwall/internal/goldentest"
 	"elderwall/internal/thrift"
-	"strings"
-	"testing"
 )
 
 func goldenCall() thrift.Call {
--- a/internal/downstream/leave_test.go
+++ b/internal/downstream/leave_test.go
@@ -1,9 +1,6 @@
 package downstream_test
 
 import (
-	"elderwall/internal/call"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
 	"net"
 	"strings"
 	"testing"
@@ -11,6 +8,10 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/call"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
 )
 
 // A client that leaves is noticed at once, whatever is under way on its connection: long before any bound on messages, writes or idle time.
--- a/internal/downstream/partial_test.go
+++ b/internal/downstream/partial_test.go
@@ -2,10 +2,6 @@
 
 import (
 	"context"
-	"elderwall/internal/call"
-	"elderwall/internal/downstream"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
 	"net"
 	"os"
 	"testing"
@@ -13,6 +9,11 @@
 	"time"
 
 	"github.com/stretchr/testify/assert"
+
+	"elderwall/internal/call"
+	"elderwall/internal/downstream"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
 )
 
 // half writes half a probe, and waits until the server has read it; rest is what it lacks.
--- a/internal/downstream/read.go
+++ b/internal/downstream/read.go
@@ -2,15 +2,16 @@
 
 import (
 	"bytes"
-	"elderwall/core/admission"
-	"elderwall/internal/call"
-	"elderwall/internal/thrift"
 	"errors"
 	"fmt"
 	"math"
 	"slices"
 	"strconv"
 	"unicode/utf8"
+
+	"elderwall/core/admission"
+	"elderwall/internal/call"
+	"elderwall/internal/thrift"
 )
 
 const (
--- a/internal/downstream/read_test.go
+++ b/internal/downstream/read_test.go
@@ -1,11 +1,12 @@
 package downstream
 
 import (
-	"elderwall/core/admission"
-	"elderwall/internal/thrift"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
+
+	"elderwall/core/admission"
+	"elderwall/internal/thrift"
 )
 
 // A token that names a caller is a secret between the two: no host may get it.
--- a/internal/downstream/receive.go
+++ b/internal/downstream/receive.go
@@ -1,13 +1,14 @@
 package downstream
 
 import (
-	"elderwall/internal/clock"
-	"elderwall/internal/thrift"
 	"errors"
 	"fmt"
 	"io"
 	"os"
 	"time"
+
+	"elderwall/internal/clock"
+	"elderwall/internal/thrift"
 )
 
 var errRoom = errors.New("no memory for a call")
--- a/internal/downstream/send_test.go
+++ b/internal/downstream/send_test.go
@@ -2,10 +2,6 @@
 
 import (
 	"context"
-	"elderwall/internal/call"
-	"elderwall/internal/downstream"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
 	"io"
 	"net"
 	"strings"
@@ -14,6 +10,11 @@
 	"time"
 
 	"github.com/stretchr/testify/assert"
+
+	"elderwall/internal/call"
+	"elderwall/internal/downstream"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
 )
 
 // A client that reads slowly has its answer as long as it takes some of it now and then and can still want it; one that reads nothing does not hold
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -2,11 +2,6 @@
 
 import (
 	"context"
-	"elderwall/core/admission"
-	"elderwall/internal/clock"
-	"elderwall/internal/counters"
-	"elderwall/internal/memquota"
-	"elderwall/internal/syserr"
 	"errors"
 	"maps"
 	"net"
@@ -19,6 +14,12 @@
 
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
+
+	"elderwall/core/admission"
+	"elderwall/internal/clock"
+	"elderwall/internal/counters"
+	"elderwall/internal/memquota"
+	"elderwall/internal/syserr"
 )
 
 // Server serves clients until its context ends.
--- a/internal/extensions/extras.go
+++ b/internal/extensions/extras.go
@@ -4,6 +4,16 @@
 
 import (
 	"context"
+	"errors"
+	"fmt"
+	"net"
+	"reflect"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/rs/zerolog"
+
 	"elderwall/core/cluster/purgefloor"
 	"elderwall/core/cluster/quota"
 	"elderwall/core/routing/retrybudget"
@@ -19,15 +29,6 @@
 	"elderwall/internal/operator"
 	"elderwall/internal/service"
 	"elderwall/internal/variantfilter"
-	"errors"
-	"fmt"
-	"net"
-	"reflect"
-	"sync"
-	"sync/atomic"
-	"time"
-
-	"github.com/rs/zerolog"
 )
 
 // Extras is an operator's file in force.
--- a/internal/extensions/extras_test.go
+++ b/internal/extensions/extras_test.go
@@ -3,12 +3,6 @@
 import (
 	"context"
 	"crypto/tls"
-	"elderwall/core/admission"
-	"elderwall/internal/service"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/proxy"
-	"elderwall/internal/token"
 	"fmt"
 	"io"
 	"net"
@@ -27,7 +21,13 @@
 	"go.uber.org/goleak"
 	"google.golang.org/grpc/credentials"
 
+	"elderwall/core/admission"
+	"elderwall/internal/service"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/proxy"
 	rigs "elderwall/internal/standin/rig"
+	"elderwall/internal/token"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/extproc/call.go
+++ b/internal/extproc/call.go
@@ -1,12 +1,13 @@
 package extproc
 
 import (
-	"elderwall/core/proxycall"
-	"elderwall/internal/call"
-	"elderwall/internal/memquota"
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"elderwall/core/proxycall"
+	"elderwall/internal/call"
+	"elderwall/internal/memquota"
 )
 
 const lookAgain = time.Millisecond // at a route that news has overtaken: a shard that does not stand still hears it in less
--- a/internal/extproc/extproc_test.go
+++ b/internal/extproc/extproc_test.go
@@ -2,16 +2,6 @@
 
 import (
 	"context"
-	"elderwall/core/proxycall"
-	"elderwall/core/routing"
-	"elderwall/internal/call"
-	"elderwall/internal/changelog"
-	"elderwall/internal/clock"
-	"elderwall/internal/dispatcher"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/proxy"
-	"elderwall/internal/variantfilter"
 	"fmt"
 	"math"
 	"net"
@@ -35,7 +25,17 @@
 	"google.golang.org/grpc/status"
 
 	pure "elderwall/core/cluster/variant"
+	"elderwall/core/proxycall"
+	"elderwall/core/routing"
+	"elderwall/internal/call"
+	"elderwall/internal/changelog"
+	"elderwall/internal/clock"
+	"elderwall/internal/dispatcher"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/proxy"
 	rigs "elderwall/internal/standin/rig"
+	"elderwall/internal/variantfilter"
 )
 
 // paused is a handler that a test can hold up.
--- a/internal/extproc/golden_test.go
+++ b/internal/extproc/golden_test.go
@@ -2,9 +2,6 @@
 
 import (
 	"cmp"
-	"elderwall/internal/call"
-	"elderwall/internal/goldentest"
-	"elderwall/internal/standin/need"
 	"fmt"
 	"regexp"
 	"slices"
@@ -15,6 +12,10 @@
 	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 	procv3 "github.com/envoyproxy/go-control-plane/envoy/service/ext_proc/v3"
 	"google.golang.org/protobuf/proto"
+
+	"elderwall/internal/call"
+	"elderwall/internal/goldentest"
+	"elderwall/internal/standin/need"
 )
 
 func goldenRules(routing bool) *Rules {
--- a/internal/extproc/messages.go
+++ b/internal/extproc/messages.go
@@ -1,8 +1,6 @@
 package extproc
 
 import (
-	"elderwall/core/proxycall"
-	"elderwall/internal/call"
 	"fmt"
 	"math"
 	"net/http"
@@ -13,6 +11,9 @@
 	procv3 "github.com/envoyproxy/go-control-plane/envoy/service/ext_proc/v3"
 	typev3 "github.com/envoyproxy/go-control-plane/envoy/type/v3"
 	"google.golang.org/protobuf/types/known/structpb"
+
+	"elderwall/core/proxycall"
+	"elderwall/internal/call"
 )
 
 // namespace is that of dynamic metadata.
--- a/internal/extproc/rules.go
+++ b/internal/extproc/rules.go
@@ -4,9 +4,6 @@
 package extproc
 
 import (
-	"elderwall/core/proxycall"
-	"elderwall/internal/call"
-	"elderwall/internal/hostproto"
 	"errors"
 	"fmt"
 	"hash/fnv"
@@ -16,6 +13,10 @@
 	"unicode/utf8"
 
 	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
+
+	"elderwall/core/proxycall"
+	"elderwall/internal/call"
+	"elderwall/internal/hostproto"
 )
 
 const (
--- a/internal/extproc/server.go
+++ b/internal/extproc/server.go
@@ -4,15 +4,6 @@
 	"cmp"
 	"context"
 	crypto "crypto/rand"
-	"elderwall/core/admission"
-	"elderwall/core/proxycall"
-	"elderwall/core/routing"
-	"elderwall/internal/certs"
-	"elderwall/internal/clock"
-	"elderwall/internal/counters"
-	"elderwall/internal/downstream"
-	"elderwall/internal/memquota"
-	"elderwall/internal/syserr"
 	"errors"
 	"fmt"
 	"hash/fnv"
@@ -34,6 +25,16 @@
 	"google.golang.org/grpc/keepalive"
 	"google.golang.org/grpc/peer"
 	"google.golang.org/grpc/status"
+
+	"elderwall/core/admission"
+	"elderwall/core/proxycall"
+	"elderwall/core/routing"
+	"elderwall/internal/certs"
+	"elderwall/internal/clock"
+	"elderwall/internal/counters"
+	"elderwall/internal/downstream"
+	"elderwall/internal/memquota"
+	"elderwall/internal/syserr"
 )
 
 const (
--- a/internal/hostproto/golden_test.go
+++ b/internal/hostproto/golden_test.go
@@ -1,12 +1,13 @@
 package hostproto_test
 
 import (
+	"strings"
+	"testing"
+
 	"elderwall/internal/goldentest"
 	"elderwall/internal/hostproto"
 	"elderwall/internal/standin"
 	"elderwall/internal/standin/need"
-	"strings"
-	"testing"
 )
 
 // wholeInput is more than any of the inputs here has: they are read in one piece.
--- a/internal/hostproto/lines_test.go
+++ b/internal/hostproto/lines_test.go
@@ -1,15 +1,16 @@
 package hostproto_test
 
 import (
-	"elderwall/core/routing"
-	"elderwall/internal/hostproto"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
 	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/core/routing"
+	"elderwall/internal/hostproto"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
 )
 
 // answers feeds text in pieces of a size and gives back the answers, until the first error.
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -1,8 +1,6 @@
 package load
 
 import (
-	"elderwall/internal/clock"
-	"elderwall/internal/thrift"
 	"fmt"
 	"math/rand/v2"
 	"net"
@@ -11,6 +9,9 @@
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"elderwall/internal/clock"
+	"elderwall/internal/thrift"
 )
 
 const (
--- a/internal/load/golden_test.go
+++ b/internal/load/golden_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"bytes"
-	"elderwall/internal/goldentest"
-	"elderwall/internal/load"
 	"testing"
 
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/goldentest"
+	"elderwall/internal/load"
 )
 
 func TestGoldenPlans(t *testing.T) {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -2,10 +2,6 @@
 
 import (
 	"bytes"
-	"elderwall/internal/call"
-	"elderwall/internal/downstream"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/rig"
 	"maps"
 	"os"
 	"path/filepath"
@@ -18,6 +14,11 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/call"
+	"elderwall/internal/downstream"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/rig"
 )
 
 func TestPlans(t *testing.T) {
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -4,11 +4,12 @@
 package load
 
 import (
-	"elderwall/internal/configfile"
-	"elderwall/internal/standin"
 	"errors"
 	"fmt"
 	"os"
+
+	"elderwall/internal/configfile"
+	"elderwall/internal/standin"
 )
 
 // Plan is an experiment: every case, with every subject, so many rounds in turn.
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -2,8 +2,6 @@
 
 import (
 	"bufio"
-	"elderwall/internal/standin"
-	"elderwall/internal/table"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -18,6 +16,9 @@
 	"sync"
 	"syscall"
 	"time"
+
+	"elderwall/internal/standin"
+	"elderwall/internal/table"
 )
 
 const (
--- a/internal/multicore/cores.go
+++ b/internal/multicore/cores.go
@@ -5,6 +5,13 @@
 
 import (
 	"context"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
 	"elderwall/core/routing"
 	"elderwall/core/routing/rendezvous"
 	"elderwall/core/sharding"
@@ -13,12 +20,6 @@
 	"elderwall/internal/counters"
 	"elderwall/internal/dispatcher"
 	"elderwall/internal/upstream"
-	"slices"
-	"sync"
-	"sync/atomic"
-	"time"
-
-	"golang.org/x/sync/errgroup"
 )
 
 const (
--- a/internal/multicore/cores_test.go
+++ b/internal/multicore/cores_test.go
@@ -1,14 +1,6 @@
 package multicore
 
 import (
-	"elderwall/core/sharding"
-	"elderwall/internal/call"
-	"elderwall/internal/clock"
-	"elderwall/internal/counters"
-	"elderwall/internal/dispatcher"
-	"elderwall/internal/downstream"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
 	"fmt"
 	"maps"
 	"slices"
@@ -22,6 +14,14 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 
+	"elderwall/core/sharding"
+	"elderwall/internal/call"
+	"elderwall/internal/clock"
+	"elderwall/internal/counters"
+	"elderwall/internal/dispatcher"
+	"elderwall/internal/downstream"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
 	rigs "elderwall/internal/standin/rig"
 )
 
--- a/internal/multicore/held_test.go
+++ b/internal/multicore/held_test.go
@@ -1,14 +1,15 @@
 package multicore
 
 import (
-	"elderwall/core/sharding"
-	"elderwall/internal/dispatcher"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/core/sharding"
+	"elderwall/internal/dispatcher"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
 )
 
 // settled waits until a shard has done all that is in its line by now.
--- a/internal/multicore/left_test.go
+++ b/internal/multicore/left_test.go
@@ -1,17 +1,18 @@
 package multicore
 
 import (
-	"elderwall/core/sharding"
-	"elderwall/internal/dispatcher"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/upstream"
 	"net"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/core/sharding"
+	"elderwall/internal/dispatcher"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/upstream"
 )
 
 // ways in which a client leaves.
--- a/internal/operator/callers.go
+++ b/internal/operator/callers.go
@@ -1,15 +1,16 @@
 package operator
 
 import (
-	"elderwall/core/admission"
-	"elderwall/internal/configfile"
-	"elderwall/internal/token"
 	"encoding/json"
 	"fmt"
 	"net/netip"
 	"slices"
 	"strconv"
 	"strings"
+
+	"elderwall/core/admission"
+	"elderwall/internal/configfile"
+	"elderwall/internal/token"
 )
 
 const (
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -1,11 +1,12 @@
 package operator_test
 
 import (
-	"elderwall/internal/goldentest"
-	"elderwall/internal/operator"
 	"testing"
 
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/goldentest"
+	"elderwall/internal/operator"
 )
 
 func TestGoldenFiles(t *testing.T) {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -5,6 +5,13 @@
 package operator
 
 import (
+	"errors"
+	"fmt"
+	"hash/fnv"
+	"os"
+	"path/filepath"
+	"slices"
+
 	"elderwall/core/admission"
 	"elderwall/core/routing/retrybudget"
 	"elderwall/core/sharding"
@@ -14,12 +21,6 @@
 	"elderwall/internal/extproc"
 	"elderwall/internal/service"
 	"elderwall/internal/token"
-	"errors"
-	"fmt"
-	"hash/fnv"
-	"os"
-	"path/filepath"
-	"slices"
 )
 
 const mostCores = 256 // of a machine; as many shards would each see hardly a GET of an item
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -1,13 +1,6 @@
 package operator
 
 import (
-	"elderwall/core/admission"
-	"elderwall/core/cluster/quota"
-	"elderwall/internal/cluster"
-	"elderwall/internal/downstream"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/token"
 	"encoding/json"
 	"fmt"
 	"math"
@@ -20,7 +13,14 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"elderwall/core/admission"
+	"elderwall/core/cluster/quota"
 	pure "elderwall/core/cluster/variant"
+	"elderwall/internal/cluster"
+	"elderwall/internal/downstream"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/token"
 )
 
 var services = []string{"segment", "page"}
--- a/internal/operator/proxies.go
+++ b/internal/operator/proxies.go
@@ -1,12 +1,13 @@
 package operator
 
 import (
+	"regexp"
+	"slices"
+
 	"elderwall/core/proxycall"
 	"elderwall/internal/certs"
 	"elderwall/internal/configfile"
 	"elderwall/internal/extproc"
-	"regexp"
-	"slices"
 )
 
 const (
--- a/internal/operator/variants.go
+++ b/internal/operator/variants.go
@@ -1,11 +1,6 @@
 package operator
 
 import (
-	"elderwall/internal/configfile"
-	"elderwall/internal/downstream"
-	"elderwall/internal/hostproto"
-	"elderwall/internal/thrift"
-	"elderwall/internal/variantfilter"
 	"errors"
 	"fmt"
 	"math"
@@ -14,6 +9,11 @@
 	"strings"
 
 	pure "elderwall/core/cluster/variant"
+	"elderwall/internal/configfile"
+	"elderwall/internal/downstream"
+	"elderwall/internal/hostproto"
+	"elderwall/internal/thrift"
+	"elderwall/internal/variantfilter"
 )
 
 const (
--- a/internal/scenario/golden_test.go
+++ b/internal/scenario/golden_test.go
@@ -1,12 +1,13 @@
 package scenario_test
 
 import (
-	"elderwall/internal/goldentest"
-	"elderwall/internal/scenario"
 	"path/filepath"
 	"testing"
 
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/goldentest"
+	"elderwall/internal/scenario"
 )
 
 func TestGoldenScenarios(t *testing.T) {
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -2,11 +2,12 @@
 package scenario
 
 import (
-	"elderwall/emulator"
-	"elderwall/internal/configfile"
 	"errors"
 	"fmt"
 	"os"
+
+	"elderwall/emulator"
+	"elderwall/internal/configfile"
 )
 
 const (
--- a/internal/service/config.go
+++ b/internal/service/config.go
@@ -1,10 +1,6 @@
 package service
 
 import (
-	"elderwall/core/routing"
-	"elderwall/core/settings"
-	"elderwall/internal/changelog"
-	"elderwall/internal/clock"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -13,6 +9,11 @@
 	"reflect"
 	"strconv"
 	"time"
+
+	"elderwall/core/routing"
+	"elderwall/core/settings"
+	"elderwall/internal/changelog"
+	"elderwall/internal/clock"
 )
 
 // Config is what a dispatcher is told.
--- a/internal/service/drain_test.go
+++ b/internal/service/drain_test.go
@@ -1,13 +1,14 @@
 package service
 
 import (
-	"elderwall/core/routing"
-	"elderwall/internal/standin/need"
 	"syscall"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
+
+	"elderwall/core/routing"
+	"elderwall/internal/standin/need"
 )
 
 // A host that is silent for longer than the platform waits with SIGKILL leaves no request unanswered: what is open just before that is
--- a/internal/service/golden_test.go
+++ b/internal/service/golden_test.go
@@ -1,15 +1,16 @@
 package service_test
 
 import (
-	"elderwall/internal/goldentest"
-	"elderwall/internal/service"
-	"elderwall/internal/standin"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/goldentest"
+	"elderwall/internal/service"
+	"elderwall/internal/standin"
 )
 
 func TestGoldenConfiguration(t *testing.T) {
--- a/internal/service/reload_test.go
+++ b/internal/service/reload_test.go
@@ -2,9 +2,6 @@
 
 import (
 	"bufio"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/rig"
 	"fmt"
 	"io"
 	"net"
@@ -20,6 +17,10 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/rig"
 )
 
 // A signal that comes while the file is being written has it read again until it is whole.
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -5,16 +5,6 @@
 import (
 	"cmp"
 	"context"
-	"elderwall/core/routing/retrybudget"
-	"elderwall/core/sharding"
-	"elderwall/internal/changelog"
-	"elderwall/internal/clock"
-	"elderwall/internal/counters"
-	"elderwall/internal/dispatcher"
-	"elderwall/internal/downstream"
-	"elderwall/internal/memquota"
-	"elderwall/internal/multicore"
-	"elderwall/internal/upstream"
 	"errors"
 	"fmt"
 	"maps"
@@ -30,6 +20,17 @@
 
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
+
+	"elderwall/core/routing/retrybudget"
+	"elderwall/core/sharding"
+	"elderwall/internal/changelog"
+	"elderwall/internal/clock"
+	"elderwall/internal/counters"
+	"elderwall/internal/dispatcher"
+	"elderwall/internal/downstream"
+	"elderwall/internal/memquota"
+	"elderwall/internal/multicore"
+	"elderwall/internal/upstream"
 )
 
 const (
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -1,10 +1,6 @@
 package service
 
 import (
-	"elderwall/internal/load"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/rig"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -24,6 +20,11 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
+
+	"elderwall/internal/load"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/rig"
 )
 
 // TestMain checks that neither goroutines nor sockets are left.
--- a/internal/service/signals_test.go
+++ b/internal/service/signals_test.go
@@ -1,7 +1,6 @@
 package service
 
 import (
-	"elderwall/internal/standin/need"
 	"os"
 	"os/signal"
 	"syscall"
@@ -9,6 +8,8 @@
 	"time"
 
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/standin/need"
 )
 
 func TestNoBurstOfSignalsKeepsTheEndOut(t *testing.T) {
--- a/internal/service/start_test.go
+++ b/internal/service/start_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"bufio"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
 	"fmt"
 	"io"
 	"net"
@@ -17,6 +15,9 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
 )
 
 const (
--- a/internal/service/unusual_test.go
+++ b/internal/service/unusual_test.go
@@ -1,9 +1,6 @@
 package service
 
 import (
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/rig"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -17,6 +14,10 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/rig"
 )
 
 type fields map[string]any
--- a/internal/sse/golden_test.go
+++ b/internal/sse/golden_test.go
@@ -1,12 +1,13 @@
 package sse_test
 
 import (
-	"elderwall/internal/goldentest"
-	"elderwall/internal/sse"
 	"fmt"
 	"slices"
 	"strings"
 	"testing"
+
+	"elderwall/internal/goldentest"
+	"elderwall/internal/sse"
 )
 
 const (
--- a/internal/sse/sse_test.go
+++ b/internal/sse/sse_test.go
@@ -1,13 +1,14 @@
 package sse_test
 
 import (
-	"elderwall/internal/sse"
 	"fmt"
 	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/sse"
 )
 
 // events feeds text in pieces of a size and gives back the events, until the first error.
--- a/internal/sse/stream_test.go
+++ b/internal/sse/stream_test.go
@@ -1,7 +1,6 @@
 package sse_test
 
 import (
-	"elderwall/internal/sse"
 	"fmt"
 	"strings"
 	"testing"
@@ -9,6 +8,8 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/sse"
 )
 
 // A stream may be written in each of the forms that server-sent events allow, and come in pieces that end anywhere.
--- a/internal/standin/processes/links_test.go
+++ b/internal/standin/processes/links_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"elderwall/internal/contract"
-	"elderwall/internal/standin/need"
 	"encoding/binary"
 	"errors"
 	"io"
@@ -13,6 +11,9 @@
 	"time"
 
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/contract"
+	"elderwall/internal/standin/need"
 )
 
 const bare = "a relay repeats and loses what it is told to; seals are the ends' own"
--- a/internal/standin/processes/processes.go
+++ b/internal/standin/processes/processes.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"elderwall/internal/standin"
 	"encoding/json"
 	"fmt"
 	"os"
@@ -17,6 +16,8 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"elderwall/internal/standin"
 )
 
 const (
--- a/internal/standin/rig/rig.go
+++ b/internal/standin/rig/rig.go
@@ -5,14 +5,6 @@
 import (
 	"bytes"
 	"context"
-	"elderwall/core/routing"
-	"elderwall/core/settings"
-	"elderwall/internal/changelog"
-	"elderwall/internal/counters"
-	"elderwall/internal/memquota"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/upstream"
 	"fmt"
 	"io"
 	"net"
@@ -26,6 +18,15 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
 	"golang.org/x/sync/errgroup"
+
+	"elderwall/core/routing"
+	"elderwall/core/settings"
+	"elderwall/internal/changelog"
+	"elderwall/internal/counters"
+	"elderwall/internal/memquota"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/upstream"
 )
 
 // Object is the one that GETs of a rig are for, as those of standin.Fields.
--- a/internal/syserr/listener_test.go
+++ b/internal/syserr/listener_test.go
@@ -1,8 +1,6 @@
 package syserr_test
 
 import (
-	"elderwall/internal/standin/need"
-	"elderwall/internal/syserr"
 	"net"
 	"os"
 	"syscall"
@@ -10,6 +8,9 @@
 	"time"
 
 	"github.com/stretchr/testify/assert"
+
+	"elderwall/internal/standin/need"
+	"elderwall/internal/syserr"
 )
 
 // failing is a listener whose first accepts fail.
--- a/internal/syserr/syserr_test.go
+++ b/internal/syserr/syserr_test.go
@@ -1,7 +1,6 @@
 package syserr_test
 
 import (
-	"elderwall/internal/syserr"
 	"errors"
 	"fmt"
 	"net"
@@ -10,6 +9,8 @@
 	"testing"
 
 	"github.com/stretchr/testify/assert"
+
+	"elderwall/internal/syserr"
 )
 
 // What each error of a system call proves, as accept(2), connect(2), socket(2), write(2) and fsync(2) have it; wrapped as the net package does.
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -1,13 +1,14 @@
 package table_test
 
 import (
-	"elderwall/internal/table"
 	"errors"
 	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/table"
 )
 
 func TestColumnsAreAligned(t *testing.T) {
--- a/internal/thrift/golden_test.go
+++ b/internal/thrift/golden_test.go
@@ -1,13 +1,14 @@
 package thrift_test
 
 import (
+	"fmt"
+	"strings"
+	"testing"
+
 	"elderwall/internal/goldentest"
 	"elderwall/internal/standin"
 	"elderwall/internal/standin/need"
 	"elderwall/internal/thrift"
-	"fmt"
-	"strings"
-	"testing"
 )
 
 // wholeInput is more than any of the inputs here has: they are read in one piece.
--- a/internal/thrift/thrift_test.go
+++ b/internal/thrift/thrift_test.go
@@ -1,14 +1,15 @@
 package thrift_test
 
 import (
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/thrift"
 	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/thrift"
 )
 
 // calls feeds bytes in pieces of a size and gives back the calls, until the first error.
--- a/internal/token/keys.go
+++ b/internal/token/keys.go
@@ -8,7 +8,6 @@
 	"crypto/rand"
 	"crypto/rsa"
 	"crypto/sha256"
-	"elderwall/core/admission"
 	"encoding/base64"
 	"encoding/hex"
 	"encoding/json"
@@ -18,6 +17,8 @@
 	"time"
 
 	"github.com/go-jose/go-jose/v4"
+
+	"elderwall/core/admission"
 )
 
 const (
--- a/internal/token/token.go
+++ b/internal/token/token.go
@@ -4,7 +4,6 @@
 package token
 
 import (
-	"elderwall/core/admission"
 	"encoding/base64"
 	"encoding/json"
 	"errors"
@@ -14,6 +13,8 @@
 
 	"github.com/go-jose/go-jose/v4"
 	"github.com/go-jose/go-jose/v4/jwt"
+
+	"elderwall/core/admission"
 )
 
 // Longest is the longest token that is parsed, in bytes: ours are under one KB, and HTTP fronts carry no more in a header.
--- a/internal/token/token_test.go
+++ b/internal/token/token_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"crypto/x509"
-	"elderwall/core/admission"
-	"elderwall/internal/standin/need"
 	"encoding/base64"
 	"encoding/json"
 	"strings"
@@ -11,6 +9,9 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/core/admission"
+	"elderwall/internal/standin/need"
 )
 
 var said = admission.Claims{
--- a/internal/upstream/again_test.go
+++ b/internal/upstream/again_test.go
@@ -1,16 +1,17 @@
 package upstream_test
 
 import (
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/rig"
-	"elderwall/internal/upstream"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/rig"
+	"elderwall/internal/upstream"
 )
 
 // A host answers a request twice, and the second answer comes when the request is out once more.
--- a/internal/upstream/blocked_test.go
+++ b/internal/upstream/blocked_test.go
@@ -2,9 +2,6 @@
 
 import (
 	"context"
-	"elderwall/internal/counters"
-	"elderwall/internal/hostproto"
-	"elderwall/internal/memquota"
 	"net"
 	"os"
 	"strconv"
@@ -15,6 +12,10 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/counters"
+	"elderwall/internal/hostproto"
+	"elderwall/internal/memquota"
 )
 
 // fullBuffer is a connection whose kernel takes nothing for some writes, and then all.
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -3,8 +3,6 @@
 import (
 	"cmp"
 	"context"
-	"elderwall/internal/hostproto"
-	"elderwall/internal/syserr"
 	"errors"
 	"fmt"
 	"maps"
@@ -14,6 +12,9 @@
 	"slices"
 	"sync/atomic"
 	"time"
+
+	"elderwall/internal/hostproto"
+	"elderwall/internal/syserr"
 )
 
 // conn is one connection to a host.
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -1,8 +1,6 @@
 package upstream_test
 
 import (
-	"elderwall/internal/standin/need"
-	"elderwall/internal/upstream"
 	"fmt"
 	"net"
 	"os"
@@ -14,6 +12,9 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/standin/need"
+	"elderwall/internal/upstream"
 )
 
 // neverUp is the address of a listener whose line of connections is full, so that none comes up.
--- a/internal/upstream/ended_test.go
+++ b/internal/upstream/ended_test.go
@@ -1,9 +1,6 @@
 package upstream_test
 
 import (
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/upstream"
 	"net"
 	"sync"
 	"testing"
@@ -11,6 +8,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
+
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/upstream"
 )
 
 const finWait2 = 5 // the state of a connection whose half-close the other system has taken in
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -2,16 +2,17 @@
 
 import (
 	"bufio"
-	"elderwall/internal/goldentest"
-	"elderwall/internal/hostproto"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/upstream"
 	"io"
 	"net"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/goldentest"
+	"elderwall/internal/hostproto"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/upstream"
 )
 
 // goldenLines sends forwards to a listener, one after the other, and gives the bytes of each as it came.
--- a/internal/upstream/peer_test.go
+++ b/internal/upstream/peer_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"elderwall/internal/standin/need"
 	"io"
 	"net"
 	"strconv"
@@ -11,6 +10,8 @@
 	"time"
 
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/standin/need"
 )
 
 // peer is the host's end of one connection, which does only what its test says.
--- a/internal/upstream/stages_test.go
+++ b/internal/upstream/stages_test.go
@@ -1,15 +1,16 @@
 package upstream_test
 
 import (
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/upstream"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/upstream"
 )
 
 const large = 16 << 20 // bytes; more than the system takes in for a peer that doesn't read
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -4,9 +4,6 @@
 
 import (
 	"context"
-	"elderwall/internal/counters"
-	"elderwall/internal/hostproto"
-	"elderwall/internal/memquota"
 	"errors"
 	"fmt"
 	"net"
@@ -17,6 +14,10 @@
 
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
+
+	"elderwall/internal/counters"
+	"elderwall/internal/hostproto"
+	"elderwall/internal/memquota"
 )
 
 const (
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -1,11 +1,6 @@
 package upstream_test
 
 import (
-	"elderwall/internal/hostproto"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/rig"
-	"elderwall/internal/upstream"
 	"errors"
 	"fmt"
 	"net"
@@ -17,6 +12,12 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
+
+	"elderwall/internal/hostproto"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/rig"
+	"elderwall/internal/upstream"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/variantfilter/bench_test.go
+++ b/internal/variantfilter/bench_test.go
@@ -1,12 +1,6 @@
 package variantfilter_test
 
 import (
-	"elderwall/core/routing"
-	"elderwall/internal/dispatcher"
-	"elderwall/internal/hostproto"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/variantfilter"
 	"errors"
 	"fmt"
 	"math"
@@ -18,6 +12,12 @@
 	"golang.org/x/sync/errgroup"
 
 	pure "elderwall/core/cluster/variant"
+	"elderwall/core/routing"
+	"elderwall/internal/dispatcher"
+	"elderwall/internal/hostproto"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/variantfilter"
 )
 
 // known is a stage that knows two classes of objects as one, and a GET of one of them on its whole way through it: a key, a field, the
--- a/internal/variantfilter/variants.go
+++ b/internal/variantfilter/variants.go
@@ -3,16 +3,17 @@
 package variantfilter
 
 import (
-	"elderwall/core/cluster/variant"
-	"elderwall/core/routing"
-	"elderwall/internal/dispatcher"
-	"elderwall/internal/hostproto"
 	"fmt"
 	"slices"
 	"sync"
 	"sync/atomic"
 
 	"github.com/cespare/xxhash/v2"
+
+	"elderwall/core/cluster/variant"
+	"elderwall/core/routing"
+	"elderwall/internal/dispatcher"
+	"elderwall/internal/hostproto"
 )
 
 const nameSlots = 1 << 13 // names of objects by class that are at hand; others are made anew, 16 bytes each
--- a/internal/variantfilter/way_test.go
+++ b/internal/variantfilter/way_test.go
@@ -1,15 +1,6 @@
 package variantfilter_test
 
 import (
-	"elderwall/core/routing"
-	"elderwall/internal/changelog"
-	"elderwall/internal/clock"
-	"elderwall/internal/dispatcher"
-	"elderwall/internal/downstream"
-	"elderwall/internal/standin"
-	"elderwall/internal/standin/need"
-	"elderwall/internal/standin/rig"
-	"elderwall/internal/variantfilter"
 	"fmt"
 	"hash/fnv"
 	"math"
@@ -25,6 +16,15 @@
 	"github.com/stretchr/testify/require"
 
 	pure "elderwall/core/cluster/variant"
+	"elderwall/core/routing"
+	"elderwall/internal/changelog"
+	"elderwall/internal/clock"
+	"elderwall/internal/dispatcher"
+	"elderwall/internal/downstream"
+	"elderwall/internal/standin"
+	"elderwall/internal/standin/need"
+	"elderwall/internal/standin/rig"
+	"elderwall/internal/variantfilter"
 )
 
 var (
