--- a/core/cluster/channel/golden_test.go
+++ b/core/cluster/channel/golden_test.go
@@ -35,8 +35,8 @@
 		tr.Rejected(err)
 	}
 	tr.Bytes("number", number(3, 1<<40))
-	channel, writer, n, epoch, err := readKey(full.key())
-	tr.Values("key, as read", channel, writer, n, epoch)
+	key, err := readKey(full.key())
+	tr.Values("key, as read", key.channel, key.writer, key.number, key.epoch)
 	tr.Rejected(err)
 	tr.Check(t, "entries.golden")
 }
--- a/internal/dispatcher/coalescing.go
+++ b/internal/dispatcher/coalescing.go
@@ -122,11 +122,11 @@
 	if d.coalescer == nil {
 		return
 	}
-	for over, stop, stops, ok := d.coalescer.Pass(now); ok; over, stop, stops, ok = d.coalescer.Pass(now) {
-		d.shedRequest(over, 0)
-		if stops {
-			d.router.HandleClientGone(now, stop.id)
-			d.forget(stop)
+	for late, ok := d.coalescer.Pass(now); ok; late, ok = d.coalescer.Pass(now) {
+		d.shedRequest(late.Over, 0)
+		if late.Stops {
+			d.router.HandleClientGone(now, late.Stop.id)
+			d.forget(late.Stop)
 		}
 	}
 }
