--- /dev/null
+++ b/core/routing/golden_fleet_test.go
@@ -0,0 +1,637 @@
+package routing_test
+
+import (
+	"container/heap"
+	"crypto/sha256"
+	"elderwall/core/routing"
+	"encoding/binary"
+	"encoding/hex"
+	"fmt"
+	"hash"
+	"math"
+	"math/rand/v2"
+	"slices"
+)
+
+// The kinds of host of the scripted fleet.
+const (
+	cacheKind = iota
+	parentKind
+	originKind
+)
+
+// The first identifiers of the hosts, by kind.
+const (
+	firstCacheID  = 1000
+	firstParentID = 100_000
+	originID      = 200_000
+)
+
+// Constants of the scripted hosts.
+const (
+	networkDelay      = 0.002 // s; one way
+	transferRateKB    = 1000  // KB a second of one transfer at full pace
+	checkpointSpan    = 2.0   // s between two checkpoints of a run
+	goneEarlyShare    = 0.02  // share of the clients that leave before their answer
+	streamingShare    = 0.2   // share of the successful answers whose first byte is announced
+	staleShare        = 0.02  // share of the hits that are stale
+	withdrawnShare    = 0.003 // share of the attempts that are withdrawn before a byte went out
+	arrivedLateShare  = 0.003 // share of the attempts that reach their host after SendBy
+	listFailedShare   = 0.3   // share of the polls of the endpoint list that fail
+	maxAgeLookupShare = 0.1   // share of the requests whose MaxAge is asked for and hashed
+)
+
+// event is something that is due in a simulated run; equal times keep the order in which they were scheduled.
+type event struct {
+	at     float64
+	number int
+	do     func()
+}
+
+type eventQueue []event
+
+func (q eventQueue) Len() int      { return len(q) }
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+
+func (q eventQueue) Less(i, j int) bool {
+	if q[i].at != q[j].at {
+		return q[i].at < q[j].at
+	}
+	return q[i].number < q[j].number
+}
+
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
+	return last
+}
+
+// scriptedHost is one host of the fleet. Its fields are what a script changes during a run.
+type scriptedHost struct {
+	endpoint    routing.Endpoint
+	slots       int     // transfers at full pace; more share them
+	queue       int     // attempts it takes; more are rejected
+	slowness    float64 // multiple of the usual time
+	silent      bool    // accepts connections and says nothing
+	unreachable bool
+	failShare   float64            // of the answers that are errors
+	lostShare   float64            // of the answers whose connection breaks
+	stored      map[string]float64 // objects with the time at which each was stored
+	filling     map[string]int     // fills under way by object
+	active      int                // attempts under way, and fills from it
+}
+
+// scriptedFleet plays routers against scripted hosts and clients, on one clock and one seed.
+type scriptedFleet struct {
+	goldenCase
+	now      float64
+	number   int
+	queue    eventQueue
+	random   *rand.Rand
+	hosts    map[uint32]*scriptedHost
+	ids      []uint32 // of the hosts, in the order in which they came
+	shards   []*scriptedShard
+	services []routing.DeliveryService
+	lastID   uint32
+	sizes    map[string]float64
+	actions  hash.Hash
+	record   goldenRecord
+	pools    map[uint32]*creditPool
+	probes   map[uint32]probeClaim
+}
+
+// scriptedRequest is a request of a client, as the adapter of a router knows it.
+type scriptedRequest struct {
+	routing.Request
+	attempts []*scriptedAttempt
+	done     bool
+}
+
+type scriptedAttempt struct {
+	routing.Attempt
+	request   *scriptedRequest
+	number    int
+	sentAt    float64
+	completed bool
+	active    []*scriptedHost // that it is under way at
+	fills     *scriptedHost   // whose fill it is
+}
+
+// scriptedShard is one router with the adapter that records its actions and carries them out.
+type scriptedShard struct {
+	*scriptedFleet
+	index    int
+	router   *routing.Router
+	requests map[uint32]*scriptedRequest
+}
+
+var _ routing.Actions = (*scriptedShard)(nil)
+
+func newScriptedFleet(c goldenCase) *scriptedFleet {
+	f := &scriptedFleet{
+		goldenCase: c, random: rand.New(rand.NewPCG(c.seed, 7)), hosts: map[uint32]*scriptedHost{},
+		sizes: map[string]float64{}, actions: sha256.New(), pools: map[uint32]*creditPool{}, probes: map[uint32]probeClaim{},
+	}
+	f.buildHosts()
+	for i := range max(1, c.shards) {
+		f.addShard(i)
+	}
+	return f
+}
+
+func (f *scriptedFleet) buildHosts() {
+	for i := range f.caches {
+		f.addHost(routing.Endpoint{ID: firstCacheID + uint32(i)*7, Zone: 1, Cell: i * f.cells / f.caches, Weight: float64(8 + i%3)})
+	}
+	for i := range 3 { // of another zone: no request may go there
+		f.addHost(routing.Endpoint{ID: firstCacheID - 1 - uint32(i), Zone: 0, Cell: i, Weight: 8})
+	}
+	for i := range f.parents {
+		f.addHost(routing.Endpoint{ID: firstParentID + uint32(i), Zone: i % 2, Kind: parentKind, Weight: 40})
+	}
+	f.addHost(routing.Endpoint{ID: originID, Kind: originKind, Weight: 60})
+}
+
+func (f *scriptedFleet) addHost(e routing.Endpoint) *scriptedHost {
+	e.Phase = routing.Ready
+	h := &scriptedHost{
+		endpoint: e, slots: int(e.Weight), queue: int(e.Weight) * 3, slowness: 1,
+		stored: map[string]float64{}, filling: map[string]int{},
+	}
+	f.hosts[e.ID] = h
+	f.ids = append(f.ids, e.ID)
+	return h
+}
+
+func (f *scriptedFleet) addShard(index int) {
+	s := &scriptedShard{scriptedFleet: f, index: index, requests: map[uint32]*scriptedRequest{}}
+	f.shards = append(f.shards, s)
+	settings := goldenSettings(f.seed)
+	settings.Index = index
+	if f.change != nil {
+		f.change(&settings)
+	}
+	if f.goldenCase.shards > 1 {
+		settings.Shards, settings.Peers = f.goldenCase.shards, s
+	}
+	f.services = settings.Services
+	s.router = routing.New(settings, f.now, s)
+	if !settings.PollEndpoints {
+		s.updateEndpoints(routing.ListComplete, f.endpoints())
+	}
+}
+
+func (f *scriptedFleet) endpoints() (list []routing.Endpoint) {
+	for _, id := range f.ids {
+		list = append(list, f.hosts[id].endpoint)
+	}
+	return list
+}
+
+// run plays the whole case and gives its record.
+func (f *scriptedFleet) run() goldenRecord {
+	for _, step := range f.script {
+		f.schedule(step.at, func() { step.do(f) })
+	}
+	f.scheduleRequest()
+	f.scheduleCheckpoint()
+	for len(f.queue) > 0 {
+		next := heap.Pop(&f.queue).(event)
+		if next.at > f.seconds {
+			break
+		}
+		f.now = next.at
+		next.do()
+	}
+	for _, s := range f.shards {
+		s.router.FinishAll(f.seconds)
+	}
+	f.record.Hash = hex.EncodeToString(f.actions.Sum(nil))
+	return f.record
+}
+
+func (f *scriptedFleet) schedule(at float64, do func()) {
+	f.number++
+	heap.Push(&f.queue, event{at, f.number, do})
+}
+
+func (f *scriptedFleet) scheduleRequest() {
+	wait := f.random.ExpFloat64() / f.rate
+	f.schedule(f.now+wait, func() {
+		f.request()
+		f.scheduleRequest()
+	})
+}
+
+func (f *scriptedFleet) scheduleCheckpoint() {
+	f.schedule(f.now+checkpointSpan, func() {
+		for _, s := range f.shards {
+			for _, id := range []uint32{0, firstCacheID, firstParentID, originID} {
+				held, refused := s.router.QuotaUsage(id)
+				s.hash('Q', id, held, refused)
+			}
+		}
+		f.record.Checkpoints = append(f.record.Checkpoints, hex.EncodeToString(f.actions.Sum(nil)[:4]))
+		f.scheduleCheckpoint()
+	})
+}
+
+// chance is true in a share of the cases.
+func (f *scriptedFleet) chance(share float64) bool { return f.random.Float64() < share }
+
+// object draws a name: few are popular, and most of a large catalog are seen once.
+func (f *scriptedFleet) object() string {
+	if f.chance(f.hotShare) {
+		return "hot"
+	}
+	return fmt.Sprint("object-", int(float64(f.objects)*math.Pow(f.random.Float64(), f.skew)))
+}
+
+// size is that of an object in KB.
+func (f *scriptedFleet) size(object string) float64 {
+	kb, known := f.sizes[object]
+	if !known {
+		kb = 2 + f.random.ExpFloat64()*20
+		f.sizes[object] = kb
+	}
+	return kb
+}
+
+// request has a client ask one of the shards.
+func (f *scriptedFleet) request() {
+	f.lastID++
+	object, service := f.object(), f.random.IntN(len(f.services))
+	s := f.shards[f.random.IntN(len(f.shards))]
+	deadline := f.now + f.services[service].ViewerTimeout
+	r := &scriptedRequest{Request: routing.Request{
+		ID: f.lastID, Service: service, Object: object, Group: len(object) % 3, Part: f.random.IntN(2), Deadline: deadline,
+	}}
+	if f.sized {
+		r.SizeKB = f.size(object)
+	}
+	s.requests[r.ID] = r
+	s.call(func(now float64) { s.router.HandleRequest(now, r.Request) })
+	if f.chance(maxAgeLookupShare) {
+		s.hash('M', s.router.MaxAge(f.now, r.ID))
+	}
+	gone := deadline
+	if f.chance(goneEarlyShare) {
+		gone = f.now + f.random.Float64()*0.3
+	}
+	f.schedule(gone, func() { s.clientGone(r) })
+}
+
+// call makes one call on the router and serves its retries after it.
+func (s *scriptedShard) call(what func(now float64)) {
+	what(s.now)
+	s.router.RunRetries(s.now)
+}
+
+func (s *scriptedShard) updateEndpoints(kind routing.ListKind, list []routing.Endpoint) {
+	s.call(func(now float64) { s.router.UpdateEndpoints(now, kind, list) })
+}
+
+func (s *scriptedShard) clientGone(r *scriptedRequest) {
+	if !r.done {
+		r.done = true
+		s.call(func(now float64) { s.router.HandleClientGone(now, r.ID) })
+	}
+	for _, a := range r.attempts {
+		if !a.completed {
+			s.complete(a, routing.AttemptResult{Outcome: routing.TimedOut})
+		}
+	}
+	delete(s.requests, r.ID)
+}
+
+// complete passes the end of an attempt to the router.
+func (s *scriptedShard) complete(a *scriptedAttempt, result routing.AttemptResult) {
+	if a.completed {
+		return
+	}
+	a.completed = true
+	for _, h := range a.active {
+		h.active--
+	}
+	if a.fills != nil {
+		a.fills.filling[a.request.Object]--
+	}
+	result.RequestID, result.Attempt, result.Elapsed = a.RequestID, a.number, s.now-a.sentAt
+	result.Final = a.request.done || result.Outcome == routing.Succeeded
+	if s.ingressLoad > 0 {
+		result.IngressLoad = s.random.Float64() * s.ingressLoad
+	}
+	if result.Outcome == routing.Succeeded {
+		a.request.done = true
+		if s.answersTellSize {
+			result.SizeKB = s.size(a.request.Object)
+		}
+	}
+	if !s.answersTellSize {
+		result.FillWait = 0
+	}
+	result.Note = s.visible(result.Note)
+	known := false
+	s.call(func(now float64) { known = s.router.HandleResult(now, result) })
+	s.hash('K', known)
+}
+
+// visible is what a note tells at the router's level of detail.
+func (s *scriptedShard) visible(note routing.Note) routing.Note {
+	switch {
+	case s.router.NoteDetail == routing.FillNotes:
+		return note
+	case s.router.NoteDetail == routing.HitNotes && (note == routing.CacheHit || note == routing.StaleHit):
+		return routing.CacheHit
+	}
+	return routing.NoNote
+}
+
+// Forward records an attempt and has its host serve it.
+func (s *scriptedShard) Forward(a routing.Attempt) {
+	s.record.Forwards++
+	s.hash('F', a.RequestID, a.Host, a.Source, a.CachePriority, a.MaxAge, a.Coalesce, a.Revalidate, a.CachedOnly, a.SendBy)
+	r := s.requests[a.RequestID]
+	attempt := &scriptedAttempt{Attempt: a, request: r, number: len(r.attempts), sentAt: s.now}
+	r.attempts = append(r.attempts, attempt)
+	s.serve(attempt)
+}
+
+// Cancel records that an attempt is given up, and has its host drop it.
+func (s *scriptedShard) Cancel(requestID uint32, attempt int) {
+	s.record.Cancels++
+	s.hash('C', requestID, attempt)
+	a := s.requests[requestID].attempts[attempt]
+	s.schedule(s.now+networkDelay, func() { s.complete(a, routing.AttemptResult{Outcome: routing.Canceled}) })
+}
+
+// Shed records that a request is answered with a time to come back after.
+func (s *scriptedShard) Shed(requestID uint32, retryAfter float64) {
+	s.record.Sheds++
+	s.hash('S', requestID, retryAfter)
+	s.requests[requestID].done = true
+}
+
+// Fail records that a request is answered with an error.
+func (s *scriptedShard) Fail(requestID uint32) {
+	s.record.Fails++
+	s.hash('E', requestID)
+	s.requests[requestID].done = true
+}
+
+// Schedule records a timer and sets it.
+func (s *scriptedShard) Schedule(delay float64, cookie string) {
+	s.hash('T', delay, len(cookie))
+	s.schedule(s.now+delay, func() { s.call(s.router.HandleTimer) })
+}
+
+// PollEndpoints records that the endpoint list is asked for, and gives it after a while, or fails.
+func (s *scriptedShard) PollEndpoints() {
+	s.record.Polls++
+	s.hash('P')
+	failed := s.chance(listFailedShare)
+	s.schedule(s.now+0.05, func() {
+		if failed {
+			s.updateEndpoints(routing.ListFailed, nil)
+			return
+		}
+		s.updateEndpoints(routing.ListComplete, s.endpoints())
+	})
+}
+
+// Log, HostEjected and HostRecovered only report, and are not part of the decisions: none is hashed.
+func (s *scriptedShard) Log(string) {}
+
+// HostEjected reports that a host is left.
+func (s *scriptedShard) HostEjected(uint32) {}
+
+// HostRecovered reports that a host is trusted again.
+func (s *scriptedShard) HostRecovered(uint32) {}
+
+// hash adds an action of the shard, with all bits of its arguments.
+func (s *scriptedShard) hash(action byte, arguments ...any) {
+	write := func(bits uint64) { _ = binary.Write(s.actions, binary.LittleEndian, bits) }
+	write(uint64(s.index)<<8 | uint64(action))
+	write(math.Float64bits(s.now))
+	for _, argument := range arguments {
+		switch x := argument.(type) {
+		case float64:
+			write(math.Float64bits(x))
+		case uint32:
+			write(uint64(x))
+		case int:
+			write(uint64(x))
+		case bool:
+			write(map[bool]uint64{false: 0, true: 1}[x])
+		default:
+			panic(fmt.Sprintf("no way to hash a %T", x))
+		}
+	}
+}
+
+// serve schedules how a host answers an attempt.
+func (s *scriptedShard) serve(a *scriptedAttempt) {
+	h := s.hosts[a.Host]
+	fail := func(after float64, o routing.Outcome, n routing.Note) {
+		s.schedule(s.now+after, func() { s.complete(a, routing.AttemptResult{Outcome: o, Note: n}) })
+	}
+	switch {
+	case s.chance(withdrawnShare):
+		fail(0.001, routing.Withdrawn, routing.NoNote)
+	case h.unreachable || h.endpoint.Phase == routing.Removed:
+		fail(0.05+0.1*s.random.Float64(), routing.Unreachable, routing.NoNote)
+	case h.silent: // it ends when the client leaves, or by a cancel
+	case s.chance(arrivedLateShare):
+		fail(networkDelay, routing.ArrivedLate, routing.NoNote)
+	case h.active >= h.queue:
+		fail(2*networkDelay, routing.Rejected, routing.NoNote)
+	case s.chance(h.failShare):
+		fail(s.transferTime(h, a), routing.HostFailed, routing.NoNote)
+	case s.chance(h.lostShare):
+		fail(s.transferTime(h, a)/2, routing.ConnectionLost, routing.NoNote)
+	default:
+		s.hold(a, h)
+		s.serveCopy(a, h)
+	}
+}
+
+// hold books an attempt as active at a host until it completes.
+func (s *scriptedShard) hold(a *scriptedAttempt, h *scriptedHost) {
+	h.active++
+	a.active = append(a.active, h)
+}
+
+// transferTime is how long a host takes for the object of an attempt, as crowded as it is.
+func (s *scriptedShard) transferTime(h *scriptedHost, a *scriptedAttempt) float64 {
+	crowding := math.Max(1, float64(h.active)/float64(h.slots))
+	noise := 0.8 + 0.4*s.random.Float64()
+	return 2*networkDelay + s.size(a.request.Object)/transferRateKB*crowding*h.slowness*noise
+}
+
+// holds tells whether a host has a copy that is young enough for an attempt.
+func (s *scriptedShard) holds(h *scriptedHost, a *scriptedAttempt) bool {
+	at, stored := h.stored[a.request.Object]
+	return stored && (a.MaxAge == 0 || s.now-at <= a.MaxAge)
+}
+
+// serveCopy answers out of what a host stores, or has it filled.
+func (s *scriptedShard) serveCopy(a *scriptedAttempt, h *scriptedHost) {
+	took := s.transferTime(h, a)
+	result := routing.AttemptResult{Outcome: routing.Succeeded, Note: routing.CacheHit}
+	switch {
+	case h.endpoint.Kind == originKind:
+		result.Note = routing.FilledByOrigin
+	case s.holds(h, a):
+		if s.chance(staleShare) {
+			result.Note = routing.StaleHit
+		}
+	case h.endpoint.Kind == parentKind: // it fills itself
+		took += s.transferTime(s.hosts[originID], a)
+		result.Note = routing.FilledByOrigin
+	case a.Source == a.Host: // it is asked for a stored copy alone
+		result.Outcome, result.Note, took = routing.NotCached, routing.NoNote, 2*networkDelay
+	default:
+		s.fill(a, h, took)
+		return
+	}
+	s.finish(a, h, took, result)
+}
+
+// fill has a cache fetch the object of an attempt from the source that it names.
+func (s *scriptedShard) fill(a *scriptedAttempt, h *scriptedHost, took float64) {
+	source, origin := s.hosts[a.Source], s.hosts[originID]
+	result := routing.AttemptResult{Outcome: routing.Succeeded, Note: routing.Filled}
+	fromOrigin := a.Source == originID || !s.holds(source, a)
+	switch {
+	case h.filling[a.request.Object] > 0 && a.Coalesce:
+		result.Note = routing.FillCoalesced
+	case source.silent: // nothing comes
+		return
+	case source.unreachable || s.chance(source.failShare):
+		result.Outcome, result.Note = routing.HostFailed, routing.SourceFailed
+	case source.active >= source.queue:
+		result.Outcome, result.Note, took = routing.Rejected, routing.SourceRejected, 4*networkDelay
+	case fromOrigin && a.CachedOnly:
+		result.Outcome, result.Note, took = routing.NotCached, routing.SourceNotCached, 4*networkDelay
+	case fromOrigin && (origin.unreachable || s.chance(origin.failShare)):
+		result.Outcome, result.Note, took = routing.HostFailed, routing.OriginFailed, 6*networkDelay
+	case h.active >= h.queue*3/4:
+		result.Outcome, result.Note, took = routing.Rejected, routing.FillsExhausted, 2*networkDelay
+	case fromOrigin:
+		result.Note, result.FillWait = routing.FilledByOrigin, 4*networkDelay+s.transferTime(origin, a)
+	default:
+		result.FillWait = 2 * networkDelay
+	}
+	took += result.FillWait
+	if result.Outcome == routing.Succeeded {
+		took += s.transferTime(source, a) * s.ingressSlowness
+		s.hold(a, source)
+		if fromOrigin {
+			s.hold(a, origin)
+		}
+		h.filling[a.request.Object]++
+		a.fills = h
+	}
+	s.finish(a, h, took, result)
+}
+
+// finish schedules the end of an attempt; copies are stored as it ends.
+func (s *scriptedShard) finish(a *scriptedAttempt, h *scriptedHost, took float64, result routing.AttemptResult) {
+	if result.Outcome == routing.Succeeded && s.chance(streamingShare) {
+		s.schedule(s.now+took/2, func() {
+			if !a.completed && !a.request.done {
+				a.request.done = true
+				s.call(func(now float64) { s.router.HandleStreaming(now, a.RequestID, a.number) })
+			}
+		})
+	}
+	s.schedule(s.now+took, func() {
+		if !a.completed && result.Outcome == routing.Succeeded && result.Note != routing.CacheHit {
+			h.stored[a.request.Object] = s.now
+			if source := s.hosts[a.Source]; source.endpoint.Kind == parentKind {
+				source.stored[a.request.Object] = s.now
+			}
+		}
+		s.complete(a, result)
+	})
+}
+
+// creditPool is the credit that all shards have together for a host in slow start.
+type creditPool struct{ credit, since float64 }
+
+// probeClaim is the shard that probes an ejected host, and until when.
+type probeClaim struct {
+	shard int
+	until float64
+}
+
+var _ routing.ShardPeers = (*scriptedShard)(nil)
+
+// AccrueCredit adds to the credit of a host.
+func (s *scriptedShard) AccrueCredit(host uint32, since, first, add, most float64) float64 {
+	s.hash('A', host, since, first, add, most)
+	p := s.pools[host]
+	if p == nil || p.since != since {
+		p = &creditPool{first, since}
+		s.pools[host] = p
+	}
+	p.credit = math.Min(p.credit+add, math.Max(most, p.credit))
+	return p.credit
+}
+
+// SpendCredit takes work out of the credit of a host.
+func (s *scriptedShard) SpendCredit(host uint32, work float64) bool {
+	s.hash('W', host, work)
+	p := s.pools[host]
+	if p == nil || p.credit < work {
+		return false
+	}
+	p.credit -= work
+	return true
+}
+
+// ClaimProbe lets one shard at a time probe a host.
+func (s *scriptedShard) ClaimProbe(now float64, host uint32) bool {
+	claim, claimed := s.probes[host]
+	if claimed && claim.shard != s.index && now < claim.until {
+		return false
+	}
+	s.probes[host] = probeClaim{s.index, now + 3}
+	return true
+}
+
+// Publish records an update and passes it to the other shards.
+func (s *scriptedShard) Publish(u routing.PeerUpdate) {
+	s.record.PeerUpdates++
+	s.hash('U', u.Host, int(u.Limit), u.LateShare, u.Ejected, u.Until, u.Backoff)
+	for _, other := range s.shards {
+		if other != s {
+			s.schedule(s.now, func() { other.call(func(now float64) { other.router.HandlePeerUpdate(now, u) }) })
+		}
+	}
+}
+
+// change tells all shards of changes to some hosts.
+func (f *scriptedFleet) changeEndpoints(ids []uint32, change func(h *scriptedHost)) {
+	var list []routing.Endpoint
+	for _, id := range ids {
+		change(f.hosts[id])
+		list = append(list, f.hosts[id].endpoint)
+	}
+	for _, s := range f.shards {
+		s.updateEndpoints(routing.ListChanges, list)
+	}
+}
+
+// cacheIDs is those of the caches of the routers' zone from one number to before another.
+func (f *scriptedFleet) cacheIDs(from, to int) []uint32 {
+	var ids []uint32
+	for _, id := range f.ids {
+		if id >= firstCacheID && id < firstParentID {
+			ids = append(ids, id)
+		}
+	}
+	slices.Sort(ids)
+	return ids[min(from, len(ids)):min(to, len(ids))]
+}
--- /dev/null
+++ b/core/routing/golden_test.go
@@ -0,0 +1,296 @@
+// The golden test plays routers against a scripted fleet (golden_fleet_test.go) with fixed seeds, hashes all actions of the
+// routers with all bits of their numbers, and compares the hashes with testdata/decisions.golden.json: a change that is to
+// leave decisions as they are must leave the file as it is. What only reports (Log, HostEjected, HostRecovered) is not hashed.
+// A change of decisions makes the file anew by
+//
+//	go test ./core/routing -run TestGoldenDecisions -update
+//
+// and says in its commit why decisions differ. The values hold for amd64; compilers for other processors fuse
+// multiplications with additions, which changes last bits.
+package routing_test
+
+import (
+	"elderwall/core/routing"
+	"elderwall/core/routing/retrybudget"
+	"encoding/json"
+	"flag"
+	"os"
+	"path/filepath"
+	"runtime"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// goldenRecord is what a run of a case must come to.
+type goldenRecord struct {
+	Forwards, Cancels, Sheds, Fails, Polls, PeerUpdates int
+
+	Checkpoints []string // the beginnings of the hash at every checkpointSpan: the first that differs tells when
+	Hash        string   // of all actions
+}
+
+// goldenCase is one scripted run.
+type goldenCase struct {
+	name string
+	seed uint64
+
+	seconds, rate   float64 // of the run, and requests a second
+	objects         int
+	skew            float64 // exponent by which low object numbers are preferred
+	hotShare        float64 // share of the requests that are for one object
+	caches, cells   int     // in the zone of the routers
+	parents, shards int
+
+	sized, answersTellSize bool    // whether requests and answers tell sizes
+	ingressLoad            float64 // the highest that answers report; 0 for none
+	ingressSlowness        float64 // multiple of the usual time of fills
+
+	change func(s *routing.Settings)
+	script []scriptStep
+}
+
+// scriptStep is something that happens to the fleet.
+type scriptStep struct {
+	at float64
+	do func(f *scriptedFleet)
+}
+
+// goldenSettings is what the routers of a case are told, unless it changes them.
+func goldenSettings(seed uint64) routing.Settings {
+	return routing.Settings{
+		Dispatchers: 3, Seed: seed, Zone: 1, DispatchersByZone: []int{1, 2},
+		Services: []routing.DeliveryService{
+			{
+				Objective: 0.15, Stretch: 1.5, ViewerTimeout: 1.5, PriorityWeight: 1,
+				Idempotency: routing.Idempotent, DedupScope: routing.AllHosts, DedupWindow: 2,
+			},
+			{
+				Objective: 0.3, Stretch: 0.5, ViewerTimeout: 3, PriorityWeight: 8,
+				Idempotency: routing.Idempotent, DedupScope: routing.SameZone, DedupWindow: 1, TTL: 60,
+			},
+		},
+		ParentKind: parentKind, OriginKind: originKind, TransferRateKB: transferRateKB,
+		BypassCaches: true, CoalesceFills: true, NoteDetail: routing.FillNotes,
+		MaxAttempts: 6, CanCancel: true, Hedging: true, MaxRetryAfter: 1,
+		SlowStartInitial: 0.2, SlowStartRamp: 10, OverloadMultiple: 2, OverloadWindow: 1,
+		ParentSlowStartInitial: 0.1, ParentSlowStartRamp: 20, ParentOverloadMultiple: 2, PurgeGrace: 6,
+	}
+}
+
+// baseCase is a fleet of moderate size in which each kind of fault happens; cases change some of it.
+func baseCase(name string, seed uint64, change func(c *goldenCase)) goldenCase {
+	c := goldenCase{
+		name: name, seed: seed, seconds: 24, rate: 250, objects: 3000, skew: 3, hotShare: 0.1,
+		caches: 16, cells: 4, parents: 3, shards: 1, sized: true, answersTellSize: true, ingressSlowness: 1,
+		script: []scriptStep{
+			{0.5, setHosts(0, 16, func(h *scriptedHost) { h.failShare, h.lostShare = 0.01, 0.01 })},
+			{3, setHosts(0, 1, func(h *scriptedHost) { h.silent = true })},
+			{4, setHosts(1, 3, func(h *scriptedHost) { h.failShare = 0.8 })},
+			{5, setHosts(3, 4, func(h *scriptedHost) { h.unreachable = true })},
+			{6, setHosts(4, 6, func(h *scriptedHost) { h.slowness = 15 })},
+			{7, restartCaches(6, 8)},
+			{8, setParent(0, func(h *scriptedHost) { h.silent = true })},
+			{9, purge("hot", 0)},
+			{10, setHosts(0, 6, func(h *scriptedHost) { h.silent, h.unreachable, h.failShare, h.slowness = false, false, 0.01, 1 })},
+			{11, drainCaches(8, 9)},
+			{12, setParent(0, func(h *scriptedHost) { h.silent = false })},
+			{13, restartParent(1)},
+			{14, setOrigin(func(h *scriptedHost) { h.failShare = 0.9 })},
+			{15, purge("", 1)},
+			{17, setOrigin(func(h *scriptedHost) { h.failShare = 0 })},
+			{18, setHosts(0, 16, func(h *scriptedHost) { h.slots, h.queue = 1, 4 })},
+			{21, setHosts(0, 16, func(h *scriptedHost) { h.slots, h.queue = 8, 24 })},
+		},
+	}
+	if change != nil {
+		change(&c)
+	}
+	return c
+}
+
+// setHosts changes the behavior of some caches; the list does not tell.
+func setHosts(from, to int, change func(h *scriptedHost)) func(f *scriptedFleet) {
+	return func(f *scriptedFleet) {
+		for _, id := range f.cacheIDs(from, to) {
+			change(f.hosts[id])
+		}
+	}
+}
+
+func setParent(number uint32, change func(h *scriptedHost)) func(f *scriptedFleet) {
+	return func(f *scriptedFleet) {
+		if h := f.hosts[firstParentID+number]; h != nil {
+			change(h)
+		}
+	}
+}
+
+func setOrigin(change func(h *scriptedHost)) func(f *scriptedFleet) {
+	return func(f *scriptedFleet) { change(f.hosts[originID]) }
+}
+
+// restart empties a host, which has been online since now.
+func restart(f *scriptedFleet, ids []uint32) {
+	f.changeEndpoints(ids, func(h *scriptedHost) {
+		clear(h.stored)
+		h.endpoint.OnlineSince, h.endpoint.OnlineSinceKnown = f.now, true
+	})
+}
+
+func restartCaches(from, to int) func(f *scriptedFleet) {
+	return func(f *scriptedFleet) { restart(f, f.cacheIDs(from, to)) }
+}
+
+func restartParent(number uint32) func(f *scriptedFleet) {
+	return func(f *scriptedFleet) {
+		if id := firstParentID + number; f.hosts[id] != nil {
+			restart(f, []uint32{id})
+		}
+	}
+}
+
+// drainCaches has some caches drain, and a second later go; as many new ones come in their place.
+func drainCaches(from, to int) func(f *scriptedFleet) {
+	return func(f *scriptedFleet) {
+		ids := f.cacheIDs(from, to)
+		f.changeEndpoints(ids, func(h *scriptedHost) { h.endpoint.Phase = routing.Draining })
+		f.schedule(f.now+1, func() {
+			f.changeEndpoints(ids, func(h *scriptedHost) { h.endpoint.Phase = routing.Removed })
+			var added []uint32
+			for _, id := range ids {
+				e := f.hosts[id].endpoint
+				e.ID += 3
+				f.addHost(e)
+				added = append(added, e.ID)
+			}
+			restart(f, added)
+		})
+	}
+}
+
+// purge tells all shards of a purge a little late, and drops the copies in the caches over the next second.
+func purge(object string, group int) func(f *scriptedFleet) {
+	return func(f *scriptedFleet) {
+		const age = 0.2 // s
+		for _, s := range f.shards {
+			s.call(func(now float64) { s.router.HandlePurge(now, object, group, age) })
+		}
+	}
+}
+
+// setQuota shares out a bound on the attempts at a host; host 0 is what may need the origin.
+func setQuota(host uint32, most int) func(f *scriptedFleet) {
+	return func(f *scriptedFleet) {
+		for _, s := range f.shards {
+			s.call(func(float64) { s.router.SetQuota(host, most) })
+		}
+	}
+}
+
+// manyHosts is a fleet of 300 caches in racks.
+func manyHosts(c *goldenCase) {
+	c.caches, c.cells, c.rate, c.hotShare = 300, 15, 400, 0.4
+	c.script = []scriptStep{
+		{2, restartCaches(0, 30)},
+		{4, setHosts(20, 60, func(h *scriptedHost) { h.silent = true })},
+		{5, setHosts(100, 110, func(h *scriptedHost) { h.unreachable = true })},
+		{6, setHosts(140, 160, func(h *scriptedHost) { h.unreachable = true })},
+		{7, setHosts(200, 230, func(h *scriptedHost) { h.failShare = 0.7 })},
+		{10, setHosts(0, 300, func(h *scriptedHost) { h.silent, h.unreachable, h.failShare = false, false, 0 })},
+		{14, setHosts(0, 130, func(h *scriptedHost) { h.silent = true })},
+		{17, setHosts(0, 130, func(h *scriptedHost) { h.silent = false })},
+		{18, drainCaches(240, 290)},
+		{19, setHosts(60, 260, func(h *scriptedHost) { h.slowness = 8 })},
+	}
+}
+
+// service changes both delivery services of a case.
+func service(change func(d *routing.DeliveryService)) func(s *routing.Settings) {
+	return func(s *routing.Settings) {
+		for i := range s.Services {
+			change(&s.Services[i])
+		}
+	}
+}
+
+func goldenCases() []goldenCase {
+	settings := func(change func(s *routing.Settings)) func(c *goldenCase) {
+		return func(c *goldenCase) { c.change = change }
+	}
+	dedup := func(scope routing.DedupScope) func(c *goldenCase) {
+		return settings(service(func(d *routing.DeliveryService) { d.Idempotency, d.DedupScope = routing.IdempotencyKeyed, scope }))
+	}
+	return []goldenCase{
+		baseCase("one module", 1, nil),
+		baseCase("one module, another seed", 2, nil),
+		baseCase("one module, a third seed", 3, nil),
+		baseCase("four shards", 4, func(c *goldenCase) { c.shards = 4 }),
+		baseCase("hit notes", 5, settings(func(s *routing.Settings) { s.NoteDetail = routing.HitNotes })),
+		baseCase("no notes", 6, settings(func(s *routing.Settings) { s.NoteDetail = routing.NoNotes })),
+		baseCase("the endpoint list is polled", 7, settings(func(s *routing.Settings) { s.PollEndpoints = true })),
+		baseCase("weights known", 8, settings(func(s *routing.Settings) { s.WeightsKnown = true })),
+		baseCase("keyed, known in a cell", 9, dedup(routing.SameCell)),
+		baseCase("keyed, known in a zone", 10, dedup(routing.SameZone)),
+		baseCase("keyed, known at all hosts", 11, dedup(routing.AllHosts)),
+		baseCase("not idempotent", 12, settings(service(func(d *routing.DeliveryService) { d.Idempotency = routing.NonIdempotent }))),
+		baseCase("no hedging", 13, settings(func(s *routing.Settings) { s.Hedging = false })),
+		baseCase("no cancel", 14, settings(func(s *routing.Settings) { s.CanCancel = false })),
+		baseCase("sizes not told", 15, func(c *goldenCase) { c.sized, c.answersTellSize = false, false }),
+		baseCase("sizes told by answers alone", 16, func(c *goldenCase) { c.sized = false }),
+		baseCase("ingress reported crowded", 17, func(c *goldenCase) { c.ingressLoad, c.ingressSlowness = 2.2, 6 }),
+		baseCase("retry budget", 18, settings(func(s *routing.Settings) {
+			shared := 0
+			s.Retries = retrybudget.Settings{Share: 0.05, Floor: 2, Fleet: func() bool { shared++; return shared%5 > 0 }}
+		})),
+		baseCase("quotas", 19, func(c *goldenCase) {
+			c.script = append(c.script, scriptStep{1, setQuota(0, 6)}, scriptStep{2, setQuota(firstParentID, 2)},
+				scriptStep{2, setQuota(firstCacheID+7*9, 1)}, scriptStep{10, setQuota(0, 2)}, scriptStep{16, setQuota(0, 30)})
+		}),
+		baseCase("few hosts and no way past them", 20, func(c *goldenCase) {
+			c.caches, c.cells, c.parents, c.rate = 3, 1, 1, 60
+			c.change = func(s *routing.Settings) { s.BypassCaches, s.CoalesceFills, s.MaxAttempts = false, false, 3 }
+		}),
+		baseCase("300 hosts in racks", 21, manyHosts),
+		baseCase("300 hosts in racks, two shards", 22, func(c *goldenCase) {
+			manyHosts(c)
+			c.shards, c.sized = 2, false
+		}),
+		baseCase("overload", 23, func(c *goldenCase) {
+			c.caches, c.rate, c.ingressSlowness = 6, 900, 3
+			c.script = append(c.script, scriptStep{2, setHosts(0, 6, func(h *scriptedHost) { h.slots, h.queue, h.slowness = 2, 12, 2 })})
+		}),
+		baseCase("a large catalog", 24, func(c *goldenCase) {
+			c.objects, c.skew, c.rate, c.seconds, c.hotShare = 150_000, 1.2, 4000, 16, 0.02
+			c.script = c.script[:8]
+		}),
+	}
+}
+
+func TestGoldenDecisions(t *testing.T) {
+	if runtime.GOARCH != "amd64" {
+		t.Skip("the golden values are those of amd64")
+	}
+	path := filepath.Join("testdata", "decisions.golden.json")
+	got := map[string]goldenRecord{}
+	for _, c := range goldenCases() {
+		got[c.name] = newScriptedFleet(c).run()
+	}
+	if *update {
+		raw, err := json.MarshalIndent(got, "", "\t")
+		require.NoError(t, err)
+		require.NoError(t, os.WriteFile(path, append(raw, '\n'), 0o644))
+		return
+	}
+	raw, err := os.ReadFile(path)
+	require.NoError(t, err, "it is made by -update")
+	want := map[string]goldenRecord{}
+	require.NoError(t, json.Unmarshal(raw, &want))
+	require.Len(t, got, len(want), "cases")
+	for _, c := range goldenCases() {
+		t.Run(c.name, func(t *testing.T) { assert.Equal(t, want[c.name], got[c.name]) })
+	}
+}
