--- a/core/routing/golden_fleet_test.go
+++ b/core/routing/golden_fleet_test.go
@@ -29,11 +29,16 @@
 
 // Constants of the scripted hosts.
 const (
-	networkDelay      = 0.002 // s; one way
+	networkDelay      = 0.001 // s; one way
 	transferRateKB    = 1000  // KB a second of one transfer at full pace
+	tinyObjectShare   = 0.05  // share of the objects that are too small for their time to tell a pace
 	checkpointSpan    = 2.0   // s between two checkpoints of a run
+	impatientShare    = 0.03  // share of the requests with a short deadline
+	impatientFor      = 0.15  // s; that
 	goneEarlyShare    = 0.02  // share of the clients that leave before their answer
 	streamingShare    = 0.2   // share of the successful answers whose first byte is announced
+	pauseShare        = 0.05  // share of the transfers that pause on the way
+	longestPause      = 0.020 // s
 	staleShare        = 0.02  // share of the hits that are stale
 	withdrawnShare    = 0.003 // share of the attempts that are withdrawn before a byte went out
 	arrivedLateShare  = 0.003 // share of the attempts that reach their host after SendBy
@@ -253,6 +258,9 @@
 	kb, known := f.sizes[object]
 	if !known {
 		kb = 2 + f.random.ExpFloat64()*20
+		if f.chance(tinyObjectShare) {
+			kb = 0.045 + 0.01*f.random.Float64()
+		}
 		f.sizes[object] = kb
 	}
 	return kb
@@ -264,6 +272,9 @@
 	object, service := f.object(), f.random.IntN(len(f.services))
 	s := f.shards[f.random.IntN(len(f.shards))]
 	deadline := f.now + f.services[service].ViewerTimeout
+	if f.chance(impatientShare) {
+		deadline = f.now + impatientFor
+	}
 	r := &scriptedRequest{Request: routing.Request{
 		ID: f.lastID, Service: service, Object: object, Group: len(object) % 3, Part: f.random.IntN(2), Deadline: deadline,
 	}}
@@ -411,7 +422,11 @@
 
 // hash adds an action of the shard, with all bits of its arguments.
 func (s *scriptedShard) hash(action byte, arguments ...any) {
-	write := func(bits uint64) { _ = binary.Write(s.actions, binary.LittleEndian, bits) }
+	var buffer [8]byte
+	write := func(bits uint64) {
+		binary.LittleEndian.PutUint64(buffer[:], bits)
+		_, _ = s.actions.Write(buffer[:])
+	}
 	write(uint64(s.index)<<8 | uint64(action))
 	write(math.Float64bits(s.now))
 	for _, argument := range arguments {
@@ -466,7 +481,11 @@
 func (s *scriptedShard) transferTime(h *scriptedHost, a *scriptedAttempt) float64 {
 	crowding := math.Max(1, float64(h.active)/float64(h.slots))
 	noise := 0.8 + 0.4*s.random.Float64()
-	return 2*networkDelay + s.size(a.request.Object)/transferRateKB*crowding*h.slowness*noise
+	pause := 0.0
+	if s.chance(pauseShare) {
+		pause = longestPause * s.random.Float64()
+	}
+	return 2*networkDelay + pause + s.size(a.request.Object)/transferRateKB*crowding*h.slowness*noise
 }
 
 // holds tells whether a host has a copy that is young enough for an attempt.
@@ -523,9 +542,8 @@
 	default:
 		result.FillWait = 2 * networkDelay
 	}
-	took += result.FillWait
-	if result.Outcome == routing.Succeeded {
-		took += s.transferTime(source, a) * s.ingressSlowness
+	if result.Outcome == routing.Succeeded { // bytes are passed on as they come
+		took = math.Max(took, s.transferTime(source, a)*s.ingressSlowness) + result.FillWait
 		s.hold(a, source)
 		if fromOrigin {
 			s.hold(a, origin)
--- a/core/routing/golden_test.go
+++ b/core/routing/golden_test.go
@@ -88,19 +88,22 @@
 		caches: 16, cells: 4, parents: 3, shards: 1, sized: true, answersTellSize: true, ingressSlowness: 1,
 		script: []scriptStep{
 			{0.5, setHosts(0, 16, func(h *scriptedHost) { h.failShare, h.lostShare = 0.01, 0.01 })},
+			{1, setHosts(10, 11, func(h *scriptedHost) { h.unreachable = true })}, // for so long that its backoff is the longest
 			{3, setHosts(0, 1, func(h *scriptedHost) { h.silent = true })},
 			{4, setHosts(1, 3, func(h *scriptedHost) { h.failShare = 0.8 })},
 			{5, setHosts(3, 4, func(h *scriptedHost) { h.unreachable = true })},
-			{6, setHosts(4, 6, func(h *scriptedHost) { h.slowness = 15 })},
+			{6, setHosts(4, 5, func(h *scriptedHost) { h.slowness = 15 })},
+			{6, setHosts(5, 6, func(h *scriptedHost) { h.slowness = 60 })},
 			{7, restartCaches(6, 8)},
 			{8, setParent(0, func(h *scriptedHost) { h.silent = true })},
-			{9, purge("hot", 0)},
+			{9, purge("hot", 0, 0)},
 			{10, setHosts(0, 6, func(h *scriptedHost) { h.silent, h.unreachable, h.failShare, h.slowness = false, false, 0.01, 1 })},
 			{11, drainCaches(8, 9)},
+			{11, setParent(2, func(h *scriptedHost) { h.queue = 3 })},
 			{12, setParent(0, func(h *scriptedHost) { h.silent = false })},
 			{13, restartParent(1)},
 			{14, setOrigin(func(h *scriptedHost) { h.failShare = 0.9 })},
-			{15, purge("", 1)},
+			{15, purge("", 1, 0.2)},
 			{17, setOrigin(func(h *scriptedHost) { h.failShare = 0 })},
 			{18, setHosts(0, 16, func(h *scriptedHost) { h.slots, h.queue = 1, 4 })},
 			{21, setHosts(0, 16, func(h *scriptedHost) { h.slots, h.queue = 8, 24 })},
@@ -172,13 +175,15 @@
 	}
 }
 
-// purge tells all shards of a purge a little late, and drops the copies in the caches over the next second.
-func purge(object string, group int) func(f *scriptedFleet) {
+// purge tells all shards of a purge so many seconds after it, and has clients ask at the same moment.
+func purge(object string, group int, age float64) func(f *scriptedFleet) {
 	return func(f *scriptedFleet) {
-		const age = 0.2 // s
 		for _, s := range f.shards {
 			s.call(func(now float64) { s.router.HandlePurge(now, object, group, age) })
 		}
+		for range 20 {
+			f.request()
+		}
 	}
 }
 
@@ -241,11 +246,27 @@
 		baseCase("no cancel", 14, settings(func(s *routing.Settings) { s.CanCancel = false })),
 		baseCase("sizes not told", 15, func(c *goldenCase) { c.sized, c.answersTellSize = false, false }),
 		baseCase("sizes told by answers alone", 16, func(c *goldenCase) { c.sized = false }),
-		baseCase("ingress reported crowded", 17, func(c *goldenCase) { c.ingressLoad, c.ingressSlowness = 2.2, 6 }),
+		baseCase("ingress reported crowded", 17, func(c *goldenCase) { c.ingressLoad = 2.2 }),
+		baseCase("ingress slow", 27, func(c *goldenCase) { c.ingressSlowness = 6 }),
+		baseCase("a slow origin from the start", 28, func(c *goldenCase) {
+			c.caches, c.cells, c.seconds, c.rate = 3, 1, 8, 500
+			c.script = []scriptStep{
+				{0, setOrigin(func(h *scriptedHost) { h.slowness, h.queue = 40, 1000 })},
+				{0, setHosts(0, 3, func(h *scriptedHost) { h.slots, h.queue = 500, 1000 })},
+				{4, setOrigin(func(h *scriptedHost) { h.slowness = 1 })},
+			}
+		}),
 		baseCase("retry budget", 18, settings(func(s *routing.Settings) {
 			shared := 0
 			s.Retries = retrybudget.Settings{Share: 0.05, Floor: 2, Fleet: func() bool { shared++; return shared%5 > 0 }}
 		})),
+		baseCase("default retry budget", 31, func(c *goldenCase) {
+			c.change = func(s *routing.Settings) { s.Retries = retrybudget.Default() }
+			c.script = []scriptStep{
+				{2, setHosts(0, 16, func(h *scriptedHost) { h.failShare = 0.5 })},
+				{12, setHosts(0, 16, func(h *scriptedHost) { h.failShare = 0.1 })},
+			}
+		}),
 		baseCase("quotas", 19, func(c *goldenCase) {
 			c.script = append(c.script, scriptStep{1, setQuota(0, 6)}, scriptStep{2, setQuota(firstParentID, 2)},
 				scriptStep{2, setQuota(firstCacheID+7*9, 1)}, scriptStep{10, setQuota(0, 2)}, scriptStep{16, setQuota(0, 30)})
@@ -259,10 +280,38 @@
 			manyHosts(c)
 			c.shards, c.sized = 2, false
 		}),
+		baseCase("as few hosts as speak for their racks", 29, func(c *goldenCase) {
+			manyHosts(c)
+			c.caches, c.cells, c.seconds = 64, 8, 18
+		}),
+		baseCase("two large racks, one just over half", 30, func(c *goldenCase) {
+			c.caches, c.cells, c.rate, c.seconds, c.hotShare, c.skew = 101, 2, 600, 18, 0, 1
+			c.script = nil
+			for _, at := range []float64{2, 6} {
+				c.script = append(c.script, scriptStep{at, setHosts(0, 26, func(h *scriptedHost) { h.unreachable = true })},
+					scriptStep{at + 2, setHosts(0, 51, func(h *scriptedHost) { h.unreachable = at > 2 })})
+			}
+			c.script = append(c.script, scriptStep{14, setHosts(0, 51, func(h *scriptedHost) { h.unreachable = false })})
+		}),
+		baseCase("1,500 hosts in racks", 25, func(c *goldenCase) {
+			manyHosts(c)
+			c.caches, c.cells, c.rate, c.seconds, c.hotShare, c.skew = 1500, 50, 1500, 8, 0, 1
+			c.script = []scriptStep{
+				{2, setHosts(0, 700, func(h *scriptedHost) { h.unreachable = true })},
+				{4, setHosts(0, 700, func(h *scriptedHost) { h.unreachable = false })},
+			}
+		}),
 		baseCase("overload", 23, func(c *goldenCase) {
-			c.caches, c.rate, c.ingressSlowness = 6, 900, 3
+			c.caches, c.rate, c.ingressSlowness, c.seconds = 6, 900, 3, 16
 			c.script = append(c.script, scriptStep{2, setHosts(0, 6, func(h *scriptedHost) { h.slots, h.queue, h.slowness = 2, 12, 2 })})
 		}),
+		baseCase("some caches crowded", 26, func(c *goldenCase) {
+			c.rate, c.objects, c.skew, c.sized = 500, 500, 4, false
+			for i := range 10 {
+				slowness := float64(8 + 4*i)
+				c.script = append(c.script, scriptStep{float64(i) + 2, setHosts(6, 10, func(h *scriptedHost) { h.slowness = slowness })})
+			}
+		}),
 		baseCase("a large catalog", 24, func(c *goldenCase) {
 			c.objects, c.skew, c.rate, c.seconds, c.hotShare = 150_000, 1.2, 4000, 16, 0.02
 			c.script = c.script[:8]
