--- a/core/routing/golden_fleet_test.go
+++ b/core/routing/golden_fleet_test.go
@@ -39,6 +39,7 @@
 	streamingShare    = 0.2   // share of the successful answers whose first byte is announced
 	pauseShare        = 0.05  // share of the transfers that pause on the way
 	longestPause      = 0.020 // s
+	stallTime         = 0.5   // s; longer than the latency objectives
 	staleShare        = 0.02  // share of the hits that are stale
 	withdrawnShare    = 0.003 // share of the attempts that are withdrawn before a byte went out
 	arrivedLateShare  = 0.003 // share of the attempts that reach their host after SendBy
@@ -82,6 +83,7 @@
 	unreachable bool
 	failShare   float64            // of the answers that are errors
 	lostShare   float64            // of the answers whose connection breaks
+	stallShare  float64            // of the transfers that stall for stallTime
 	stored      map[string]float64 // objects with the time at which each was stored
 	filling     map[string]int     // fills under way by object
 	active      int                // attempts under way, and fills from it
@@ -485,6 +487,9 @@
 	if s.chance(pauseShare) {
 		pause = longestPause * s.random.Float64()
 	}
+	if h.stallShare > 0 && s.chance(h.stallShare) {
+		pause += stallTime
+	}
 	return 2*networkDelay + pause + s.size(a.request.Object)/transferRateKB*crowding*h.slowness*noise
 }
 
--- a/core/routing/golden_test.go
+++ b/core/routing/golden_test.go
@@ -249,11 +249,12 @@
 		baseCase("ingress reported crowded", 17, func(c *goldenCase) { c.ingressLoad = 2.2 }),
 		baseCase("ingress slow", 27, func(c *goldenCase) { c.ingressSlowness = 6 }),
 		baseCase("a slow origin from the start", 28, func(c *goldenCase) {
-			c.caches, c.cells, c.seconds, c.rate = 3, 1, 8, 500
+			c.caches, c.cells, c.parents, c.seconds, c.rate, c.skew = 3, 1, 1, 3, 3000, 1
 			c.script = []scriptStep{
+				{0, setParent(0, func(h *scriptedHost) { h.slots, h.queue = 500, 1000 })},
 				{0, setOrigin(func(h *scriptedHost) { h.slowness, h.queue = 40, 1000 })},
 				{0, setHosts(0, 3, func(h *scriptedHost) { h.slots, h.queue = 500, 1000 })},
-				{4, setOrigin(func(h *scriptedHost) { h.slowness = 1 })},
+				{1, setOrigin(func(h *scriptedHost) { h.slowness = 1 })},
 			}
 		}),
 		baseCase("retry budget", 18, settings(func(s *routing.Settings) {
@@ -293,12 +294,12 @@
 			}
 			c.script = append(c.script, scriptStep{14, setHosts(0, 51, func(h *scriptedHost) { h.unreachable = false })})
 		}),
-		baseCase("1,500 hosts in racks", 25, func(c *goldenCase) {
+		baseCase("1,850 hosts in small racks", 25, func(c *goldenCase) {
 			manyHosts(c)
-			c.caches, c.cells, c.rate, c.seconds, c.hotShare, c.skew = 1500, 50, 1500, 8, 0, 1
+			c.caches, c.cells, c.rate, c.seconds, c.hotShare, c.skew = 1850, 300, 1500, 7, 0.3, 1
 			c.script = []scriptStep{
-				{2, setHosts(0, 700, func(h *scriptedHost) { h.unreachable = true })},
-				{4, setHosts(0, 700, func(h *scriptedHost) { h.unreachable = false })},
+				{1, setHosts(0, 850, func(h *scriptedHost) { h.unreachable = true })},
+				{4, setHosts(0, 850, func(h *scriptedHost) { h.unreachable = false })},
 			}
 		}),
 		baseCase("overload", 23, func(c *goldenCase) {
@@ -312,6 +313,14 @@
 				c.script = append(c.script, scriptStep{float64(i) + 2, setHosts(6, 10, func(h *scriptedHost) { h.slowness = slowness })})
 			}
 		}),
+		baseCase("more and more answers late", 32, func(c *goldenCase) {
+			c.rate, c.objects, c.skew, c.seconds = 1500, 100, 1, 10
+			c.script = nil
+			for i := range 8 {
+				share := 0.1 * float64(i)
+				c.script = append(c.script, scriptStep{float64(i) + 1, setHosts(0, 16, func(h *scriptedHost) { h.stallShare = share })})
+			}
+		}),
 		baseCase("a large catalog", 24, func(c *goldenCase) {
 			c.objects, c.skew, c.rate, c.seconds, c.hotShare = 150_000, 1.2, 4000, 16, 0.02
 			c.script = c.script[:8]
