--- a/core/routing/golden_fleet_test.go
+++ b/core/routing/golden_fleet_test.go
@@ -128,9 +128,10 @@
 // scriptedShard is one router with the adapter that records its actions and carries them out.
 type scriptedShard struct {
 	*scriptedFleet
-	index    int
-	router   *routing.Router
-	requests map[uint32]*scriptedRequest
+	index      int
+	noteDetail routing.NoteDetail
+	router     *routing.Router
+	requests   map[uint32]*scriptedRequest
 }
 
 var _ routing.Actions = (*scriptedShard)(nil)
@@ -182,7 +183,7 @@
 	if f.goldenCase.shards > 1 {
 		settings.Shards, settings.Peers = f.goldenCase.shards, s
 	}
-	f.services = settings.Services
+	f.services, s.noteDetail = settings.Services, settings.NoteDetail
 	s.router = routing.New(settings, f.now, s)
 	if !settings.PollEndpoints {
 		s.updateEndpoints(routing.ListComplete, f.endpoints())
@@ -353,9 +354,9 @@
 // visible is what a note tells at the router's level of detail.
 func (s *scriptedShard) visible(note routing.Note) routing.Note {
 	switch {
-	case s.router.NoteDetail == routing.FillNotes:
+	case s.noteDetail == routing.FillNotes:
 		return note
-	case s.router.NoteDetail == routing.HitNotes && (note == routing.CacheHit || note == routing.StaleHit):
+	case s.noteDetail == routing.HitNotes && (note == routing.CacheHit || note == routing.StaleHit):
 		return routing.CacheHit
 	}
 	return routing.NoNote
--- a/core/routing/golden_test.go
+++ b/core/routing/golden_test.go
@@ -17,6 +17,7 @@
 	"os"
 	"path/filepath"
 	"runtime"
+	"slices"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
@@ -223,55 +224,16 @@
 }
 
 func goldenCases() []goldenCase {
-	settings := func(change func(s *routing.Settings)) func(c *goldenCase) {
-		return func(c *goldenCase) { c.change = change }
-	}
-	dedup := func(scope routing.DedupScope) func(c *goldenCase) {
-		return settings(service(func(d *routing.DeliveryService) { d.Idempotency, d.DedupScope = routing.IdempotencyKeyed, scope }))
-	}
+	return slices.Concat(fleetCases(), settingsCases(), loadCases())
+}
+
+// fleetCases is fleets of several sizes and seeds.
+func fleetCases() []goldenCase {
 	return []goldenCase{
 		baseCase("one module", 1, nil),
 		baseCase("one module, another seed", 2, nil),
 		baseCase("one module, a third seed", 3, nil),
 		baseCase("four shards", 4, func(c *goldenCase) { c.shards = 4 }),
-		baseCase("hit notes", 5, settings(func(s *routing.Settings) { s.NoteDetail = routing.HitNotes })),
-		baseCase("no notes", 6, settings(func(s *routing.Settings) { s.NoteDetail = routing.NoNotes })),
-		baseCase("the endpoint list is polled", 7, settings(func(s *routing.Settings) { s.PollEndpoints = true })),
-		baseCase("weights known", 8, settings(func(s *routing.Settings) { s.WeightsKnown = true })),
-		baseCase("keyed, known in a cell", 9, dedup(routing.SameCell)),
-		baseCase("keyed, known in a zone", 10, dedup(routing.SameZone)),
-		baseCase("keyed, known at all hosts", 11, dedup(routing.AllHosts)),
-		baseCase("not idempotent", 12, settings(service(func(d *routing.DeliveryService) { d.Idempotency = routing.NonIdempotent }))),
-		baseCase("no hedging", 13, settings(func(s *routing.Settings) { s.Hedging = false })),
-		baseCase("no cancel", 14, settings(func(s *routing.Settings) { s.CanCancel = false })),
-		baseCase("sizes not told", 15, func(c *goldenCase) { c.sized, c.answersTellSize = false, false }),
-		baseCase("sizes told by answers alone", 16, func(c *goldenCase) { c.sized = false }),
-		baseCase("ingress reported crowded", 17, func(c *goldenCase) { c.ingressLoad = 2.2 }),
-		baseCase("ingress slow", 27, func(c *goldenCase) { c.ingressSlowness = 6 }),
-		baseCase("a slow origin from the start", 28, func(c *goldenCase) {
-			c.caches, c.cells, c.parents, c.seconds, c.rate, c.skew = 3, 1, 1, 3, 3000, 1
-			c.script = []scriptStep{
-				{0, setParent(0, func(h *scriptedHost) { h.slots, h.queue = 500, 1000 })},
-				{0, setOrigin(func(h *scriptedHost) { h.slowness, h.queue = 40, 1000 })},
-				{0, setHosts(0, 3, func(h *scriptedHost) { h.slots, h.queue = 500, 1000 })},
-				{1, setOrigin(func(h *scriptedHost) { h.slowness = 1 })},
-			}
-		}),
-		baseCase("retry budget", 18, settings(func(s *routing.Settings) {
-			shared := 0
-			s.Retries = retrybudget.Settings{Share: 0.05, Floor: 2, Fleet: func() bool { shared++; return shared%5 > 0 }}
-		})),
-		baseCase("default retry budget", 31, func(c *goldenCase) {
-			c.change = func(s *routing.Settings) { s.Retries = retrybudget.Default() }
-			c.script = []scriptStep{
-				{2, setHosts(0, 16, func(h *scriptedHost) { h.failShare = 0.5 })},
-				{12, setHosts(0, 16, func(h *scriptedHost) { h.failShare = 0.1 })},
-			}
-		}),
-		baseCase("quotas", 19, func(c *goldenCase) {
-			c.script = append(c.script, scriptStep{1, setQuota(0, 6)}, scriptStep{2, setQuota(firstParentID, 2)},
-				scriptStep{2, setQuota(firstCacheID+7*9, 1)}, scriptStep{10, setQuota(0, 2)}, scriptStep{16, setQuota(0, 30)})
-		}),
 		baseCase("few hosts and no way past them", 20, func(c *goldenCase) {
 			c.caches, c.cells, c.parents, c.rate = 3, 1, 1, 60
 			c.change = func(s *routing.Settings) { s.BypassCaches, s.CoalesceFills, s.MaxAttempts = false, false, 3 }
@@ -302,6 +264,62 @@
 				{4, setHosts(0, 850, func(h *scriptedHost) { h.unreachable = false })},
 			}
 		}),
+	}
+}
+
+// settingsCases is the base fleet under other settings of the routers.
+func settingsCases() []goldenCase {
+	settings := func(change func(s *routing.Settings)) func(c *goldenCase) {
+		return func(c *goldenCase) { c.change = change }
+	}
+	dedup := func(scope routing.DedupScope) func(c *goldenCase) {
+		return settings(service(func(d *routing.DeliveryService) { d.Idempotency, d.DedupScope = routing.IdempotencyKeyed, scope }))
+	}
+	return []goldenCase{
+		baseCase("hit notes", 5, settings(func(s *routing.Settings) { s.NoteDetail = routing.HitNotes })),
+		baseCase("no notes", 6, settings(func(s *routing.Settings) { s.NoteDetail = routing.NoNotes })),
+		baseCase("the endpoint list is polled", 7, settings(func(s *routing.Settings) { s.PollEndpoints = true })),
+		baseCase("weights known", 8, settings(func(s *routing.Settings) { s.WeightsKnown = true })),
+		baseCase("keyed, known in a cell", 9, dedup(routing.SameCell)),
+		baseCase("keyed, known in a zone", 10, dedup(routing.SameZone)),
+		baseCase("keyed, known at all hosts", 11, dedup(routing.AllHosts)),
+		baseCase("not idempotent", 12, settings(service(func(d *routing.DeliveryService) { d.Idempotency = routing.NonIdempotent }))),
+		baseCase("no hedging", 13, settings(func(s *routing.Settings) { s.Hedging = false })),
+		baseCase("no cancel", 14, settings(func(s *routing.Settings) { s.CanCancel = false })),
+		baseCase("retry budget", 18, settings(func(s *routing.Settings) {
+			shared := 0
+			s.Retries = retrybudget.Settings{Share: 0.05, Floor: 2, Fleet: func() bool { shared++; return shared%5 > 0 }}
+		})),
+		baseCase("default retry budget", 31, func(c *goldenCase) {
+			c.change = func(s *routing.Settings) { s.Retries = retrybudget.Default() }
+			c.script = []scriptStep{
+				{2, setHosts(0, 16, func(h *scriptedHost) { h.failShare = 0.5 })},
+				{12, setHosts(0, 16, func(h *scriptedHost) { h.failShare = 0.1 })},
+			}
+		}),
+		baseCase("quotas", 19, func(c *goldenCase) {
+			c.script = append(c.script, scriptStep{1, setQuota(0, 6)}, scriptStep{2, setQuota(firstParentID, 2)},
+				scriptStep{2, setQuota(firstCacheID+7*9, 1)}, scriptStep{10, setQuota(0, 2)}, scriptStep{16, setQuota(0, 30)})
+		}),
+	}
+}
+
+// loadCases is what is asked for, what answers tell, and too much of it.
+func loadCases() []goldenCase {
+	return []goldenCase{
+		baseCase("sizes not told", 15, func(c *goldenCase) { c.sized, c.answersTellSize = false, false }),
+		baseCase("sizes told by answers alone", 16, func(c *goldenCase) { c.sized = false }),
+		baseCase("ingress reported crowded", 17, func(c *goldenCase) { c.ingressLoad = 2.2 }),
+		baseCase("ingress slow", 27, func(c *goldenCase) { c.ingressSlowness = 6 }),
+		baseCase("a slow origin from the start", 28, func(c *goldenCase) {
+			c.caches, c.cells, c.parents, c.seconds, c.rate, c.skew = 3, 1, 1, 3, 3000, 1
+			c.script = []scriptStep{
+				{0, setParent(0, func(h *scriptedHost) { h.slots, h.queue = 500, 1000 })},
+				{0, setOrigin(func(h *scriptedHost) { h.slowness, h.queue = 40, 1000 })},
+				{0, setHosts(0, 3, func(h *scriptedHost) { h.slots, h.queue = 500, 1000 })},
+				{1, setOrigin(func(h *scriptedHost) { h.slowness = 1 })},
+			}
+		}),
 		baseCase("overload", 23, func(c *goldenCase) {
 			c.caches, c.rate, c.ingressSlowness, c.seconds = 6, 900, 3, 16
 			c.script = append(c.script, scriptStep{2, setHosts(0, 6, func(h *scriptedHost) { h.slots, h.queue, h.slowness = 2, 12, 2 })})
