--- a/core/routing/golden_fleet_test.go
+++ b/core/routing/golden_fleet_test.go
@@ -161,15 +161,13 @@
 	f.addHost(routing.Endpoint{ID: originID, Kind: originKind, Weight: 60})
 }
 
-func (f *scriptedFleet) addHost(e routing.Endpoint) *scriptedHost {
+func (f *scriptedFleet) addHost(e routing.Endpoint) {
 	e.Phase = routing.Ready
-	h := &scriptedHost{
+	f.hosts[e.ID] = &scriptedHost{
 		endpoint: e, slots: int(e.Weight), queue: int(e.Weight) * 3, slowness: 1,
 		stored: map[string]float64{}, filling: map[string]int{},
 	}
-	f.hosts[e.ID] = h
 	f.ids = append(f.ids, e.ID)
-	return h
 }
 
 func (f *scriptedFleet) addShard(index int) {
@@ -451,23 +449,23 @@
 // serve schedules how a host answers an attempt.
 func (s *scriptedShard) serve(a *scriptedAttempt) {
 	h := s.hosts[a.Host]
-	fail := func(after float64, o routing.Outcome, n routing.Note) {
-		s.schedule(s.now+after, func() { s.complete(a, routing.AttemptResult{Outcome: o, Note: n}) })
+	fail := func(after float64, outcome routing.Outcome) {
+		s.schedule(s.now+after, func() { s.complete(a, routing.AttemptResult{Outcome: outcome}) })
 	}
 	switch {
 	case s.chance(withdrawnShare):
-		fail(0.001, routing.Withdrawn, routing.NoNote)
+		fail(0.001, routing.Withdrawn)
 	case h.unreachable || h.endpoint.Phase == routing.Removed:
-		fail(0.05+0.1*s.random.Float64(), routing.Unreachable, routing.NoNote)
+		fail(0.05+0.1*s.random.Float64(), routing.Unreachable)
 	case h.silent: // it ends when the client leaves, or by a cancel
 	case s.chance(arrivedLateShare):
-		fail(networkDelay, routing.ArrivedLate, routing.NoNote)
+		fail(networkDelay, routing.ArrivedLate)
 	case h.active >= h.queue:
-		fail(2*networkDelay, routing.Rejected, routing.NoNote)
+		fail(2*networkDelay, routing.Rejected)
 	case s.chance(h.failShare):
-		fail(s.transferTime(h, a), routing.HostFailed, routing.NoNote)
+		fail(s.transferTime(h, a), routing.HostFailed)
 	case s.chance(h.lostShare):
-		fail(s.transferTime(h, a)/2, routing.ConnectionLost, routing.NoNote)
+		fail(s.transferTime(h, a)/2, routing.ConnectionLost)
 	default:
 		s.hold(a, h)
 		s.serveCopy(a, h)
--- a/emulator/golden_test.go
+++ b/emulator/golden_test.go
@@ -116,15 +116,19 @@
 		"faults": fleetReport("faults", 5, func(s *emulator.Scenario) {
 			s.Zones, s.Retries = 2, retrybudget.Default()
 			s.Troubles = []emulator.Trouble{
-				{Kind: emulator.Slow, At: 0, For: 2, Share: 0.2, Factor: 20}, {Kind: emulator.Err, At: 1, For: 1, Cells: 1},
-				{Kind: emulator.Purge, At: 1, Rate: 10}, {Kind: emulator.Hot, At: 1, For: 1, Share: 0.5},
+				{Kind: emulator.Slow, At: 0, For: 2, Share: 0.2, Factor: 20},
+				{Kind: emulator.Err, At: 1, For: 1, Cells: 1},
+				{Kind: emulator.Purge, At: 1, Rate: 10},
+				{Kind: emulator.Hot, At: 1, For: 1, Share: 0.5},
 			}
 		}),
 		"changes": fleetReport("changes", 6, func(s *emulator.Scenario) {
 			s.Dispatchers = 6
 			s.Troubles = []emulator.Trouble{
-				{Kind: emulator.Replace, At: 0, For: 2, Share: 0.5}, {Kind: emulator.Restart, At: 1, Share: 0.2},
-				{Kind: emulator.Scan, At: 0, Rate: 100}, {Kind: emulator.Kill, At: 2, For: 0.5, Share: 0.4},
+				{Kind: emulator.Replace, At: 0, For: 2, Share: 0.5},
+				{Kind: emulator.Restart, At: 1, Share: 0.2},
+				{Kind: emulator.Scan, At: 0, Rate: 100},
+				{Kind: emulator.Kill, At: 2, For: 0.5, Share: 0.4},
 			}
 		}),
 		"members": membersReport, "budgets": budgetsReport, "memory": memoryReport, "channels": channelsReport,
