--- a/core/routing/selection.go
+++ b/core/routing/selection.go
@@ -39,8 +39,9 @@
 	best       *host
 }
 
-func (r *Router) newCandidates(q *request) *candidates {
-	c := &candidates{
+// newCandidates returns a walk that has seen no cache yet. It returns no pointer, so that a request allocates none.
+func (r *Router) newCandidates(q *request) candidates {
+	c := candidates{
 		router:    r,
 		request:   q,
 		wanted:    r.demand.copies(r.now, q, r.endpoints.readyCaches),
