--- a/internal/cluster/divide.go
+++ b/internal/cluster/divide.go
@@ -157,14 +157,14 @@
 	reserved      int      // that it may have under way while it acts, held while it does not
 }
 
-// Hosts is dispatcher.Bounder.
+// Hosts is the names of the hosts whose totals are divided (dispatcher.QuotaSource).
 func (b *Bounded) Hosts() []string {
 	b.fleet.spending.mu.Lock()
 	defer b.fleet.spending.mu.Unlock()
 	return b.fleet.spending.hosts
 }
 
-// Bound is dispatcher.Bounder. What a module may use while it acts is reserved for it: of several in one process none takes what another does.
+// Bound is the quota of a host (dispatcher.QuotaSource, Exchange). What a module may use while it acts is reserved for it: of several in one process none takes what another does.
 func (b *Bounded) Bound(host string, held, refused int, acts bool) (most int) {
 	s := &b.fleet.spending
 	s.mu.Lock()
