--- a/internal/cluster/golden_test.go
+++ b/internal/cluster/golden_test.go
@@ -225,7 +225,7 @@
 	made := need.Of(os.ReadFile(filepath.Join(folder, recordsFile)))(t)
 	s, saved, err := openStore(storedFile(t, recordsFile, made))
 	require.NoError(t, err)
-	saved.Away = 0 // by the time of today
+	saved.Away = 0           // by the time of today
 	slices.Sort(saved.Lacks) // a set: the store reads its keys in the random order of a map
 	tr.Values("as read", s.era, s.age, s.skipped, saved)
 	require.NoError(t, s.close())
