--- a/cmd/elderwall-operator/budgetsplay.go
+++ b/cmd/elderwall-operator/budgetsplay.go
@@ -43,7 +43,8 @@
 }
 
 type budgetPlayed struct {
-	Case, Way string
+	Case string `json:"Case"`
+	Way  string `json:"Way"`
 	*emulator.BudgetResult
 }
 
--- a/cmd/elderwall-operator/emulate.go
+++ b/cmd/elderwall-operator/emulate.go
@@ -23,11 +23,11 @@
 
 // emulated is one run.
 type emulated struct {
-	Scenario string
-	Seed     uint64
-	Shards   int
-	Wall     float64 // s
-	Counted  float64 // s, of the scenario
+	Scenario string  `json:"Scenario"`
+	Seed     uint64  `json:"Seed"`
+	Shards   int     `json:"Shards"`
+	Wall     float64 `json:"Wall"`    // s
+	Counted  float64 `json:"Counted"` // s, of the scenario
 	*emulator.Result
 }
 
--- a/cmd/elderwall-operator/fleetplay.go
+++ b/cmd/elderwall-operator/fleetplay.go
@@ -28,7 +28,7 @@
 type fleetPlayed struct {
 	emulator.MembersScenario
 	*emulator.MembersResult
-	Wall float64 // s
+	Wall float64 `json:"Wall"` // s
 }
 
 // Run plays all of them, and prints a table.
--- a/cmd/elderwall-operator/load.go
+++ b/cmd/elderwall-operator/load.go
@@ -34,9 +34,9 @@
 		return err
 	}
 	return errors.Join(failed, writeResults(l.JSON, struct {
-		Plan    string
-		Cores   int
-		Results []*load.Result
+		Plan    string         `json:"Plan"`
+		Cores   int            `json:"Cores"`
+		Results []*load.Result `json:"Results"`
 	}{plan.Text, runtime.NumCPU(), results}))
 }
 
--- a/cmd/elderwall-operator/memoryplay.go
+++ b/cmd/elderwall-operator/memoryplay.go
@@ -161,7 +161,7 @@
 
 func (c *memoryPlayCommand) heal() (any, error) {
 	type played struct {
-		Kind string
+		Kind string `json:"Kind"`
 		*emulator.MemoryResult
 	}
 	troubles := map[string]emulator.MemberTrouble{
@@ -200,8 +200,8 @@
 
 func (c *memoryPlayCommand) catchup() (any, error) {
 	type played struct {
-		Way    string
-		Differ int
+		Way    string `json:"Way"`
+		Differ int    `json:"Differ"`
 		*emulator.MemoryResult
 	}
 	ways := []string{"deltas", "digests", "whole"}
@@ -276,9 +276,12 @@
 
 // copiesPlayed is what came of so many copies: in calm, with members just ended, and in a cut.
 type copiesPlayed struct {
-	Members, Copies int
-	Reads           float64
-	Calm, Dead, Cut *emulator.CopiesResult
+	Members int                    `json:"Members"`
+	Copies  int                    `json:"Copies"`
+	Reads   float64                `json:"Reads"`
+	Calm    *emulator.CopiesResult `json:"Calm"`
+	Dead    *emulator.CopiesResult `json:"Dead"`
+	Cut     *emulator.CopiesResult `json:"Cut"`
 }
 
 func (c *memoryPlayCommand) copies() (any, error) {
@@ -339,7 +342,8 @@
 }
 
 type variantsPlayed struct {
-	Case, Way string
+	Case string `json:"Case"`
+	Way  string `json:"Way"`
 	*emulator.VariantsResult
 }
 
@@ -428,10 +432,10 @@
 }
 
 type channelsPlayed struct {
-	Case    string
-	Order   string
-	Members int
-	Readers int
+	Case    string `json:"Case"`
+	Order   string `json:"Order"`
+	Members int    `json:"Members"`
+	Readers int    `json:"Readers"`
 	*emulator.ChannelsResult
 }
 
--- a/core/cluster/channel/ledger.go
+++ b/core/cluster/channel/ledger.go
@@ -99,19 +99,19 @@
 
 // Taken is how far a writer's numbers were taken, and the place of the last.
 type Taken struct {
-	Number uint64 `cbor:"1,keyasint"`
-	Place  uint64 `cbor:"2,keyasint"`
+	Number uint64 `cbor:"1,keyasint" json:"Number"`
+	Place  uint64 `cbor:"2,keyasint" json:"Place"`
 }
 
 // Line is what the ledger has of a channel of total order. Who gets one does not change it.
 type Line struct {
-	Channel string           `cbor:"1,keyasint"`
-	Epoch   uint64           `cbor:"2,keyasint"` // highest seen
-	Since   uint64           `cbor:"3,keyasint"` // its first place
-	Next    uint64           `cbor:"4,keyasint"` // place
-	Spread  uint64           `cbor:"5,keyasint"` // up to here the bodies were let go
-	Pending []Entry          `cbor:"6,keyasint"` // in order, not yet known to be spread
-	Writers map[string]Taken `cbor:"7,keyasint"`
+	Channel string           `cbor:"1,keyasint" json:"Channel"`
+	Epoch   uint64           `cbor:"2,keyasint" json:"Epoch"`   // highest seen
+	Since   uint64           `cbor:"3,keyasint" json:"Since"`   // its first place
+	Next    uint64           `cbor:"4,keyasint" json:"Next"`    // place
+	Spread  uint64           `cbor:"5,keyasint" json:"Spread"`  // up to here the bodies were let go
+	Pending []Entry          `cbor:"6,keyasint" json:"Pending"` // in order, not yet known to be spread
+	Writers map[string]Taken `cbor:"7,keyasint" json:"Writers"`
 }
 
 // Ledger is the agreed part of channels: kept by the voters' log. What is in it a majority has.
@@ -379,10 +379,10 @@
 
 // Saved is a ledger as a snapshot keeps it.
 type Saved struct {
-	Declared []Declaration `cbor:"1,keyasint"`
-	Lines    []Line        `cbor:"2,keyasint"`
-	Silent   []Silent      `cbor:"3,keyasint,omitempty"`
-	Gone     uint64        `cbor:"4,keyasint,omitempty"` // names that were ever let go
+	Declared []Declaration `cbor:"1,keyasint" json:"Declared"`
+	Lines    []Line        `cbor:"2,keyasint" json:"Lines"`
+	Silent   []Silent      `cbor:"3,keyasint,omitempty" json:"Silent"`
+	Gone     uint64        `cbor:"4,keyasint,omitempty" json:"Gone"` // names that were ever let go
 }
 
 // Save gives all of it; nothing that changes is shared with it.
--- a/core/cluster/channel/machine.go
+++ b/core/cluster/channel/machine.go
@@ -70,10 +70,10 @@
 
 // Ask is what a reader wants.
 type Ask struct {
-	Channel string
-	Token   string // "" for all that is kept
-	Order   Order  // 0 for what is declared
-	Now     bool   // with no token: only what comes from now on
+	Channel string `cbor:"Channel"`
+	Token   string `cbor:"Token"` // "" for all that is kept
+	Order   Order  `cbor:"Order"` // 0 for what is declared
+	Now     bool   `cbor:"Now"`   // with no token: only what comes from now on
 }
 
 // item is one place of a channel's log at this dispatcher: an entry, a gap, or a change of the declaration.
--- a/core/cluster/lease/granter.go
+++ b/core/cluster/lease/granter.go
@@ -84,22 +84,22 @@
 
 // Turn is what a dispatcher says of itself, several times a lease.
 type Turn struct {
-	ID       uint64 // of the question; higher ones are later
-	Name     string
-	Boot     uint64
-	Zone     string
-	Priority int
-	Stands   []string  // for these duties
-	Lengths  []float64 // s; of their leases, where they are new
-	Backs    []Lease   // that it has given up: nothing is done under them any more
+	ID       uint64    `cbor:"ID"` // of the question; higher ones are later
+	Name     string    `cbor:"Name"`
+	Boot     uint64    `cbor:"Boot"`
+	Zone     string    `cbor:"Zone"`
+	Priority int       `cbor:"Priority"`
+	Stands   []string  `cbor:"Stands"`  // for these duties
+	Lengths  []float64 `cbor:"Lengths"` // s; of their leases, where they are new
+	Backs    []Lease   `cbor:"Backs"`   // that it has given up: nothing is done under them any more
 }
 
 // Lease is what a dispatcher has of a duty.
 type Lease struct {
-	Duty   string
-	Token  uint64
-	Length float64 // s
-	Hand   bool    // it is to be given back, for another
+	Duty   string  `json:"Duty"`
+	Token  uint64  `json:"Token"`
+	Length float64 `json:"Length"` // s
+	Hand   bool    `json:"Hand"`   // it is to be given back, for another
 }
 
 // Commands is what a turn comes to in the log; none where it tells nothing new.
--- a/core/cluster/lease/seats.go
+++ b/core/cluster/lease/seats.go
@@ -10,9 +10,9 @@
 
 // Seat is a voter of the log: a process with its disk. A disk that was lost, or is an old copy, is another seat.
 type Seat struct {
-	ID   uint64 // of the disk
-	Name string
-	Era  uint32 // counts the disk's starts, and rises with time: a copy that is put back has an older one
+	ID   uint64 `json:"ID"` // of the disk
+	Name string `json:"Name"`
+	Era  uint32 `json:"Era"` // counts the disk's starts, and rises with time: a copy that is put back has an older one
 }
 
 // Willing is a dispatcher that would vote.
@@ -23,9 +23,9 @@
 
 // Change is one change to who votes.
 type Change struct {
-	Kind ChangeKind
-	ID   uint64
-	Name string
+	Kind ChangeKind `cbor:"Kind"`
+	ID   uint64     `cbor:"ID"`
+	Name string     `cbor:"Name"`
 }
 
 // ChangeKind is what a change does.
--- a/core/cluster/lease/state.go
+++ b/core/cluster/lease/state.go
@@ -40,25 +40,25 @@
 
 // Candidate is a dispatcher that stands for a duty. Its boot tells it from an earlier process of its name.
 type Candidate struct {
-	Name     string
-	Boot     uint64
-	Zone     string
-	Priority int
-	Failures int // leases that it let run out, lately
+	Name     string `json:"Name"`
+	Boot     uint64 `json:"Boot"`
+	Zone     string `json:"Zone"`
+	Priority int    `json:"Priority"`
+	Failures int    `json:"Failures"` // leases that it let run out, lately
 }
 
 // Duty is one that just one dispatcher holds.
 type Duty struct {
-	Name    string
-	Length  float64 // s; of a lease
-	Zone    string  // wished for its holder
-	Holder  Candidate
-	Token   uint64 // of its holder; 0 while nobody holds it
-	Last    uint64 // the last token that was given
-	To      string // who is to hold it next, once the holder has given it back
-	Mark    uint64 // the last number that a holder marked
-	Told    uint64 // the last one that is known to be done
-	Waiting []Candidate
+	Name    string      `json:"Name"`
+	Length  float64     `json:"Length"` // s; of a lease
+	Zone    string      `json:"Zone"`   // wished for its holder
+	Holder  Candidate   `json:"Holder"`
+	Token   uint64      `json:"Token"` // of its holder; 0 while nobody holds it
+	Last    uint64      `json:"Last"`  // the last token that was given
+	To      string      `json:"To"`    // who is to hold it next, once the holder has given it back
+	Mark    uint64      `json:"Mark"`  // the last number that a holder marked
+	Told    uint64      `json:"Told"`  // the last one that is known to be done
+	Waiting []Candidate `json:"Waiting"`
 }
 
 // Held tells whether somebody holds it.
@@ -86,17 +86,17 @@
 
 // Command is one entry of the log. All may come twice: the second does nothing.
 type Command struct {
-	Act      Act
-	Duty     string
-	Duties   []string // of Stand
-	Length   float64
-	Zone     string // of Declare: the wish; of Stand: where the dispatcher is
-	Name     string
-	Boot     uint64
-	Priority int
-	Token    uint64
-	Era      uint32
-	Number   uint64
+	Act      Act      `cbor:"Act"`
+	Duty     string   `cbor:"Duty"`
+	Duties   []string `cbor:"Duties"` // of Stand
+	Length   float64  `cbor:"Length"`
+	Zone     string   `cbor:"Zone"` // of Declare: the wish; of Stand: where the dispatcher is
+	Name     string   `cbor:"Name"`
+	Boot     uint64   `cbor:"Boot"`
+	Priority int      `cbor:"Priority"`
+	Token    uint64   `cbor:"Token"`
+	Era      uint32   `cbor:"Era"`
+	Number   uint64   `cbor:"Number"`
 }
 
 // Check tells what is wrong with a command from outside.
@@ -130,9 +130,9 @@
 
 // Saved is a state as a snapshot keeps it.
 type Saved struct {
-	Next   uint64
-	Duties []Duty
-	Seats  []Seat
+	Next   uint64 `cbor:"Next"`
+	Duties []Duty `cbor:"Duties"`
+	Seats  []Seat `cbor:"Seats"`
 }
 
 // Save gives the whole state; nothing of it is shared with it.
@@ -167,8 +167,8 @@
 // Packed is what was saved with each candidate's name once: a thousand duties for which sixty dispatchers stand take 0.3 MB and not four.
 type Packed struct {
 	Saved
-	Who     []Candidate // without failures
-	Waiting [][]uint32  // by duty: the index into Who, and failures in the two lowest bits
+	Who     []Candidate `cbor:"Who"`     // without failures
+	Waiting [][]uint32  `cbor:"Waiting"` // by duty: the index into Who, and failures in the two lowest bits
 }
 
 // Pack packs what was saved; it takes it over.
--- a/core/cluster/membership/members.go
+++ b/core/cluster/membership/members.go
@@ -35,30 +35,34 @@
 
 // Load is what a member tells of its work.
 type Load struct {
-	GETs   uint16 // a second
-	Shed   uint8  // of 255, of them
-	Memory uint8  // of 255, of its limit
+	GETs   uint16 `json:"GETs"`   // a second
+	Shed   uint8  `json:"Shed"`   // of 255, of them
+	Memory uint8  `json:"Memory"` // of 255, of its limit
 }
 
 // Vote is what a member tells of itself as a voter of the log; the zero value is none.
 type Vote struct {
-	ID, Council   uint64 // of its disk; of the log that it votes in, 0 for none yet
-	Era, Recovery uint32 // of the disk; how often the log was recovered
+	ID       uint64 `json:"ID"`       // of its disk
+	Council  uint64 `json:"Council"`  // of the log that it votes in, 0 for none yet
+	Era      uint32 `json:"Era"`      // of the disk
+	Recovery uint32 `json:"Recovery"` // how often the log was recovered
 }
 
 // Member is a record of one: what it told of itself, and what is thought of it.
 type Member struct {
-	Name, Address, Zone string
-	Boot                uint64 // drawn at its start: two processes of one name differ in it
-	Incarnation         uint64 // raised by itself alone; the upper half by each start that finds a record of its name
-	Version             uint32 // of what follows, within the incarnation
-	Wire                uint8
-	Generation          uint32 // of its settings
-	Load                Load
-	Vote                Vote
-	State               State
-	By                  string // who accused it
-	Counted             bool   // to whoever tells, it belongs to the last agreed fleet
+	Name        string `json:"Name"`
+	Address     string `json:"Address"`
+	Zone        string `json:"Zone"`
+	Boot        uint64 `json:"Boot"`        // drawn at its start: two processes of one name differ in it
+	Incarnation uint64 `json:"Incarnation"` // raised by itself alone; the upper half by each start that finds a record of its name
+	Version     uint32 `json:"Version"`     // of what follows, within the incarnation
+	Wire        uint8  `json:"Wire"`
+	Generation  uint32 `json:"Generation"` // of its settings
+	Load        Load   `json:"Load"`
+	Vote        Vote   `json:"Vote"`
+	State       State  `json:"State"`
+	By          string `json:"By"`      // who accused it
+	Counted     bool   `json:"Counted"` // to whoever tells, it belongs to the last agreed fleet
 }
 
 const epoch = 1 << 32 // an incarnation's upper half counts starts
@@ -146,13 +150,18 @@
 // Agreed is the last agreed fleet, as a member keeps it over a restart. Guards against several that start anew while they are
 // cut off, and would take themselves for a whole fleet.
 type Agreed struct {
-	Fleet, Generation uint64
-	Counted           bool // oneself
-	Others            []Place
+	Fleet      uint64  `json:"Fleet"`
+	Generation uint64  `json:"Generation"`
+	Counted    bool    `json:"Counted"` // oneself
+	Others     []Place `json:"Others"`
 }
 
 // Place is where a member of it was.
-type Place struct{ Name, Address, Zone string }
+type Place struct {
+	Name    string `json:"Name"`
+	Address string `json:"Address"`
+	Zone    string `json:"Zone"`
+}
 
 // Figures of the protocol. Times without a unit are in intervals.
 const (
@@ -328,9 +337,10 @@
 // Known is what is thought of another member.
 type Known struct {
 	Member
-	Since, Heard float64 // of its state; when it last spoke to us itself, below 0 for never
-	Link         Link
-	Reference    bool // it belongs to the last agreed fleet
+	Since     float64 `json:"Since"` // of its state
+	Heard     float64 `json:"Heard"` // when it last spoke to us itself, below 0 for never
+	Link      Link    `json:"Link"`
+	Reference bool    `json:"Reference"` // it belongs to the last agreed fleet
 }
 
 // Members lists all others, by name.
--- a/core/cluster/membership/view.go
+++ b/core/cluster/membership/view.go
@@ -21,12 +21,13 @@
 
 // View is what a member believes of the fleet.
 type View struct {
-	Level    Level
-	Seen, Of int     // of the last agreed fleet, oneself with it; who did not answer when last asked is not seen
-	Sure     float64 // 0 to 1; the share of Of that nothing is said against, 0 while the fault is likelier here
-	Doubt    bool    // the fault is likelier here
-	Differs  int     // members that have had another view for long
-	Digest   uint64  // of the names that are in
+	Level   Level   `json:"Level"`
+	Seen    int     `json:"Seen"`    // of the last agreed fleet, oneself with it; who did not answer when last asked is not seen
+	Of      int     `json:"Of"`      // how many belong to it
+	Sure    float64 `json:"Sure"`    // 0 to 1; the share of Of that nothing is said against, 0 while the fault is likelier here
+	Doubt   bool    `json:"Doubt"`   // the fault is likelier here
+	Differs int     `json:"Differs"` // members that have had another view for long
+	Digest  uint64  `json:"Digest"`  // of the names that are in
 }
 
 func (v View) sees() bool { return 2*v.Seen > v.Of }
--- a/core/cluster/quota/holder.go
+++ b/core/cluster/quota/holder.go
@@ -8,39 +8,39 @@
 
 // Question is what a dispatcher says of itself and wants, of all budgets at once.
 type Question struct {
-	ID      uint64 // later ones are higher
-	Name    string
-	Boot    uint64
-	Zone    string
-	Address string
-	Token   uint64 // of the last divider that answered it
-	Leaves  bool   // it uses nothing any more, and gives all up, floors too
-	Asks    []Ask
+	ID      uint64 `cbor:"ID"` // later ones are higher
+	Name    string `cbor:"Name"`
+	Boot    uint64 `cbor:"Boot"`
+	Zone    string `cbor:"Zone"`
+	Address string `cbor:"Address"`
+	Token   uint64 `cbor:"Token"`  // of the last divider that answered it
+	Leaves  bool   `cbor:"Leaves"` // it uses nothing any more, and gives all up, floors too
+	Asks    []Ask  `cbor:"Asks"`
 }
 
 // Ask is a question's part about one budget.
 type Ask struct {
-	Budget string
-	Keep   int64 // it binds itself to that until it is answered
-	Floor  int64 // that it counts on without word
-	Used   int64 // of an amount: all so far
-	Need   int64 // that it would use
+	Budget string `cbor:"Budget"`
+	Keep   int64  `cbor:"Keep"`  // it binds itself to that until it is answered
+	Floor  int64  `cbor:"Floor"` // that it counts on without word
+	Used   int64  `cbor:"Used"`  // of an amount: all so far
+	Need   int64  `cbor:"Need"`  // that it would use
 }
 
 // Answer is what a dispatcher may have.
 type Answer struct {
-	ID    uint64
-	Token uint64 // the divider's
-	Gives []Give
+	ID    uint64 `cbor:"ID"`
+	Token uint64 `cbor:"Token"` // the divider's
+	Gives []Give `cbor:"Gives"`
 }
 
 // Give is an answer's part about one budget.
 type Give struct {
-	Budget string
-	Kind   Kind
-	Size   int64 // of an amount: all that it may have used
-	Floor  int64
-	Burst  int64
+	Budget string `cbor:"Budget"`
+	Kind   Kind   `cbor:"Kind"`
+	Size   int64  `cbor:"Size"` // of an amount: all that it may have used
+	Floor  int64  `cbor:"Floor"`
+	Burst  int64  `cbor:"Burst"`
 }
 
 // Holder is a dispatcher's part.
--- a/core/cluster/quota/ledger.go
+++ b/core/cluster/quota/ledger.go
@@ -52,13 +52,13 @@
 
 // Budget is a whole, as an operator sets it.
 type Budget struct {
-	Name    string
-	Kind    Kind
-	Whole   int64
-	Burst   int64   // of a rate: so many at once, of all together, and one more of each dispatcher
-	Window  float64 // s; of an amount
-	Floor   int64   // the standing part of each dispatcher, also cut off; 0 for none
-	Ceiling int64   // the most that one may have; 0 for any
+	Name    string  `json:"Name"`
+	Kind    Kind    `json:"Kind"`
+	Whole   int64   `json:"Whole"`
+	Burst   int64   `json:"Burst"`   // of a rate: so many at once, of all together, and one more of each dispatcher
+	Window  float64 `json:"Window"`  // s; of an amount
+	Floor   int64   `json:"Floor"`   // the standing part of each dispatcher, also cut off; 0 for none
+	Ceiling int64   `json:"Ceiling"` // the most that one may have; 0 for any
 }
 
 // Check tells what is wrong with a budget.
@@ -82,18 +82,18 @@
 
 // Seat is a dispatcher that the ledger knows: one process of a name. Its floors are reserved until it is forgotten.
 type Seat struct {
-	ID      uint32
-	Name    string
-	Boot    uint64
-	Zone    string
-	Address string
+	ID      uint32 `json:"ID"`
+	Name    string `json:"Name"`
+	Boot    uint64 `json:"Boot"`
+	Zone    string `json:"Zone"`
+	Address string `json:"Address"`
 }
 
 // Part is what one dispatcher may have of a budget.
 type Part struct {
-	Out   int64 // reserved for it
-	Floor int64 // of that, also without word
-	Used  int64 // of an amount: all that it said it has used
+	Out   int64 `cbor:"Out"`   // reserved for it
+	Floor int64 `cbor:"Floor"` // of that, also without word
+	Used  int64 `cbor:"Used"`  // of an amount: all that it said it has used
 }
 
 // Account is a budget with its parts.
@@ -132,22 +132,22 @@
 
 // Set is a change of one part: to absolute values, so that it may come twice.
 type Set struct {
-	Budget string
-	ID     uint32
+	Budget string `cbor:"Budget"`
+	ID     uint32 `cbor:"ID"`
 	Part
 }
 
 // Command is one entry of the ledger. What a divider writes bears its token; one with an older token does nothing.
 type Command struct {
-	Token      uint64
-	Seq        uint64 // of the token's commands, rising: one that comes late, behind a later one, does nothing
-	Generation uint64
-	Declare    []Budget // all that there are, where Generation is above the ledger's
-	Enrol      []Seat   // their ids are given here
-	Forget     []uint32
-	Sets       []Set
-	Unhold     bool
-	Turns      []string // budgets whose next window begins
+	Token      uint64   `cbor:"Token"`
+	Seq        uint64   `cbor:"Seq"` // of the token's commands, rising: one that comes late, behind a later one, does nothing
+	Generation uint64   `cbor:"Generation"`
+	Declare    []Budget `cbor:"Declare"` // all that there are, where Generation is above the ledger's
+	Enrol      []Seat   `cbor:"Enrol"`   // their ids are given here
+	Forget     []uint32 `cbor:"Forget"`
+	Sets       []Set    `cbor:"Sets"`
+	Unhold     bool     `cbor:"Unhold"`
+	Turns      []string `cbor:"Turns"` // budgets whose next window begins
 }
 
 // Apply does a command, whole or not at all; false where it was not done.
@@ -263,20 +263,22 @@
 
 // Saved is a ledger as a snapshot keeps it.
 type Saved struct {
-	Token, Seq, Generation uint64
-	NextID                 uint32
-	Hold                   bool
-	Seats                  []Seat
-	Accounts               []SavedAccount
+	Token      uint64         `json:"Token"`
+	Seq        uint64         `json:"Seq"`
+	Generation uint64         `json:"Generation"`
+	NextID     uint32         `json:"NextID"`
+	Hold       bool           `json:"Hold"`
+	Seats      []Seat         `json:"Seats"`
+	Accounts   []SavedAccount `json:"Accounts"`
 }
 
 // SavedAccount is one of its accounts; Parts are four numbers each: id, out, floor, used.
 type SavedAccount struct {
 	Budget
-	Spent int64
-	Turn  uint64
-	Gone  bool
-	Parts []int64
+	Spent int64   `json:"Spent"`
+	Turn  uint64  `json:"Turn"`
+	Gone  bool    `json:"Gone"`
+	Parts []int64 `json:"Parts"`
 }
 
 // Save gives all of it; nothing is shared with it.
--- a/core/cluster/replication/types.go
+++ b/core/cluster/replication/types.go
@@ -23,11 +23,11 @@
 
 // Record is what stands for a key of a kind. Its value is never changed: who has it shares it.
 type Record struct {
-	Kind  uint8  `cbor:"1,keyasint"`
-	Key   string `cbor:"2,keyasint"`
-	Value []byte `cbor:"3,keyasint,omitempty"`
-	Dead  bool   `cbor:"4,keyasint,omitempty"` // deleted: a tombstone
-	Dot   Dot    `cbor:"5,keyasint"`
+	Kind  uint8  `cbor:"1,keyasint" json:"Kind"`
+	Key   string `cbor:"2,keyasint" json:"Key"`
+	Value []byte `cbor:"3,keyasint,omitempty" json:"Value"`
+	Dead  bool   `cbor:"4,keyasint,omitempty" json:"Dead"` // deleted: a tombstone
+	Dot   Dot    `cbor:"5,keyasint" json:"Dot"`
 }
 
 // Kind is what records of one kind have in common.
@@ -59,19 +59,19 @@
 
 // Sure is how sure a writer wants a write to be, and within which time it is to hear (s).
 type Sure struct {
-	Level  Level
-	Copies int // with the writer; of Copies
-	Within float64
+	Level  Level   `cbor:"Level"`
+	Copies int     `cbor:"Copies"` // with the writer; of Copies
+	Within float64 `cbor:"Within"`
 }
 
 // Outcome tells how a write ended, once: as sure as wanted, or with what it got by then. What fell short is not taken back.
 type Outcome struct {
-	Dot    Dot
-	Met    bool
-	Got    Level // the highest that it got
-	Copies int   // known to have it, with the writer; 0 where not even the writer is known to keep it: in doubt, it may come to stand
-	Zones  int
-	Lower  bool // another holds a deletion that stands over it: it may go with that. Never met
+	Dot    Dot   `json:"Dot"`
+	Met    bool  `json:"Met"`
+	Got    Level `json:"Got"`    // the highest that it got
+	Copies int   `json:"Copies"` // known to have it, with the writer; 0 where not even the writer is known to keep it: in doubt, it may come to stand
+	Zones  int   `json:"Zones"`
+	Lower  bool  `json:"Lower"` // another holds a deletion that stands over it: it may go with that. Never met
 }
 
 // Member is another dispatcher, as members knows it.
--- a/core/settings/settings.go
+++ b/core/settings/settings.go
@@ -23,34 +23,54 @@
 // object is the settings object as its sender writes it; times are in microseconds. It is an alias, as errors of
 // encoding/json would otherwise bear the type's name.
 type object = struct {
-	Balancers, Index, Zone int
-	Zones, MachineTypes    []string
-	Classes                []struct {
-		Name                        string
-		Aim, Deadline, RepeatWindow int64
-		AimStretch, Worth           float64
-		DedupScope, Effect          string
-	}
+	Balancers    int      `json:"Balancers"`
+	Index        int      `json:"Index"`
+	Zone         int      `json:"Zone"`
+	Zones        []string `json:"Zones"`
+	MachineTypes []string `json:"MachineTypes"`
+	Classes      []struct {
+		Name         string  `json:"Name"`
+		Aim          int64   `json:"Aim"`
+		Deadline     int64   `json:"Deadline"`
+		RepeatWindow int64   `json:"RepeatWindow"`
+		AimStretch   float64 `json:"AimStretch"`
+		Worth        float64 `json:"Worth"`
+		DedupScope   string  `json:"DedupScope"`
+		Effect       string  `json:"Effect"`
+	} `json:"Classes"`
 	Extra struct {
-		SeatsByZone                                []float64
-		FlowKbPerS, ParentBreaksAt, ParentColdFrom float64
-		GoneEverywhere, ParentCold                 int64
-		GoodFor                                    []int64
-		NoteLevel                                  string
-		SharesFills, Straight                      bool
-		ShieldKind                                 *int
-		SourceKind                                 *int
-	}
+		SeatsByZone    []float64 `json:"SeatsByZone"`
+		FlowKbPerS     float64   `json:"FlowKbPerS"`
+		ParentBreaksAt float64   `json:"ParentBreaksAt"`
+		ParentColdFrom float64   `json:"ParentColdFrom"`
+		GoneEverywhere int64     `json:"GoneEverywhere"`
+		ParentCold     int64     `json:"ParentCold"`
+		GoodFor        []int64   `json:"GoodFor"`
+		NoteLevel      string    `json:"NoteLevel"`
+		SharesFills    bool      `json:"SharesFills"`
+		Straight       bool      `json:"Straight"`
+		ShieldKind     *int      `json:"ShieldKind"`
+		SourceKind     *int      `json:"SourceKind"`
+	} `json:"Extra"`
 	Limits struct {
-		MaxAttempts, MaxStreams, MostHeld        int
-		ConnectTimeout, IdleClose, MaxRetryAfter int64
-		MayCancel, RetryAfter, SecondCopies      bool
-	}
-	MembershipMode, Weights string
-	Rules                   struct {
-		ColdFrom, TipMultiple float64
-		Fall, RampTime        int64
-	}
+		MaxAttempts    int   `json:"MaxAttempts"`
+		MaxStreams     int   `json:"MaxStreams"`
+		MostHeld       int   `json:"MostHeld"`
+		ConnectTimeout int64 `json:"ConnectTimeout"`
+		IdleClose      int64 `json:"IdleClose"`
+		MaxRetryAfter  int64 `json:"MaxRetryAfter"`
+		MayCancel      bool  `json:"MayCancel"`
+		RetryAfter     bool  `json:"RetryAfter"`
+		SecondCopies   bool  `json:"SecondCopies"`
+	} `json:"Limits"`
+	MembershipMode string `json:"MembershipMode"`
+	Weights        string `json:"Weights"`
+	Rules          struct {
+		ColdFrom    float64 `json:"ColdFrom"`
+		TipMultiple float64 `json:"TipMultiple"`
+		Fall        int64   `json:"Fall"`
+		RampTime    int64   `json:"RampTime"`
+	} `json:"Rules"`
 }
 
 // Decode reads the settings object; keys that it does not know are skipped.
--- a/emulator/budgets.go
+++ b/emulator/budgets.go
@@ -76,18 +76,18 @@
 
 // BudgetResult is what came of it. All of it is simulated.
 type BudgetResult struct {
-	Given    float64   // of the whole that all together may use by their own reckoning, in the mean
-	Used     float64   // of what demand would have used of the whole, in the mean
-	Worst    float64   // of ten seconds
-	Fair     float64   // Jain's index over what dispatchers got of what they asked for
-	Most     float64   // at the host at a time, or a second, by the whole
-	Follow   float64   // s from the last trouble until 0.9 of the whole is used, below 0 never
-	Bytes    float64   // a second, all dispatchers together, questions and answers
-	Entries  float64   // of the log, a second
-	Turned   float64   // share of the GETs that were turned away
-	Course   []float64 // used, second by second
-	Events   []float64 // when each GET began at the host, of a rate
-	Overfull int       // commands that the ledger refused
+	Given    float64   `json:"Given"`    // of the whole that all together may use by their own reckoning, in the mean
+	Used     float64   `json:"Used"`     // of what demand would have used of the whole, in the mean
+	Worst    float64   `json:"Worst"`    // of ten seconds
+	Fair     float64   `json:"Fair"`     // Jain's index over what dispatchers got of what they asked for
+	Most     float64   `json:"Most"`     // at the host at a time, or a second, by the whole
+	Follow   float64   `json:"Follow"`   // s from the last trouble until 0.9 of the whole is used, below 0 never
+	Bytes    float64   `json:"Bytes"`    // a second, all dispatchers together, questions and answers
+	Entries  float64   `json:"Entries"`  // of the log, a second
+	Turned   float64   `json:"Turned"`   // share of the GETs that were turned away
+	Course   []float64 `json:"Course"`   // used, second by second
+	Events   []float64 `json:"Events"`   // when each GET began at the host, of a rate
+	Overfull int       `json:"Overfull"` // commands that the ledger refused
 }
 
 type budgetDispatcher struct {
--- a/emulator/channels.go
+++ b/emulator/channels.go
@@ -46,21 +46,21 @@
 
 // ChannelsResult is what came of it. Times are in seconds, from when a writer had an entry to write until a reader was shown it.
 type ChannelsResult struct {
-	Entries  int
-	Acked    int
-	Shown    int
-	Late     []float64   // sorted, of all that was shown
-	Course   [][]float64 // by second of writing: the same, sorted
-	Unseen   int         // acknowledged entries that a reader had not been shown at the end, each by each
-	Wrong    []string    // what the checker found
-	Broken   int         // how often
-	Resets   int
-	Behinds  int
-	Told     int     // gaps
-	Waited   int     // readers that were told to come later
-	Back     float64 // s until all readers of those that ended were back
-	Overdue  int     // shown late by the law, as after a cut
-	Refusals map[string]int
+	Entries  int            `json:"Entries"`
+	Acked    int            `json:"Acked"`
+	Shown    int            `json:"Shown"`
+	Late     []float64      `json:"Late"`   // sorted, of all that was shown
+	Course   [][]float64    `json:"Course"` // by second of writing: the same, sorted
+	Unseen   int            `json:"Unseen"` // acknowledged entries that a reader had not been shown at the end, each by each
+	Wrong    []string       `json:"Wrong"`  // what the checker found
+	Broken   int            `json:"Broken"` // how often
+	Resets   int            `json:"Resets"`
+	Behinds  int            `json:"Behinds"`
+	Told     int            `json:"Told"`    // gaps
+	Waited   int            `json:"Waited"`  // readers that were told to come later
+	Back     float64        `json:"Back"`    // s until all readers of those that ended were back
+	Overdue  int            `json:"Overdue"` // shown late by the law, as after a cut
+	Refusals map[string]int `json:"Refusals"`
 }
 
 type channelMember struct {
--- a/emulator/copies.go
+++ b/emulator/copies.go
@@ -28,14 +28,14 @@
 
 // CopiesResult is what came of it.
 type CopiesResult struct {
-	Bytes   float64 // sent by a dispatcher a second: writes, questions and answers
-	Memory  float64 // of records at a dispatcher, in the mean
-	Fullest float64 // at the fullest one
-	Mean    float64 // s of a read
-	P99     float64
-	Unread  float64 // share of the reads that nobody answers
-	Moved   float64 // bytes that one dispatcher's end has moved
-	Local   float64 // share of the reads that need no question
+	Bytes   float64 `json:"Bytes"`   // sent by a dispatcher a second: writes, questions and answers
+	Memory  float64 `json:"Memory"`  // of records at a dispatcher, in the mean
+	Fullest float64 `json:"Fullest"` // at the fullest one
+	Mean    float64 `json:"Mean"`    // s of a read
+	P99     float64 `json:"P99"`
+	Unread  float64 `json:"Unread"` // share of the reads that nobody answers
+	Moved   float64 `json:"Moved"`  // bytes that one dispatcher's end has moved
+	Local   float64 `json:"Local"`  // share of the reads that need no question
 }
 
 // RunCopies plays one.
--- a/emulator/members.go
+++ b/emulator/members.go
@@ -31,28 +31,29 @@
 
 // MemberTrouble happens to a fleet of members; times are in intervals.
 type MemberTrouble struct {
-	Kind    string
-	At, For float64
-	Share   float64
-	Number  int // of members, in place of a share
+	Kind   string  `json:"Kind"`
+	At     float64 `json:"At"`
+	For    float64 `json:"For"`
+	Share  float64 `json:"Share"`
+	Number int     `json:"Number"` // of members, in place of a share
 }
 
 // MembersScenario is a fleet of members alone, with no GETs. Times are in intervals of a probe.
 type MembersScenario struct {
-	Seed      uint64
-	Protocol  string
-	Members   int
-	Zones     int
-	Peers     int // that each is told to begin with
-	Span      float64
-	Warm      float64 // before what counts
-	Loss      float64 // share of datagrams
-	Delay     float64 // of a datagram in the mean, in intervals
-	Stalls    float64 // one in so many members stands still at any time, now and then; 0 for none
-	StallFor  float64
-	Troubles  []MemberTrouble
-	TickEach  float64
-	WatchEach float64
+	Seed      uint64          `json:"Seed"`
+	Protocol  string          `json:"Protocol"`
+	Members   int             `json:"Members"`
+	Zones     int             `json:"Zones"`
+	Peers     int             `json:"Peers"` // that each is told to begin with
+	Span      float64         `json:"Span"`
+	Warm      float64         `json:"Warm"`   // before what counts
+	Loss      float64         `json:"Loss"`   // share of datagrams
+	Delay     float64         `json:"Delay"`  // of a datagram in the mean, in intervals
+	Stalls    float64         `json:"Stalls"` // one in so many members stands still at any time, now and then; 0 for none
+	StallFor  float64         `json:"StallFor"`
+	Troubles  []MemberTrouble `json:"Troubles"`
+	TickEach  float64         `json:"TickEach"`
+	WatchEach float64         `json:"WatchEach"`
 }
 
 // MembersDefault is a calm fleet.
@@ -65,20 +66,20 @@
 
 // MembersResult is what came of it. All of it is simulated; times are in intervals.
 type MembersResult struct {
-	Members   int
-	Wrong     int     // members that were thought to have failed while they had not, each once a time by each
-	WrongBy   int     // members that were thought so by anybody
-	WrongHour float64 // WrongBy by 3,600 intervals
-	First     []float64
-	Half      []float64 // from the end of a member until half and 99 in 100 knew
-	Known99   []float64
-	Heal      float64 // from the end of the last trouble until all knew all again; below 0 never
-	Datagrams float64 // by a member and an interval
-	Bytes     float64 // by a member and an interval, without what surrounds a message
-	Streams   float64
-	Levels    map[string]int // of the members at the end
-	Lasting   []string       // of the last watch: who is held to be out and is not, or the other way
-	Views     []string       // by what was said of views, with time
+	Members   int            `json:"Members"`
+	Wrong     int            `json:"Wrong"`     // members that were thought to have failed while they had not, each once a time by each
+	WrongBy   int            `json:"WrongBy"`   // members that were thought so by anybody
+	WrongHour float64        `json:"WrongHour"` // WrongBy by 3,600 intervals
+	First     []float64      `json:"First"`
+	Half      []float64      `json:"Half"` // from the end of a member until half and 99 in 100 knew
+	Known99   []float64      `json:"Known99"`
+	Heal      float64        `json:"Heal"`      // from the end of the last trouble until all knew all again; below 0 never
+	Datagrams float64        `json:"Datagrams"` // by a member and an interval
+	Bytes     float64        `json:"Bytes"`     // by a member and an interval, without what surrounds a message
+	Streams   float64        `json:"Streams"`
+	Levels    map[string]int `json:"Levels"`  // of the members at the end
+	Lasting   []string       `json:"Lasting"` // of the last watch: who is held to be out and is not, or the other way
+	Views     []string       `json:"Views"`   // by what was said of views, with time
 }
 
 // fleetWorld is one run.
--- a/emulator/memory.go
+++ b/emulator/memory.go
@@ -58,29 +58,29 @@
 
 // MemoryResult is what came of it; all of it is simulated.
 type MemoryResult struct {
-	Members  int
-	Agree    float64   // s from the end of the writes, or of the last trouble if that is later, until all hold the same; below 0 never
-	Bytes    float64   // sent by a member a second, from Warm until the writes end
-	Busiest  float64   // the same of the one that sent most
-	Messages float64   // the same, messages
-	CatchUp  int       // bytes sent from the end of the last trouble until all hold the same, less what the calm fleet sends in that time
-	CatchAll int       // all bytes sent in that time
-	Two      []float64 // s from a write until a second member held it
-	Most     []float64 // more than half
-	All      []float64 // all that were there
-	Written  int       // writes that were taken
-	Met      int       // outcomes as sure as wanted
-	Fell     int
-	Refused  map[string]int // writes that were refused, by error
-	Aside    int
-	Wholes   uint64
-	Walks    uint64
-	Pulls    uint64
-	Lost     int // acknowledged writes to which nothing that stands at the end is as high; with disks lost on purpose some may be
-	Events   map[string]int
-	Course   []float64 // bytes a member and second, second by second
-	Calm     float64   // the same before writes and troubles
-	Faults   []string
+	Members  int            `json:"Members"`
+	Agree    float64        `json:"Agree"`    // s from the end of the writes, or of the last trouble if that is later, until all hold the same; below 0 never
+	Bytes    float64        `json:"Bytes"`    // sent by a member a second, from Warm until the writes end
+	Busiest  float64        `json:"Busiest"`  // the same of the one that sent most
+	Messages float64        `json:"Messages"` // the same, messages
+	CatchUp  int            `json:"CatchUp"`  // bytes sent from the end of the last trouble until all hold the same, less what the calm fleet sends in that time
+	CatchAll int            `json:"CatchAll"` // all bytes sent in that time
+	Two      []float64      `json:"Two"`      // s from a write until a second member held it
+	Most     []float64      `json:"Most"`     // more than half
+	All      []float64      `json:"All"`      // all that were there
+	Written  int            `json:"Written"`  // writes that were taken
+	Met      int            `json:"Met"`      // outcomes as sure as wanted
+	Fell     int            `json:"Fell"`
+	Refused  map[string]int `json:"Refused"` // writes that were refused, by error
+	Aside    int            `json:"Aside"`
+	Wholes   uint64         `json:"Wholes"`
+	Walks    uint64         `json:"Walks"`
+	Pulls    uint64         `json:"Pulls"`
+	Lost     int            `json:"Lost"` // acknowledged writes to which nothing that stands at the end is as high; with disks lost on purpose some may be
+	Events   map[string]int `json:"Events"`
+	Course   []float64      `json:"Course"` // bytes a member and second, second by second
+	Calm     float64        `json:"Calm"`   // the same before writes and troubles
+	Faults   []string       `json:"Faults"`
 }
 
 type written struct {
--- a/emulator/result.go
+++ b/emulator/result.go
@@ -8,36 +8,43 @@
 
 // Tally is what came of the GETs of some time.
 type Tally struct {
-	GETs, Again      int // first ones, and those of clients that came again
-	Returned, InTime int // InTime of Returned
-	Shed, Errored    int
-	Hits, Fills      int
-	Forwards, Wasted int     // Wasted came back with no copy
-	Lost             int     // of Forwards, to hosts that say nothing
-	Connects         int     // of Forwards, those that began a connection
-	Died             int     // GETs that were open at a dispatcher that was killed
-	P50, P99         float64 // ms; filled at the end
-	delays           *hdrhistogram.Histogram
+	GETs     int     `json:"GETs"`  // first ones
+	Again    int     `json:"Again"` // those of clients that came again
+	Returned int     `json:"Returned"`
+	InTime   int     `json:"InTime"` // InTime of Returned
+	Shed     int     `json:"Shed"`
+	Errored  int     `json:"Errored"`
+	Hits     int     `json:"Hits"`
+	Fills    int     `json:"Fills"`
+	Forwards int     `json:"Forwards"`
+	Wasted   int     `json:"Wasted"`   // Wasted came back with no copy
+	Lost     int     `json:"Lost"`     // of Forwards, to hosts that say nothing
+	Connects int     `json:"Connects"` // of Forwards, those that began a connection
+	Died     int     `json:"Died"`     // GETs that were open at a dispatcher that was killed
+	P50      float64 `json:"P50"`      // ms; filled at the end
+	P99      float64 `json:"P99"`      // ms; filled at the end
+	delays   *hdrhistogram.Histogram
 }
 
 // Result is what came of a run. All of it is simulated.
 type Result struct {
-	Total   Tally   // of what counts
-	Seconds []Tally // by second from the start, the warm ones too
-	Copies  []Copies
-	Broken  map[string]int // rules that were broken, and how often; empty is none
+	Total   Tally          `json:"Total"`   // of what counts
+	Seconds []Tally        `json:"Seconds"` // by second from the start, the warm ones too
+	Copies  []Copies       `json:"Copies"`
+	Broken  map[string]int `json:"Broken"` // rules that were broken, and how often; empty is none
 	// ColdMost is the most load on a cold cache in a second, as a share of what pushes it over.
-	ColdMost float64
-	Pushed   int // caches that were pushed over
+	ColdMost float64 `json:"ColdMost"`
+	Pushed   int     `json:"Pushed"` // caches that were pushed over
 	// Connections is how many are up to a cache in the mean, and to the one with most, when the last GET has come.
-	Connections     float64
-	MostConnections int
+	Connections     float64 `json:"Connections"`
+	MostConnections int     `json:"MostConnections"`
 }
 
 // Copies is how many caches hold an object in the mean, by rank of how often it is asked for.
 type Copies struct {
-	From, To int
-	Mean     float64
+	From int     `json:"From"`
+	To   int     `json:"To"`
+	Mean float64 `json:"Mean"`
 }
 
 const (
--- a/emulator/variants.go
+++ b/emulator/variants.go
@@ -74,23 +74,23 @@
 
 // VariantsResult is what came of it; all of it is simulated. Shares are of the GETs that counted.
 type VariantsResult struct {
-	GETs    int
-	Hits    float64 // share of the GETs
-	Fills   float64 // at the origin, a second
-	Again   float64 // share of the GETs that were sent once more, by their own class
-	Checked float64 // share of the GETs that were sent by their own class to check
-	Apart   float64 // share of the GETs that were sent by another class's key than the ideal would have sent them by, not to check
-	Shed    float64 // by the origin's rate
-	Missed  float64 // GETs a second that no host could answer from what it held: filled or shed
-	Revenue float64 // share of what all GETs are worth: services pay 1, 2 and 4; wrong bytes nothing
-	Copies  float64 // held at the end
-	Spare   float64 // of them with the bytes of another one at the same host or another's, of one object
-	Wrong   int     // GETs with bytes that never were their class's since the last purge that their dispatcher had heard of
-	Older   int     // GETs with bytes that were their class's before
-	Facts   float64 // a second, all dispatchers together
-	Objects float64 // in a dispatcher's table, in the mean
-	Course  []float64
-	Faults  []string // the first wrong ones
+	GETs    int       `json:"GETs"`
+	Hits    float64   `json:"Hits"`    // share of the GETs
+	Fills   float64   `json:"Fills"`   // at the origin, a second
+	Again   float64   `json:"Again"`   // share of the GETs that were sent once more, by their own class
+	Checked float64   `json:"Checked"` // share of the GETs that were sent by their own class to check
+	Apart   float64   `json:"Apart"`   // share of the GETs that were sent by another class's key than the ideal would have sent them by, not to check
+	Shed    float64   `json:"Shed"`    // by the origin's rate
+	Missed  float64   `json:"Missed"`  // GETs a second that no host could answer from what it held: filled or shed
+	Revenue float64   `json:"Revenue"` // share of what all GETs are worth: services pay 1, 2 and 4; wrong bytes nothing
+	Copies  float64   `json:"Copies"`  // held at the end
+	Spare   float64   `json:"Spare"`   // of them with the bytes of another one at the same host or another's, of one object
+	Wrong   int       `json:"Wrong"`   // GETs with bytes that never were their class's since the last purge that their dispatcher had heard of
+	Older   int       `json:"Older"`   // GETs with bytes that were their class's before
+	Facts   float64   `json:"Facts"`   // a second, all dispatchers together
+	Objects float64   `json:"Objects"` // in a dispatcher's table, in the mean
+	Course  []float64 `json:"Course"`
+	Faults  []string  `json:"Faults"` // the first wrong ones
 }
 
 // keys is a dispatcher's way to find keys.
--- a/internal/cluster/ask.go
+++ b/internal/cluster/ask.go
@@ -79,33 +79,33 @@
 
 // Told is what a member answers.
 type Told struct {
-	Error    string             `cbor:"1,keyasint,omitempty" json:",omitempty"`
-	Number   uint64             `cbor:"2,keyasint" json:"-"` // of the last change
-	Now      float64            `cbor:"3,keyasint"`          // s since its start
-	Self     membership.Member  `cbor:"4,keyasint"`
-	Standing string             `cbor:"5,keyasint"`
-	Level    string             `cbor:"6,keyasint"`
-	View     membership.View    `cbor:"7,keyasint"`
-	Members  []membership.Known `cbor:"8,keyasint"`
-	Counts   map[string]int64   `cbor:"9,keyasint" snake:"names"`
+	Error    string             `cbor:"1,keyasint,omitempty" json:"Error,omitempty"`
+	Number   uint64             `cbor:"2,keyasint" json:"-"`   // of the last change
+	Now      float64            `cbor:"3,keyasint" json:"Now"` // s since its start
+	Self     membership.Member  `cbor:"4,keyasint" json:"Self"`
+	Standing string             `cbor:"5,keyasint" json:"Standing"`
+	Level    string             `cbor:"6,keyasint" json:"Level"`
+	View     membership.View    `cbor:"7,keyasint" json:"View"`
+	Members  []membership.Known `cbor:"8,keyasint" json:"Members"`
+	Counts   map[string]int64   `cbor:"9,keyasint" snake:"names" json:"Counts"`
 
-	Duties   []ToldDuty            `cbor:"10,keyasint,omitempty" json:",omitempty"`
-	Rest     map[string]float64    `cbor:"11,keyasint,omitempty" json:",omitempty"` // s of each lease, by the leader's clock
-	Council  *raftvoter.Status     `cbor:"12,keyasint,omitempty" json:",omitempty"`
-	Seats    []lease.Seat          `cbor:"13,keyasint,omitempty" json:",omitempty"`
-	Leases   []lease.Lease         `cbor:"14,keyasint,omitempty" json:",omitempty"`
-	Changed  bool                  `cbor:"15,keyasint,omitempty" json:",omitempty"`
-	Ledger   *quota.Saved          `cbor:"17,keyasint,omitempty" json:",omitempty"`
-	Budgets  []ToldBudget          `cbor:"18,keyasint,omitempty" json:",omitempty"`
-	Memory   *ToldMemory           `cbor:"19,keyasint,omitempty" json:",omitempty"`
-	Records  []replication.Record  `cbor:"20,keyasint,omitempty" json:",omitempty"`
-	Ended    []replication.Outcome `cbor:"21,keyasint,omitempty" json:",omitempty"` // of the writes, in their order
-	Channels *channel.Saved        `cbor:"22,keyasint,omitempty" json:",omitempty"`
-	Refused  string                `cbor:"23,keyasint,omitempty" json:",omitempty"` // why a command of channels did nothing
-	Leads    string                `cbor:"16,keyasint,omitempty" json:",omitempty"` // the address of who answered as the leader
-	Written  []Written             `cbor:"26,keyasint,omitempty" json:",omitempty"` // what became of the entries, in their order
-	Reason   string                `cbor:"24,keyasint,omitempty" json:"-"`          // of the error, as a word
-	Later    float64               `cbor:"25,keyasint,omitempty" json:"-"`          // s after which to ask again
+	Duties   []ToldDuty            `cbor:"10,keyasint,omitempty" json:"Duties,omitempty"`
+	Rest     map[string]float64    `cbor:"11,keyasint,omitempty" json:"Rest,omitempty"` // s of each lease, by the leader's clock
+	Council  *raftvoter.Status     `cbor:"12,keyasint,omitempty" json:"Council,omitempty"`
+	Seats    []lease.Seat          `cbor:"13,keyasint,omitempty" json:"Seats,omitempty"`
+	Leases   []lease.Lease         `cbor:"14,keyasint,omitempty" json:"Leases,omitempty"`
+	Changed  bool                  `cbor:"15,keyasint,omitempty" json:"Changed,omitempty"`
+	Ledger   *quota.Saved          `cbor:"17,keyasint,omitempty" json:"Ledger,omitempty"`
+	Budgets  []ToldBudget          `cbor:"18,keyasint,omitempty" json:"Budgets,omitempty"`
+	Memory   *ToldMemory           `cbor:"19,keyasint,omitempty" json:"Memory,omitempty"`
+	Records  []replication.Record  `cbor:"20,keyasint,omitempty" json:"Records,omitempty"`
+	Ended    []replication.Outcome `cbor:"21,keyasint,omitempty" json:"Ended,omitempty"` // of the writes, in their order
+	Channels *channel.Saved        `cbor:"22,keyasint,omitempty" json:"Channels,omitempty"`
+	Refused  string                `cbor:"23,keyasint,omitempty" json:"Refused,omitempty"` // why a command of channels did nothing
+	Leads    string                `cbor:"16,keyasint,omitempty" json:"Leads,omitempty"`   // the address of who answered as the leader
+	Written  []Written             `cbor:"26,keyasint,omitempty" json:"Written,omitempty"` // what became of the entries, in their order
+	Reason   string                `cbor:"24,keyasint,omitempty" json:"-"`                 // of the error, as a word
+	Later    float64               `cbor:"25,keyasint,omitempty" json:"-"`                 // s after which to ask again
 }
 
 // MarshalJSON writes it in the style of the command line, whoever prints it.
@@ -117,7 +117,7 @@
 // ToldDuty is a duty with how many wait for it beyond those that are named.
 type ToldDuty struct {
 	lease.Duty
-	More int `json:",omitempty"`
+	More int `json:"More,omitempty"`
 }
 
 // serveStream takes one stream: a message, or a question with a nonce of ours, so that no question counts twice. It lets its place go early where
--- a/internal/cluster/divide.go
+++ b/internal/cluster/divide.go
@@ -435,18 +435,22 @@
 // ToldBudget is how a whole is divided.
 type ToldBudget struct {
 	quota.Budget
-	Generation uint64
-	Out, Spent int64
-	Gone       bool `json:",omitempty"`
-	Parts      []ToldPart
+	Generation uint64     `json:"Generation"`
+	Out        int64      `json:"Out"`
+	Spent      int64      `json:"Spent"`
+	Gone       bool       `json:"Gone,omitempty"`
+	Parts      []ToldPart `json:"Parts"`
 }
 
 // ToldPart is one dispatcher's.
 type ToldPart struct {
-	Name, Zone string
-	Out, Floor int64
-	Keep, Need int64   // as it last said
-	Age        float64 // s since then; below 0 where it was not heard by this divider
+	Name  string  `json:"Name"`
+	Zone  string  `json:"Zone"`
+	Out   int64   `json:"Out"`
+	Floor int64   `json:"Floor"`
+	Keep  int64   `json:"Keep"` // as it last said
+	Need  int64   `json:"Need"` // as it last said
+	Age   float64 `json:"Age"`  // s since then; below 0 where it was not heard by this divider
 }
 
 // tellBudgets answers how the wholes are divided: who divides knows.
--- a/internal/cluster/fleet.go
+++ b/internal/cluster/fleet.go
@@ -620,7 +620,7 @@
 // remembered is the file: with a sum, as a name that was spoilt looks like another.
 type remembered struct {
 	membership.Agreed
-	Sum string `json:",omitempty"` // of the rest; files of older versions have none
+	Sum string `json:"Sum,omitempty"` // of the rest; files of older versions have none
 }
 
 func sumUp(a membership.Agreed) (string, error) {
--- a/internal/cluster/publish.go
+++ b/internal/cluster/publish.go
@@ -57,10 +57,10 @@
 
 // Written is what became of an entry.
 type Written struct {
-	Met    bool   `cbor:"1,keyasint"`
-	Copies int    `cbor:"2,keyasint,omitempty"` // that have it, where it was counted
-	Reason string `cbor:"3,keyasint,omitempty"`
-	Text   string `cbor:"4,keyasint,omitempty"`
+	Met    bool   `cbor:"1,keyasint" json:"Met"`
+	Copies int    `cbor:"2,keyasint,omitempty" json:"Copies"` // that have it, where it was counted
+	Reason string `cbor:"3,keyasint,omitempty" json:"Reason"`
+	Text   string `cbor:"4,keyasint,omitempty" json:"Text"`
 }
 
 // Err is why it was refused; nil where it is acknowledged.
--- a/internal/cluster/raftvoter/council.go
+++ b/internal/cluster/raftvoter/council.go
@@ -133,8 +133,8 @@
 // kept is what a snapshot holds.
 type kept struct {
 	lease.Packed
-	Ledger   quota.Saved
-	Channels channel.Saved // a voter of an earlier version knows none, and keeps none
+	Ledger   quota.Saved   `cbor:"Ledger"`
+	Channels channel.Saved `cbor:"Channels"` // a voter of an earlier version knows none, and keeps none
 }
 
 var (
@@ -237,10 +237,15 @@
 
 // Status is how a voter stands.
 type Status struct {
-	ID, Leader, Term, Commit, Applied uint64
-	Voters, Learners                  []uint64
-	Match                             map[uint64]uint64 // of a leader: what each has of the log
-	Broken                            string
+	ID       uint64            `json:"ID"`
+	Leader   uint64            `json:"Leader"`
+	Term     uint64            `json:"Term"`
+	Commit   uint64            `json:"Commit"`
+	Applied  uint64            `json:"Applied"`
+	Voters   []uint64          `json:"Voters"`
+	Learners []uint64          `json:"Learners"`
+	Match    map[uint64]uint64 `json:"Match"` // of a leader: what each has of the log
+	Broken   string            `json:"Broken"`
 }
 
 // Status tells how it stands.
--- a/internal/cluster/recall.go
+++ b/internal/cluster/recall.go
@@ -172,7 +172,7 @@
 // ToldMemory is how the memory stands.
 type ToldMemory struct {
 	replication.Status
-	Problem string `json:",omitempty"`
+	Problem string `json:"Problem,omitempty"`
 }
 
 // run is the memory's goroutine.
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -24,7 +24,12 @@
 
 // Tally is what became of the GETs of a case, as its clients saw it.
 type Tally struct {
-	Served, Refused, Failed, Left, Unanswered, Broken int64
+	Served     int64 `json:"Served"`
+	Refused    int64 `json:"Refused"`
+	Failed     int64 `json:"Failed"`
+	Left       int64 `json:"Left"`
+	Unanswered int64 `json:"Unanswered"`
+	Broken     int64 `json:"Broken"`
 
 	Delays *hdrhistogram.Histogram `json:"-"` // µs, of those served
 }
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -29,15 +29,19 @@
 
 // Result is one case of one subject, all rounds together.
 type Result struct {
-	Subject, Case string
-	Rate          float64 // GETs a second that were to be sent, 0 for a closed loop
-	Seconds       float64
+	Subject string  `json:"Subject"`
+	Case    string  `json:"Case"`
+	Rate    float64 `json:"Rate"` // GETs a second that were to be sent, 0 for a closed loop
+	Seconds float64 `json:"Seconds"`
 	Tally
-	PerSecond           float64 // served
-	P50, P99, P999, Max float64 // ms
-	CPU                 float64 // µs of the dispatcher for each GET answered
-	Resident            int     // kB at the end, the most of all rounds
-	Farm                standin.FarmCounts
+	PerSecond float64            `json:"PerSecond"` // served
+	P50       float64            `json:"P50"`       // ms
+	P99       float64            `json:"P99"`       // ms
+	P999      float64            `json:"P999"`      // ms
+	Max       float64            `json:"Max"`       // ms
+	CPU       float64            `json:"CPU"`       // µs of the dispatcher for each GET answered
+	Resident  int                `json:"Resident"`  // kB at the end, the most of all rounds
+	Farm      standin.FarmCounts `json:"Farm"`
 }
 
 // Runner runs a plan.
--- a/internal/operator/callers.go
+++ b/internal/operator/callers.go
@@ -103,7 +103,10 @@
 
 // revocations reads a file of what is revoked: {"tokens": [jti …], "subjects": [sub …]}.
 func revocations(raw []byte, to *admission.Revocations) error {
-	var r struct{ Tokens, Subjects []string }
+	var r struct {
+		Tokens   []string `json:"Tokens"`
+		Subjects []string `json:"Subjects"`
+	}
 	d := json.NewDecoder(strings.NewReader(string(raw)))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&r); err != nil {
--- a/internal/service/config.go
+++ b/internal/service/config.go
@@ -18,15 +18,17 @@
 
 // Config is what a dispatcher is told.
 type Config struct {
-	Name, Listen, Seed string
-	Limits             struct {
-		Cores    float64
-		MemoryMB int64 `json:"memory_mb"`
-		Sockets  int
-	}
-	Changelog string
-	Known     changelog.Known
-	Settings  json.RawMessage
+	Name   string `json:"Name"`
+	Listen string `json:"Listen"`
+	Seed   string `json:"Seed"`
+	Limits struct {
+		Cores    float64 `json:"Cores"`
+		MemoryMB int64   `json:"memory_mb"`
+		Sockets  int     `json:"Sockets"`
+	} `json:"Limits"`
+	Changelog string          `json:"Changelog"`
+	Known     changelog.Known `json:"Known"`
+	Settings  json.RawMessage `json:"Settings"`
 
 	settings settings.Settings
 }
--- a/internal/snakejson/snake_test.go
+++ b/internal/snakejson/snake_test.go
@@ -31,3 +31,18 @@
 		assert.Equal(t, want, Key(name))
 	}
 }
+
+func TestTagNamesField(t *testing.T) {
+	type Within struct {
+		Renamed int `json:"GETsOut"`
+	}
+	text, err := JSON(struct {
+		Within
+		Other string         `json:"ID"`
+		Left  int            `json:"HTTPPort,omitempty"`
+		Some  int            `json:"P99,omitempty"`
+		Names map[string]int `json:"Counts" snake:"names"`
+	}{Within{1}, "a", 0, 2, map[string]int{"BytesIn": 3}})
+	require.NoError(t, err)
+	assert.Equal(t, `{"gets_out":1,"id":"a","p99":2,"counts":{"bytes_in":3}}`, string(text))
+}
--- a/internal/standin/farm.go
+++ b/internal/standin/farm.go
@@ -26,7 +26,14 @@
 }
 
 // FarmCounts is what a farm was asked.
-type FarmCounts struct{ Requests, Hits, Fills, Stops, Items, Copies int64 }
+type FarmCounts struct {
+	Requests int64 `json:"Requests"`
+	Hits     int64 `json:"Hits"`
+	Fills    int64 `json:"Fills"`
+	Stops    int64 `json:"Stops"`
+	Items    int64 `json:"Items"`
+	Copies   int64 `json:"Copies"`
+}
 
 // Farm is caches, parents and an origin with a change log.
 type Farm struct {
--- a/internal/standin/processes/faults.go
+++ b/internal/standin/processes/faults.go
@@ -26,10 +26,12 @@
 
 // Fault is something that happens to processes and what is between them. A For of 0 is to the end.
 type Fault struct {
-	At, For float64 // s
-	What    string
-	A, B    []int
-	Amount  float64 `json:",omitempty"`
+	At     float64 `json:"At"`  // s
+	For    float64 `json:"For"` // s
+	What   string  `json:"What"`
+	A      []int   `json:"A"`
+	B      []int   `json:"B"`
+	Amount float64 `json:"Amount,omitempty"`
 }
 
 // Schedule is the faults of a run: a value that is written by hand or drawn from a seed, and played again from its text.
--- a/internal/token/keys.go
+++ b/internal/token/keys.go
@@ -66,7 +66,9 @@
 	if len(raw) > longestSet {
 		return nil, fmt.Errorf("key set of %d bytes, at most %d", len(raw), longestSet)
 	}
-	var set struct{ Keys *[]json.RawMessage }
+	var set struct {
+		Keys *[]json.RawMessage `json:"Keys"`
+	}
 	if err := json.Unmarshal(raw, &set); err != nil {
 		return nil, fmt.Errorf("key set: %w", err)
 	}
