--- a/cmd/elderwall-operator/duties.go
+++ b/cmd/elderwall-operator/duties.go
@@ -131,7 +131,7 @@
 	for _, b := range t.Budgets {
 		unit := 1.0
 		if b.Kind == quota.Rate {
-			unit = float64(quota.Thousand)
+			unit = float64(quota.RateUnits)
 		}
 		line := func(name, generation, whole, free, spent string, parts []cluster.ToldPart) {
 			var sum cluster.ToldPart
@@ -142,7 +142,7 @@
 				float64(sum.Need)/unit, sum.Age)
 		}
 		of := func(n int64) string { return fmt.Sprint(float64(n) / unit) }
-		line(b.Name, fmt.Sprint(b.Generation), of(b.Whole), of(b.Whole-b.Out-b.Spent), of(b.Spent), b.Parts)
+		line(b.Name, fmt.Sprint(b.Generation), of(b.Total), of(b.Total-b.Out-b.Spent), of(b.Spent), b.Parts)
 		zones := map[string][]cluster.ToldPart{}
 		for _, p := range b.Parts {
 			zones[p.Zone] = append(zones[p.Zone], p)
--- a/core/admission/callers.go
+++ b/core/admission/callers.go
@@ -1,12 +1,13 @@
-// Package admission decides who a GET comes from, whether that caller may have it, and whether its tenant has a
-// share left. It is pure: no I/O, clock, lock or goroutine. Now is monotonic, in seconds from any base, and paces
-// shares; wall is Unix time in seconds, and goes with keys, tokens and certificates alone.
+// Package admission decides who a GET comes from, whether that caller has the right to it, and whether its tenant has
+// quota left. It is pure: it does no I/O, reads no clock, and has no locks or goroutines; callers must serialize their
+// calls. The parameter now is monotonic time in seconds from any base and is used for quotas. The parameter wall is
+// Unix time in seconds and is used only for keys, tokens and certificates.
 //
-// What holds at any time:
-//   - a key, token, subject or certificate that is revoked names nobody from the next call on: verdicts are kept on
-//     signatures only, and judged anew by each GET;
-//   - a GET that was passed on is settled by exactly one End, whatever is reloaded in between;
-//   - every table has a size: verdicts, callers, and by the operator's file keys, tenants and rules.
+// Invariants:
+//   - A revoked key, token, subject or certificate identifies nobody from the next call on. The cache keeps only the
+//     fact that a token's signature is right; the rest is evaluated for each GET.
+//   - A GET that was admitted is settled by exactly one call of End, whatever is reloaded in between.
+//   - Every table is bounded: cached tokens and callers by limits; keys, tenants and rules by the settings.
 package admission
 
 import (
@@ -16,86 +17,86 @@
 
 // Times, sizes and rates that no operator needs to set.
 const (
-	turn       = 0.1  // s; how often a fair level moves: some of core/routing's ticks, well under a client's patience
-	rateSpan   = 0.5  // s; over which a tenant's rate is taken: five turns
-	longTurn   = 1.0  // s; a turn that has seen too little lasts so long at most
-	tells      = 20.0 // GETs in a turn from which on its share of sheds tells more than chance
-	mostTurns  = 100  // turns made up for after a silence: by then any level is put off
-	pressed    = 0.01 // share of a turn's GETs shed behind us above which there is pressure: below it chance sheds some
-	cutMost    = 0.5  // share by which a level falls at most in a turn: sheds are told late, and overshoot
-	under      = 0.9  // multiple of what could be borne that a level falls to: ten turns without any shed
-	growth     = 1.1  // multiple of a level after a turn without pressure: doubled in seven turns
-	nearGrowth = 1.01 // the same where it last fell: what is shed while it finds out is all that it costs others
-	farOff     = 1.25 // multiple of where it last fell from which on it is far from there
-	offAbove   = 2.0  // multiple of the highest rate seen above which a level holds nobody and is put off
-	leastLevel = 1.0  // GETs/s by weight; so that somebody finds out when there is room again
-	fairBurst  = 0.05 // s; of a level that may be saved up: what is let on after a pause must not be pressure itself
-	fairGETs   = 4.0  // GETs; the least of it, for tenants with a low level
-	oneGET     = 1.0  // GETs; least that a bucket holds, or slow tenants never got one
-	backSoon   = 1.0  // s; the longest a client is told to stay away for a share that is used up
-	backFair   = 0.25 // s; the same under pressure: a level is another one after a few turns
-	reserve    = 0.5  // share of signature checks kept for connections that have proven a caller, and of a tenant's
-	// share for callers that have not had their part
-	closeIn    = 0.5  // s; kept of the window for closing: connections are looked over each quarter of a second
-	leastLeave = 0.1  // s; for answers that are on their way, however short the window
-	busyTries  = 8    // callers; so many are looked at for one with nothing under way, whose place is free
-	probation  = 0.25 // share of the verdicts' table that those have which were used once
+	levelInterval     = 0.1  // seconds; how often the fair level changes: several ticks of core/routing, well below a client's patience
+	rateWindow        = 0.5  // seconds over which a tenant's rate is measured: five level intervals
+	maxLevelInterval  = 1.0  // seconds; longest interval, used while too few GETs were seen
+	minSample         = 20.0 // GETs; with fewer in an interval, the share that is shed may be chance
+	maxGrowthSteps    = 100  // intervals made up for after a time without GETs; by then any level is disabled
+	pressureThreshold = 0.01 // share of an interval's GETs that were shed downstream, above which there is pressure; chance alone sheds a smaller share
+	maxCut            = 0.5  // largest share by which the level falls in an interval, because sheds are reported late and overshoot
+	cutTarget         = 0.9  // multiple of the sustainable rate that the level falls to, which gives about ten intervals without sheds
+	growth            = 1.1  // multiple of the level after an interval without pressure; it doubles in about seven intervals
+	nearGrowth        = 1.01 // the same near the last cut; the GETs shed while it probes there are all that it costs other tenants
+	nearFactor        = 1.25 // multiple of the last cut beyond which the level is far from it
+	disableFactor     = 2.0  // multiple of the highest rate seen above which the level limits nobody and is disabled
+	minLevel          = 1.0  // GETs per second and unit of weight; some GETs must pass to find out when there is capacity again
+	fairBurst         = 0.05 // seconds of the level that may be saved up; GETs admitted after a pause must not cause pressure themselves
+	minFairBurst      = 4.0  // GETs; least burst, for tenants with a low level
+	oneGET            = 1.0  // GETs; least burst of a bucket, without which a tenant with a low rate would never be admitted
+	maxQuotaWait      = 1.0  // seconds; longest time that a client is told to wait when a quota is used up
+	fairWait          = 0.25 // seconds that a client is told to wait under pressure; the level has changed after a few intervals
+	reservedShare     = 0.5  // share of the signature checks reserved for connections that have proven a caller, and share of a tenant's
+	// quota reserved for callers that had less than an equal part
+	closeMargin   = 0.5  // seconds of the window reserved for closing, because connections are checked every quarter of a second
+	minDrainTime  = 0.1  // seconds for answers that are on their way, however short the window is
+	maxEvictTries = 8    // callers that are examined for one without GETs in flight, which can be evicted
+	onceShare     = 0.25 // share of the token cache for tokens that were used only once
 )
 
-// Refusal tells why a GET ends here; the zero value is none.
-type Refusal int
+// Rejection is the reason why a GET is rejected. The zero value means that it is admitted.
+type Rejection int
 
-// The refusals. Those from ShareUsed on are no errors: trying again is harmless.
+// The rejections. Those from QuotaExceeded on are no errors: a retry is harmless.
 const (
-	Passed         Refusal = iota
-	BadToken               // malformed, unknown key, wrong algorithm or signature, claims that do not fit
-	Ended                  // signed rightly, and not valid yet or any more
-	BadCertificate         // past its end, revoked, or of an authority that is not trusted any more
-	Nobody                 // nothing names a tenant
-	Denied                 // no right to it
-	ShareUsed              // the tenant's or the caller's rate, or its GETs under way
-	Pressed                // over the fair level under pressure
-	ChecksUsed             // too many signatures to check
-	FleetUsed              // what the fleet lets this dispatcher have of the tenant's budget
+	Admitted           Rejection = iota
+	BadToken                     // malformed, unknown key, wrong algorithm or signature, or claims that do not match the settings
+	Expired                      // the signature is right, but the token is not valid yet or no longer valid
+	BadCertificate               // outside its validity, revoked, or from an authority that is not trusted
+	UnknownCaller                // nothing identifies a tenant
+	Denied                       // no right to the object
+	QuotaExceeded                // rate or in-flight limit of the tenant or the caller
+	OverFairRate                 // above the fair level under pressure
+	TooManyChecks                // too many signatures to check
+	FleetQuotaExceeded           // this dispatcher's grant of the tenant's fleet budget is used up
 )
 
-// Shed tells whether trying again is harmless and may help.
-func (r Refusal) Shed() bool { return r >= ShareUsed }
+// Shed reports whether a retry is harmless and may help.
+func (r Rejection) Shed() bool { return r >= QuotaExceeded }
 
-// String is the short reason that a client may know; it tells a forger nothing of which check failed.
-func (r Refusal) String() string {
+// String returns the short reason that a client may see. It does not tell a forger which check failed.
+func (r Rejection) String() string {
 	return [...]string{"", "token", "expired", "certificate", "unknown", "denied", "share", "pressure", "checks", "fleet"}[r]
 }
 
-// Conn is what is known of one connection; zero but for Remote and Certificate at its start.
+// Conn is the state of one connection. Only Remote and Certificate are set when it starts.
 type Conn struct {
 	Remote      netip.Addr
 	Certificate *Certificate // verified in the handshake; nil for none
 
-	given  *verdict // of a token that was given for the connection
-	proven bool     // a signature on it was right
-	checks bucket
-	named  *tenant // by the certificate, as of generation
-	as     string
-	gen    int
+	connToken   *verifiedToken // set by BindToken
+	proven      bool           // a signature on it was verified for a known caller
+	checkBucket bucket         // bounds its signature checks
+	certTenant  *tenant        // found by the certificate, as of generation
+	certName    string         // name of the certificate that certTenant was found by
+	generation  int            // of the settings that certTenant was found with
 
-	leaving float64 // when it is to be closed at the latest, 0 if it stays
+	closeAt float64 // monotonic time by which it must close; 0 if it stays open
 }
 
-// GET is what the rights of a caller are judged by.
+// GET is what the rights of a caller are checked against.
 type GET struct {
-	Service int    // its place in the settings, below 64
-	Object  uint64 // its 16 hex digits
+	Service int    // index in the settings, below 64
+	Object  uint64 // its 16 hex digits as a number
 	Group   int    // 0 to 255
 }
 
-// Caller is who a GET comes from.
+// Caller identifies who a GET comes from.
 type Caller struct {
 	tenant *tenant
 	name   string
 }
 
-// Tenant is the caller's tenant, "" for nobody.
+// Tenant returns the name of the caller's tenant, or "" for an unknown caller.
 func (c Caller) Tenant() string {
 	if c.tenant == nil {
 		return ""
@@ -103,228 +104,231 @@
 	return c.tenant.Name
 }
 
-// Name is the caller's own name within its tenant.
+// Name returns the caller's name within its tenant.
 func (c Caller) Name() string { return c.name }
 
-// Ticket is what End needs of a GET that was passed on.
+// Ticket is what End needs to settle a GET that was admitted.
 type Ticket struct {
-	tenant *tenant
-	caller *account
-	at     float64 // when it was passed on
+	tenant     *tenant
+	caller     *account
+	admittedAt float64 // monotonic time in seconds
 
-	Budgets []string // of the fleet, that it has taken of
+	Budgets []string // fleet budgets from which the GET has taken a unit
 }
 
-// Module is the state of one dispatcher's callers.
-type Module struct {
-	s        Settings
-	gen      int
-	keys     map[string]*Key
-	revoked  revoked
-	trusted  map[string]bool
-	names    names
-	tenants  map[string]*tenant
-	verdicts verdicts
-	callers  table
-	checks   bucket
-	fair     level
-	seen     float64 // the latest wall time
+// Controller is the admission state of one dispatcher.
+type Controller struct {
+	settings           Settings
+	generation         int // number of reloads
+	keys               map[string]*Key
+	revoked            revocationIndex
+	trustedAuthorities map[string]bool
+	names              nameIndex
+	tenants            map[string]*tenant
+	tokens             tokenCache
+	callers            callerTable
+	checkBucket        bucket
+	fair               fairLevel
+	latestWall         float64 // wall time used last, in Unix seconds; small steps back do not lower it
 }
 
-// New makes a module; an error is that of Check.
-func New(now, wall float64, s Settings) (*Module, error) {
-	m := &Module{tenants: map[string]*tenant{}, seen: wall, fair: level{most: math.Inf(1), moved: now}}
+// New returns a controller with the settings. It returns the error of Settings.Check if they are invalid.
+func New(now, wall float64, s Settings) (*Controller, error) {
+	m := &Controller{tenants: map[string]*tenant{}, latestWall: wall, fair: fairLevel{limit: math.Inf(1), movedAt: now}}
 	return m, m.Reload(now, wall, s)
 }
 
-// Reload takes settings whole, or leaves the old ones in force with an error. GETs under way keep their accounts,
-// tenants that stay keep what they have used, and verdicts are judged by the new keys from the next GET on.
-func (m *Module) Reload(now, wall float64, s Settings) error {
+// Reload replaces all settings, or keeps the old ones and returns an error. GETs in flight keep their accounts,
+// tenants that remain keep their usage, and cached tokens are evaluated with the new keys from the next GET on.
+func (m *Controller) Reload(now, wall float64, s Settings) error {
 	if err := s.Check(); err != nil {
 		return err
 	}
-	m.gen++
-	m.s = s
-	m.keys, m.trusted = map[string]*Key{}, map[string]bool{}
+	m.generation++
+	m.settings = s
+	m.keys, m.trustedAuthorities = map[string]*Key{}, map[string]bool{}
 	for i := range s.Keys {
-		m.keys[s.Keys[i].ID] = &m.s.Keys[i]
+		m.keys[s.Keys[i].ID] = &m.settings.Keys[i]
 	}
 	for _, fingerprint := range s.Authorities {
-		m.trusted[fingerprint] = true
+		m.trustedAuthorities[fingerprint] = true
 	}
-	m.revoked, m.names = newRevoked(s.Revoked), newNames(s.Names)
-	m.retenant(now, s)
-	m.verdicts.resize(s.Limits.Verdicts)
+	m.revoked, m.names = newRevocationIndex(s.Revoked), newNameIndex(s.NameMappings)
+	m.rebuildTenants(now, s)
+	m.tokens.resize(s.Limits.Tokens)
 	m.callers.resize(s.Limits.Callers)
-	m.checks.limit(now, s.Limits.Checks, s.Limits.Checks)
-	m.time(wall)
+	m.checkBucket.setLimit(now, s.Limits.ChecksPerSecond, s.Limits.ChecksPerSecond)
+	m.wallTime(wall)
 	return nil
 }
 
-// retenant brings the tenants up to the settings; those with the same rights share one index.
-func (m *Module) retenant(now float64, s Settings) {
-	indexes, was := map[string]*rights{}, m.tenants
+// rebuildTenants updates the tenants to the settings. Tenants with the same rights share one index.
+func (m *Controller) rebuildTenants(now float64, s Settings) {
+	indexes, previous := map[string]*rights{}, m.tenants
 	m.tenants = make(map[string]*tenant, len(s.Tenants))
-	for _, told := range s.Tenants {
-		key := told.rightsKey()
+	for _, configured := range s.Tenants {
+		key := configured.rightsKey()
 		if indexes[key] == nil {
-			indexes[key] = newRights(s.rulesOf(told))
+			indexes[key] = newRights(s.rulesOf(configured))
 		}
-		t := was[told.Name]
+		t := previous[configured.Name]
 		if t == nil {
 			t = &tenant{}
 		}
-		t.Tenant, t.rights = told, indexes[key]
-		t.set(now, told.Share)
-		m.tenants[told.Name] = t
+		t.Tenant, t.rights = configured, indexes[key]
+		t.set(now, configured.Quota)
+		m.tenants[configured.Name] = t
 	}
 }
 
-// time is the wall time that goes: steps back by no more than the skew are waited out, longer ones followed. Guards
-// against tokens that a small correction of the clock brings back, and against a wrong leap ahead that would lock
-// everyone out for as long.
-func (m *Module) time(wall float64) float64 {
-	if wall < m.seen && m.seen-wall <= m.s.Skew {
-		return m.seen
+// wallTime returns the wall time to use. A clock that steps back by no more than the skew stands still until it has
+// caught up; a larger step back is followed. Guards against expired tokens that become valid again through a small
+// correction of the clock, and against a wrong jump ahead that would lock everyone out for as long.
+func (m *Controller) wallTime(wall float64) float64 {
+	if wall < m.latestWall && m.latestWall-wall <= m.settings.Skew {
+		return m.latestWall
 	}
-	m.seen = wall
+	m.latestWall = wall
 	return wall
 }
 
-// ByToken names the caller of a token whose signature was found right before; false if it has yet to be checked.
-func (m *Module) ByToken(wall float64, sum Sum) (Caller, Refusal, bool) {
-	v := m.verdicts.find(sum)
-	if v == nil || v.key != nil && v.gen != m.gen && !m.signed(v) {
-		return Caller{}, Passed, false
+// CallerByToken returns the caller of a token whose signature was verified before. It returns false if the signature
+// has yet to be checked.
+func (m *Controller) CallerByToken(wall float64, hash TokenHash) (Caller, Rejection, bool) {
+	v := m.tokens.find(hash)
+	if v == nil || v.key != nil && v.generation != m.generation && !m.sameKey(v) {
+		return Caller{}, Admitted, false
 	}
-	c, r := m.judge(m.time(wall), v)
+	c, r := m.evaluate(m.wallTime(wall), v)
 	return c, r, true
 }
 
-// signed tells whether the key that a verdict rests on is still the very same one.
-func (m *Module) signed(v *verdict) bool {
+// sameKey reports whether the key that verified a token is still the same one, or is gone.
+func (m *Controller) sameKey(v *verifiedToken) bool {
 	k := m.keys[v.key.ID]
-	return k == nil || k.Print == v.key.Print
+	return k == nil || k.Fingerprint == v.key.Fingerprint
 }
 
-// ByConn names the caller by the connection alone: its token, its certificate, or as nobody in particular.
-func (m *Module) ByConn(wall float64, c *Conn) (Caller, Refusal) {
-	wall = m.time(wall)
+// CallerByConn identifies the caller by the connection alone: by its token, by its certificate, or as the anonymous
+// tenant.
+func (m *Controller) CallerByConn(wall float64, c *Conn) (Caller, Rejection) {
+	wall = m.wallTime(wall)
 	switch {
-	case c.given != nil:
-		return m.judge(wall, c.given)
+	case c.connToken != nil:
+		return m.evaluate(wall, c.connToken)
 	case c.Certificate != nil:
-		return m.byCertificate(wall, c)
-	case m.s.Anonymous != "":
-		return Caller{m.tenants[m.s.Anonymous], ""}, Passed
+		return m.callerByCertificate(wall, c)
+	case m.settings.AnonymousTenant != "":
+		return Caller{m.tenants[m.settings.AnonymousTenant], ""}, Admitted
 	}
-	return Caller{}, Nobody
+	return Caller{}, UnknownCaller
 }
 
-// MayCheck tells whether the signature of a token may be checked: its key must be one that may sign now, by the
-// algorithm that is the key's own, and a check must be left. Guards against floods of forged tokens: unknown keys
-// cost no check, and half of all checks are kept for connections that have proven a caller.
-func (m *Module) MayCheck(now, wall float64, c *Conn, keyID, algorithm string) Refusal {
+// AllowCheck decides whether the signature of a token may be checked. Its key must be valid now and of the given
+// algorithm, and the budget of checks must not be used up. Guards against floods of forged tokens: unknown keys cost
+// no check, and half of all checks are reserved for connections that have proven a caller.
+func (m *Controller) AllowCheck(now, wall float64, c *Conn, keyID, algorithm string) Rejection {
 	k := m.keys[keyID]
-	if k == nil || k.Algorithm != algorithm || k.State == Revoked || !k.open(m.time(wall), m.s.Skew) {
+	if k == nil || k.Algorithm != algorithm || k.State == Revoked || !k.validAt(m.wallTime(wall), m.settings.Skew) {
 		return BadToken
 	}
-	if c.checks.rate == 0 {
-		c.checks.limit(now, m.s.Limits.ChecksByConn, m.s.Limits.CheckBurst)
+	if c.checkBucket.rate == 0 {
+		c.checkBucket.setLimit(now, m.settings.Limits.ChecksPerConn, m.settings.Limits.CheckBurst)
 	}
 	left := 0.0
 	if !c.proven {
-		left = reserve * m.checks.burst
+		left = reservedShare * m.checkBucket.burst
 	}
-	if !c.checks.has(now, oneGET) || !m.checks.has(now, oneGET+left) {
-		return ChecksUsed
+	if !c.checkBucket.has(now, oneGET) || !m.checkBucket.has(now, oneGET+left) {
+		return TooManyChecks
 	}
-	c.checks.take()
-	m.checks.take()
-	return Passed
+	c.checkBucket.take()
+	m.checkBucket.take()
+	return Admitted
 }
 
-// Verified takes the claims of a token whose signature is right by a key of that fingerprint, and names the caller.
-func (m *Module) Verified(wall float64, c *Conn, sum Sum, keyID, fingerprint string, claims Claims) (Caller, Refusal) {
+// AcceptVerified records a token whose signature was verified by a key with that fingerprint, and returns its caller.
+func (m *Controller) AcceptVerified(wall float64, c *Conn, hash TokenHash, keyID, fingerprint string, claims Claims) (Caller, Rejection) {
 	k := m.keys[keyID]
-	if k == nil || k.Print != fingerprint { // the keys have changed meanwhile
+	if k == nil || k.Fingerprint != fingerprint { // the keys have changed since the check began
 		return Caller{}, BadToken
 	}
-	v := &verdict{sum: sum, key: k, claims: claims}
-	m.verdicts.put(v)
-	caller, r := m.judge(m.time(wall), v)
-	c.proven = c.proven || r == Passed
+	v := &verifiedToken{hash: hash, key: k, claims: claims}
+	m.tokens.put(v)
+	caller, r := m.evaluate(m.wallTime(wall), v)
+	c.proven = c.proven || r == Admitted
 	return caller, r
 }
 
-// Give has a verified token name the caller of all GETs of a connection that bring none; false if it is unknown.
-func (m *Module) Give(c *Conn, sum Sum) bool {
-	c.given = m.verdicts.find(sum)
-	return c.given != nil
+// BindToken makes a verified token identify the caller of all GETs on a connection that have no token of their own. It
+// returns false if the token is not in the cache.
+func (m *Controller) BindToken(c *Conn, hash TokenHash) bool {
+	c.connToken = m.tokens.find(hash)
+	return c.connToken != nil
 }
 
-// Admit says whether a caller's GET is passed on, and what End needs if so; wait is how many seconds a client is to
-// stay away, 0 where nothing is told.
-func (m *Module) Admit(now float64, c Caller, from netip.Addr, g GET) (t Ticket, r Refusal, wait float64) {
+// Admit decides whether a caller's GET is admitted. If so, it returns the ticket for End; if not, the reason and the
+// seconds that the client is told to wait, 0 for none.
+func (m *Controller) Admit(now float64, c Caller, from netip.Addr, g GET) (t Ticket, r Rejection, wait float64) {
 	if c.tenant == nil {
-		return Ticket{}, Nobody, 0
+		return Ticket{}, UnknownCaller, 0
 	}
 	if !c.tenant.rights.allow(g, from) {
 		return Ticket{}, Denied, 0
 	}
-	t = Ticket{tenant: c.tenant, caller: m.callers.account(now, c), at: now}
-	if r, wait = m.share(now, t); r != Passed {
+	t = Ticket{tenant: c.tenant, caller: m.callers.account(now, c), admittedAt: now}
+	if r, wait = m.applyQuotas(now, t); r != Admitted {
 		return Ticket{}, r, wait
 	}
-	return t, Passed, 0
+	return t, Admitted, 0
 }
 
-// End settles a GET that was passed on: ran tells whether any host may have worked on it, which is what a rate
-// counts; shed that it was turned away behind us, which is what pressure is.
-func (m *Module) End(now float64, t Ticket, ran, shed bool) {
+// End settles a GET that was admitted. Parameter ran says whether any host may have worked on it, which is what a rate
+// counts; shed says that it was shed downstream, which is the sign of pressure.
+func (m *Controller) End(now float64, t Ticket, ran, shed bool) {
 	if t.tenant == nil {
 		return
 	}
 	for _, a := range []*account{&t.tenant.account, t.caller} {
-		a.out--
-		if !ran { // it may come again, and is not charged twice
-			a.rate.give(now, oneGET)
+		a.inFlight--
+		if !ran { // the client may retry it and is not charged twice
+			a.bucket.refund(now, oneGET)
 		}
 	}
-	m.fair.turn(now)
+	m.fair.update(now)
 	if shed {
-		m.fair.turnedAway(t.at)
+		m.fair.recordShed(t.admittedAt)
 	}
 }
 
-// Level is the fair level in GETs a second by weight, infinite while there is no pressure.
-func (m *Module) Level() float64 { return m.fair.most }
+// FairLevel returns the fair level in GETs per second and unit of weight. It is infinite while there is no pressure.
+func (m *Controller) FairLevel() float64 { return m.fair.limit }
 
-// Standing is how long a connection may stay.
-type Standing int
+// ConnState says whether a connection may stay open.
+type ConnState int
 
-// The standings. What comes on a connection that is leaving is refused like any GET of its caller.
+// The states of a connection. GETs on one that is draining are rejected like any of its caller's.
 const (
-	Stays   Standing = iota
-	Leaving          // to be closed once nothing is open on it
-	Left             // to be closed now; what is open is failed
+	KeepOpen ConnState = iota
+	Draining           // close it once nothing is in flight on it
+	CloseNow           // close it now and fail what is in flight
 )
 
-// Standing tells whether a connection may stay. One whose certificate counts no more is leaving, and has left before
-// the window is over: within it GETs under way may still be answered.
-func (m *Module) Standing(now, wall float64, c *Conn) Standing {
+// ConnState returns whether a connection may stay open. One whose certificate is no longer valid drains and
+// must close before the window ends, so that GETs in flight can be answered until then.
+func (m *Controller) ConnState(now, wall float64, c *Conn) ConnState {
 	if c.Certificate == nil {
-		return Stays
+		return KeepOpen
 	}
-	if _, r := m.byCertificate(m.time(wall), c); r != BadCertificate {
-		c.leaving = 0
-		return Stays
+	if _, r := m.callerByCertificate(m.wallTime(wall), c); r != BadCertificate {
+		c.closeAt = 0
+		return KeepOpen
 	}
-	if c.leaving == 0 {
-		c.leaving = now + math.Max(leastLeave, m.s.Window-closeIn)
+	if c.closeAt == 0 {
+		c.closeAt = now + math.Max(minDrainTime, m.settings.Window-closeMargin)
 	}
-	if now < c.leaving {
-		return Leaving
+	if now < c.closeAt {
+		return Draining
 	}
-	return Left
+	return CloseNow
 }
--- a/core/admission/callers_test.go
+++ b/core/admission/callers_test.go
@@ -16,14 +16,14 @@
 	"elderwall/internal/standin/need"
 )
 
-const noon = 1764590400.0 // Unix s
+const noon = 1764590400.0 // Unix seconds
 
-var here = netip.MustParseAddr("10.1.2.3")
+var clientAddr = netip.MustParseAddr("10.1.2.3")
 
-// settings are those of two tenants that may have everything, and of one key.
-func settings(change ...func(*Settings)) Settings {
+// testSettings returns settings with one key and two tenants that may request everything.
+func testSettings(change ...func(*Settings)) Settings {
 	s := Defaults()
-	s.Keys = []Key{{ID: "k1", Algorithm: "EdDSA", Print: "p1", State: Active}}
+	s.Keys = []Key{{ID: "k1", Algorithm: "EdDSA", Fingerprint: "p1", State: Active}}
 	s.Roles = map[string][]Rule{"all": {{}}}
 	s.Tenants = []Tenant{{Name: "a", Roles: []string{"all"}}, {Name: "b", Roles: []string{"all"}}}
 	for _, c := range change {
@@ -34,14 +34,16 @@
 	return s
 }
 
-func module(t testing.TB, change ...func(*Settings)) *Module {
-	return need.Of(New(0, noon, settings(change...)))(t)
+// newTestController returns a controller with testSettings.
+func newTestController(t testing.TB, change ...func(*Settings)) *Controller {
+	return need.Of(New(0, noon, testSettings(change...)))(t)
 }
 
-func sum(n int) (s Sum) { copy(s[:], fmt.Sprint(n)); return s }
+// tokenHash returns a hash that differs for each n.
+func tokenHash(n int) (s TokenHash) { copy(s[:], fmt.Sprint(n)); return s }
 
-// claims are those of a caller of tenant a, for an hour.
-func claims(change ...func(*Claims)) Claims {
+// testClaims returns the claims of a caller of tenant a, valid for an hour after noon.
+func testClaims(change ...func(*Claims)) Claims {
 	c := Claims{Subject: "till-4", Tenant: "a", ID: "j1", IssuedAt: noon - 10, Expiry: noon + 3600}
 	for _, f := range change {
 		if f != nil {
@@ -51,91 +53,97 @@
 	return c
 }
 
-// verify has a token of those claims by key k1 taken as rightly signed.
-func verify(m *Module, wall float64, c Claims) (Caller, Refusal) {
-	return m.Verified(wall, &Conn{Remote: here}, sum(1), "k1", "p1", c)
+// verify passes a token with these claims to AcceptVerified, as signed by key k1, and returns its caller.
+func verify(m *Controller, wall float64, c Claims) (Caller, Rejection) {
+	return m.AcceptVerified(wall, &Conn{Remote: clientAddr}, tokenHash(1), "k1", "p1", c)
 }
 
-func TestTokensAndClocks(t *testing.T) {
+// TestTokenValidity guards against tokens that are accepted outside their validity, or with claims or keys that do not
+// fit. Each token is evaluated when it is verified and again from the cache.
+func TestTokenValidity(t *testing.T) {
 	key := func(change func(*Key)) func(*Settings) { return func(s *Settings) { change(&s.Keys[0]) } }
 	for _, tt := range []struct {
 		name string
 		s    func(*Settings)
 		c    func(*Claims)
-		wall float64 // s from noon
-		want Refusal
+		wall float64 // seconds after noon
+		want Rejection
 	}{
-		{"a good one", nil, nil, 0, Passed},
-		{"of a tenant that there is not", nil, func(c *Claims) { c.Tenant = "z" }, 0, Nobody},
-		{"ended 29 s ago", nil, nil, 3629, Passed},
-		{"ended 31 s ago", nil, nil, 3631, Ended},
-		{"begins in 29 s", nil, func(c *Claims) { c.NotBefore = noon + 29 }, 0, Passed},
-		{"begins in 31 s", nil, func(c *Claims) { c.NotBefore = noon + 31 }, 0, Ended},
-		{"issued 31 s ahead", nil, func(c *Claims) { c.IssuedAt = noon + 31 }, 0, Ended},
-		{"no end where one is required", nil, func(c *Claims) { c.Expiry = 0 }, 0, BadToken},
-		{"no end where none is required", func(s *Settings) { s.Require = nil }, func(c *Claims) { c.Expiry = 0 }, 1e6, Passed},
+		{"a valid token", nil, nil, 0, Admitted},
+		{"of a tenant that does not exist", nil, func(c *Claims) { c.Tenant = "z" }, 0, UnknownCaller},
+		{"expired 29 s ago", nil, nil, 3629, Admitted},
+		{"expired 31 s ago", nil, nil, 3631, Expired},
+		{"valid in 29 s", nil, func(c *Claims) { c.NotBefore = noon + 29 }, 0, Admitted},
+		{"valid in 31 s", nil, func(c *Claims) { c.NotBefore = noon + 31 }, 0, Expired},
+		{"issued 31 s in the future", nil, func(c *Claims) { c.IssuedAt = noon + 31 }, 0, Expired},
+		{"no expiry where one is required", nil, func(c *Claims) { c.Expiry = 0 }, 0, BadToken},
+		{"no expiry where none is required", func(s *Settings) { s.RequiredClaims = nil }, func(c *Claims) { c.Expiry = 0 }, 1e6, Admitted},
 		{"no subject", nil, func(c *Claims) { c.Subject = "" }, 0, BadToken},
 		{"for another audience", func(s *Settings) { s.Audience = "us" }, func(c *Claims) { c.Audience = []string{"them"} }, 0, BadToken},
-		{"for us among others", func(s *Settings) { s.Audience = "us" }, func(c *Claims) { c.Audience = []string{"them", "us"} }, 0, Passed},
-		{"lives longer than it may", func(s *Settings) { s.MostLife = 60 }, nil, 90, Ended},
-		{"issued nowhen where life is bounded", func(s *Settings) { s.MostLife = 60 }, func(c *Claims) { c.IssuedAt = 0 }, 0, BadToken},
-		{"revoked by id", func(s *Settings) { s.Revoked.Tokens = []string{"j1"} }, nil, 0, BadToken},
+		{"for us among others", func(s *Settings) { s.Audience = "us" }, func(c *Claims) { c.Audience = []string{"them", "us"} }, 0, Admitted},
+		{"past the maximum lifetime", func(s *Settings) { s.MaxTokenLifetime = 60 }, nil, 90, Expired},
+		{"no issue time where the lifetime is limited", func(s *Settings) { s.MaxTokenLifetime = 60 }, func(c *Claims) { c.IssuedAt = 0 }, 0, BadToken},
+		{"revoked by ID", func(s *Settings) { s.Revoked.Tokens = []string{"j1"} }, nil, 0, BadToken},
 		{"revoked by subject", func(s *Settings) { s.Revoked.Subjects = []string{"till-4"} }, nil, 0, BadToken},
 		{"a key for other tenants", key(func(k *Key) { k.Tenants = []string{"b"} }), nil, 0, BadToken},
 		{"a key of another issuer", key(func(k *Key) { k.Issuer = "them" }), nil, 0, BadToken},
 		{"an announced key", key(func(k *Key) { k.State = Announced }), nil, 0, BadToken},
-		{"an announced key whose begin came", key(func(k *Key) { k.State, k.From = Announced, noon }), nil, 0, Passed},
-		{"a key that begins in 29 s", key(func(k *Key) { k.From = noon + 29 }), nil, 0, Passed},
+		{"an announced key whose begin has passed", key(func(k *Key) { k.State, k.From = Announced, noon }), nil, 0, Admitted},
+		{"a key that begins in 29 s", key(func(k *Key) { k.From = noon + 29 }), nil, 0, Admitted},
 		{"a key that begins in 31 s", key(func(k *Key) { k.From = noon + 31 }), nil, 0, BadToken},
-		{"a key that ended 29 s ago", key(func(k *Key) { k.Until = noon - 29 }), nil, 0, Passed},
+		{"a key that ended 29 s ago", key(func(k *Key) { k.Until = noon - 29 }), nil, 0, Admitted},
 		{"a key that ended 31 s ago", key(func(k *Key) { k.Until = noon - 31 }), nil, 0, BadToken},
-		{"signed before its key retired", key(func(k *Key) { k.State, k.RetiredAt = Retiring, noon-5 }), nil, 0, Passed},
+		{"signed before its key retired", key(func(k *Key) { k.State, k.RetiredAt = Retiring, noon-5 }), nil, 0, Admitted},
 		{"signed 31 s after its key retired", key(func(k *Key) { k.State, k.RetiredAt = Retiring, noon-41 }), nil, 0, BadToken},
-		{"signed nowhen, by a key that retired", key(func(k *Key) { k.State, k.RetiredAt = Retiring, noon }), func(c *Claims) { c.IssuedAt = 0 }, 0, BadToken},
+		{"no issue time, by a retiring key", key(func(k *Key) { k.State, k.RetiredAt = Retiring, noon }), func(c *Claims) { c.IssuedAt = 0 }, 0, BadToken},
 		{"a revoked key", key(func(k *Key) { k.State = Revoked }), nil, 0, BadToken},
 	} {
-		m := module(t, tt.s)
-		_, r := verify(m, noon+tt.wall, claims(tt.c))
+		m := newTestController(t, tt.s)
+		_, r := verify(m, noon+tt.wall, testClaims(tt.c))
 		assert.Equal(t, tt.want, r, tt.name)
-		_, r, known := m.ByToken(noon+tt.wall, sum(1))
-		assert.True(t, known && r == tt.want, "%s, from the table: %v", tt.name, r)
+		_, r, known := m.CallerByToken(noon+tt.wall, tokenHash(1))
+		assert.True(t, known && r == tt.want, "%s, from the cache: %v", tt.name, r)
 	}
 }
 
-// A clock that is set back by less than the skew must not bring ended tokens back; one that was far ahead and is put
-// right must not lock everyone out.
-func TestAClockThatStepsBack(t *testing.T) {
-	m := module(t)
-	_, r := verify(m, noon+3631, claims())
-	require.Equal(t, Ended, r)
-	_, r, _ = m.ByToken(noon+3601, sum(1))
-	assert.Equal(t, Ended, r, "back by 30 s: time stands still")
-	_, r, _ = m.ByToken(noon+100, sum(1))
-	assert.Equal(t, Passed, r, "back by an hour: the clock was wrong before")
+// TestClockStepsBack guards against two failures: a clock set back by less than the skew makes expired tokens valid
+// again, or a clock that was far ahead and is corrected locks everyone out.
+func TestClockStepsBack(t *testing.T) {
+	m := newTestController(t)
+	_, r := verify(m, noon+3631, testClaims())
+	require.Equal(t, Expired, r)
+	_, r, _ = m.CallerByToken(noon+3601, tokenHash(1))
+	assert.Equal(t, Expired, r, "30 s back: the time used stands still")
+	_, r, _ = m.CallerByToken(noon+100, tokenHash(1))
+	assert.Equal(t, Admitted, r, "an hour back: the correction is followed")
 }
 
-func TestRevocationReachesWhatIsKnownAlready(t *testing.T) {
+// TestRevocationAppliesToCachedTokens guards against tokens that stay valid after a reload revokes them, because they
+// are in the cache or bound to an open connection.
+func TestRevocationAppliesToCachedTokens(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"its key":               func(s *Settings) { s.Keys[0].State = Revoked },
-		"its key is gone":       func(s *Settings) { s.Keys[0].ID = "k2" },
-		"its id":                func(s *Settings) { s.Revoked.Tokens = []string{"j1"} },
-		"its subject":           func(s *Settings) { s.Revoked.Subjects = []string{"till-4"} },
-		"another key of its id": func(s *Settings) { s.Keys[0].Print = "p2" },
+		"its key":                 func(s *Settings) { s.Keys[0].State = Revoked },
+		"its key is missing":      func(s *Settings) { s.Keys[0].ID = "k2" },
+		"its ID":                  func(s *Settings) { s.Revoked.Tokens = []string{"j1"} },
+		"its subject":             func(s *Settings) { s.Revoked.Subjects = []string{"till-4"} },
+		"another key with its ID": func(s *Settings) { s.Keys[0].Fingerprint = "p2" },
 	} {
-		m, conn := module(t), &Conn{Remote: here}
-		_, r := m.Verified(noon, conn, sum(1), "k1", "p1", claims())
-		require.Equal(t, Passed, r)
-		require.True(t, m.Give(conn, sum(1)))
-		require.NoError(t, m.Reload(0, noon, settings(change)))
-		_, r, known := m.ByToken(noon, sum(1))
+		m, conn := newTestController(t), &Conn{Remote: clientAddr}
+		_, r := m.AcceptVerified(noon, conn, tokenHash(1), "k1", "p1", testClaims())
+		require.Equal(t, Admitted, r)
+		require.True(t, m.BindToken(conn, tokenHash(1)))
+		require.NoError(t, m.Reload(0, noon, testSettings(change)))
+		_, r, known := m.CallerByToken(noon, tokenHash(1))
 		assert.True(t, !known || r == BadToken, name)
-		_, r = m.ByConn(noon, conn)
-		assert.Equal(t, BadToken, r, "%s, on its connection", name)
-		_, r = m.Verified(noon, conn, sum(1), "k1", "p1", claims())
-		assert.Equal(t, BadToken, r, "%s, checked just before", name)
+		_, r = m.CallerByConn(noon, conn)
+		assert.Equal(t, BadToken, r, "%s, on the connection it is bound to", name)
+		_, r = m.AcceptVerified(noon, conn, tokenHash(1), "k1", "p1", testClaims())
+		assert.Equal(t, BadToken, r, "%s, verified again", name)
 	}
 }
 
+// TestCertificates guards against certificates that identify a wrong tenant or are accepted outside their validity,
+// and against connections that stay open with such a certificate.
 func TestCertificates(t *testing.T) {
 	cert := Certificate{
 		Serial: Serial{"i", "7f"}, Names: []string{"uri:spiffe://x/till/4", "cn:till"}, From: noon - 100,
@@ -146,170 +154,183 @@
 		change func(*Settings)
 		wall   float64
 		tenant string
-		want   Refusal
+		want   Rejection
 	}{
-		{"by its first name that fits", nil, 0, "a", Passed},
-		{"by a wildcard", func(s *Settings) { s.Names = []Name{{"uri:spiffe://x/till/*", "b"}} }, 0, "b", Passed},
-		{"by no name", func(s *Settings) { s.Names = []Name{{"uri:spiffe://x/till", "b"}, {"cn:t*x", "b"}} }, 0, "", Nobody},
-		{"past its end by 29 s", nil, 129, "a", Passed},
-		{"past its end", nil, 131, "", BadCertificate},
-		{"before its begin", nil, -131, "", BadCertificate},
+		{"by its first matching name", nil, 0, "a", Admitted},
+		{"by a wildcard", func(s *Settings) { s.NameMappings = []NameMapping{{"uri:spiffe://x/till/*", "b"}} }, 0, "b", Admitted},
+		{"by no matching name", func(s *Settings) { s.NameMappings = []NameMapping{{"uri:spiffe://x/till", "b"}, {"cn:t*x", "b"}} }, 0, "", UnknownCaller},
+		{"29 s past its end", nil, 129, "a", Admitted},
+		{"31 s past its end", nil, 131, "", BadCertificate},
+		{"31 s before its begin", nil, -131, "", BadCertificate},
 		{"revoked", func(s *Settings) { s.Revoked.Certificates = []Serial{{"i", "7f"}} }, 0, "", BadCertificate},
-		{"another of its issuer revoked", func(s *Settings) { s.Revoked.Certificates = []Serial{{"i", "80"}} }, 0, "a", Passed},
-		{"its authority not trusted", func(s *Settings) { s.Authorities = []string{"other"} }, 0, "", BadCertificate},
-		{"its name revoked", func(s *Settings) { s.Revoked.Subjects = []string{"uri:spiffe://x/till/4"} }, 0, "", Nobody},
+		{"another certificate of its issuer is revoked", func(s *Settings) { s.Revoked.Certificates = []Serial{{"i", "80"}} }, 0, "a", Admitted},
+		{"its authority is not trusted", func(s *Settings) { s.Authorities = []string{"other"} }, 0, "", BadCertificate},
+		{"its name is revoked", func(s *Settings) { s.Revoked.Subjects = []string{"uri:spiffe://x/till/4"} }, 0, "", UnknownCaller},
 	} {
 		named := func(s *Settings) {
-			s.Names, s.Authorities = []Name{{"cn:till", "b"}, {"uri:spiffe://x/till/4", "a"}}, []string{"root"}
+			s.NameMappings, s.Authorities = []NameMapping{{"cn:till", "b"}, {"uri:spiffe://x/till/4", "a"}}, []string{"root"}
 		}
-		m, conn := module(t, named), &Conn{Remote: here, Certificate: &cert}
-		if tt.change != nil { // on a connection that is open
-			require.Equal(t, Stays, m.Standing(0, noon, conn))
-			require.NoError(t, m.Reload(0, noon, settings(named, tt.change)))
+		m, conn := newTestController(t, named), &Conn{Remote: clientAddr, Certificate: &cert}
+		if tt.change != nil { // the connection was open before the change
+			require.Equal(t, KeepOpen, m.ConnState(0, noon, conn))
+			require.NoError(t, m.Reload(0, noon, testSettings(named, tt.change)))
 		}
-		c, r := m.ByConn(noon+tt.wall, conn)
+		c, r := m.CallerByConn(noon+tt.wall, conn)
 		assert.Equal(t, []any{tt.tenant, tt.want}, []any{c.Tenant(), r}, tt.name)
-		standing := map[bool][]Standing{false: {Stays, Stays}, true: {Leaving, Left}}[r == BadCertificate]
-		assert.Equal(t, standing, []Standing{m.Standing(0, noon+tt.wall, conn), m.Standing(1000, noon+tt.wall, conn)}, tt.name)
+		states := map[bool][]ConnState{false: {KeepOpen, KeepOpen}, true: {Draining, CloseNow}}[r == BadCertificate]
+		assert.Equal(t, states, []ConnState{m.ConnState(0, noon+tt.wall, conn), m.ConnState(1000, noon+tt.wall, conn)}, tt.name)
 	}
 }
 
-func TestAConnectionHasLeftBeforeTheWindowIsOver(t *testing.T) {
-	m, conn := module(t), &Conn{Certificate: &Certificate{Until: noon - 100}}
+// TestConnectionClosesBeforeWindowEnds guards against a connection that is still open when the window after its
+// certificate's end is over.
+func TestConnectionClosesBeforeWindowEnds(t *testing.T) {
+	m, conn := newTestController(t), &Conn{Certificate: &Certificate{Until: noon - 100}}
 	for i, now := range []float64{50, 51.4, 51.6} {
-		assert.Equal(t, []Standing{Leaving, Leaving, Left}[i], m.Standing(now, noon, conn), now)
+		assert.Equal(t, []ConnState{Draining, Draining, CloseNow}[i], m.ConnState(now, noon, conn), now)
 	}
 }
 
+// TestSignatureChecksAreBounded guards against floods of forged tokens that use up all signature checks, so that
+// connections which have proven a caller get none.
 func TestSignatureChecksAreBounded(t *testing.T) {
-	m := module(t, func(s *Settings) { s.Limits.Checks, s.Limits.ChecksByConn, s.Limits.CheckBurst = 100, 10, 5 })
-	assert.Equal(t, BadToken, m.MayCheck(0, noon, &Conn{}, "k9", "EdDSA"), "a key that is not there costs nothing")
-	assert.Equal(t, BadToken, m.MayCheck(0, noon, &Conn{}, "k1", "HS256"), "nor does another algorithm than the key's")
+	m := newTestController(t, func(s *Settings) { s.Limits.ChecksPerSecond, s.Limits.ChecksPerConn, s.Limits.CheckBurst = 100, 10, 5 })
+	assert.Equal(t, BadToken, m.AllowCheck(0, noon, &Conn{}, "k9", "EdDSA"), "an unknown key costs no check")
+	assert.Equal(t, BadToken, m.AllowCheck(0, noon, &Conn{}, "k1", "HS256"), "nor does a wrong algorithm")
 	count := func(conns []*Conn, tries int) int {
 		i := 0
-		return passed(func() Refusal { i++; return m.MayCheck(0, noon, conns[i%len(conns)], "k1", "EdDSA") }, tries)
+		return countAdmitted(func() Rejection { i++; return m.AllowCheck(0, noon, conns[i%len(conns)], "k1", "EdDSA") }, tries)
 	}
 	fresh := make([]*Conn, 100)
 	for i := range fresh {
 		fresh[i] = &Conn{}
 	}
-	assert.Equal(t, 5, count([]*Conn{{}}, 100), "of one connection")
-	assert.Equal(t, 45, count(fresh, 1000), "of any number that have proven nobody")
+	assert.Equal(t, 5, count([]*Conn{{}}, 100), "from one connection")
+	assert.Equal(t, 45, count(fresh, 1000), "from any number of connections that have proven no caller")
 	known := &Conn{}
-	_, r := m.Verified(noon, known, sum(1), "k1", "p1", claims())
-	require.Equal(t, Passed, r)
-	assert.Equal(t, 5, count([]*Conn{known}, 100), "one that has is still heard")
-	assert.Equal(t, ChecksUsed, m.MayCheck(0, noon, &Conn{}, "k1", "EdDSA"))
-	assert.Equal(t, Passed, m.MayCheck(1, noon, known, "k1", "EdDSA"), "a second later")
+	_, r := m.AcceptVerified(noon, known, tokenHash(1), "k1", "p1", testClaims())
+	require.Equal(t, Admitted, r)
+	assert.Equal(t, 5, count([]*Conn{known}, 100), "a connection that has proven a caller still gets checks")
+	assert.Equal(t, TooManyChecks, m.AllowCheck(0, noon, &Conn{}, "k1", "EdDSA"))
+	assert.Equal(t, Admitted, m.AllowCheck(1, noon, known, "k1", "EdDSA"), "a second later")
 }
 
-func TestAFloodOfTokensThatAllDifferDisplacesOnlyItsOwn(t *testing.T) {
-	m := module(t, func(s *Settings) { s.Limits.Verdicts = 100 })
+// TestDistinctTokensDoNotEvictReusedTokens guards against a flood of valid tokens, each used once, that evicts the
+// tokens which callers use again.
+func TestDistinctTokensDoNotEvictReusedTokens(t *testing.T) {
+	m := newTestController(t, func(s *Settings) { s.Limits.Tokens = 100 })
 	conn := &Conn{}
-	for i := range 50 { // those that come back
-		m.Verified(noon, conn, sum(i), "k1", "p1", claims())
-		_, _, known := m.ByToken(noon, sum(i))
+	for i := range 50 { // tokens that are used again
+		m.AcceptVerified(noon, conn, tokenHash(i), "k1", "p1", testClaims())
+		_, _, known := m.CallerByToken(noon, tokenHash(i))
 		require.True(t, known)
 	}
 	for i := range 10000 {
-		m.Verified(noon, conn, sum(1000+i), "k1", "p1", claims())
+		m.AcceptVerified(noon, conn, tokenHash(1000+i), "k1", "p1", testClaims())
 	}
-	assert.LessOrEqual(t, len(m.verdicts.by), 100)
-	assert.Equal(t, len(m.verdicts.by), m.verdicts.once.Len()+m.verdicts.again.Len())
+	assert.LessOrEqual(t, len(m.tokens.byHash), 100)
+	assert.Equal(t, len(m.tokens.byHash), m.tokens.once.Len()+m.tokens.reused.Len())
 	for i := range 50 {
-		_, _, known := m.ByToken(noon, sum(i))
+		_, _, known := m.CallerByToken(noon, tokenHash(i))
 		assert.True(t, known, i)
 	}
 }
 
-func TestWhatSettingsAreRefused(t *testing.T) {
+// TestInvalidSettingsAreRejected guards against invalid settings that replace the ones in force.
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"a key id used twice":       func(s *Settings) { s.Keys = append(s.Keys, s.Keys[0]) },
-		"no keys":                   func(s *Settings) { s.Keys = nil },
-		"a key that never counts":   func(s *Settings) { s.Keys[0].From, s.Keys[0].Until = 2, 1 },
-		"a tenant twice":            func(s *Settings) { s.Tenants = append(s.Tenants, s.Tenants[0]) },
-		"a role that there is not":  func(s *Settings) { s.Tenants[0].Roles = []string{"none"} },
-		"a name of no tenant":       func(s *Settings) { s.Names = []Name{{"cn:x", "none"}} },
-		"nobody's tenant there not": func(s *Settings) { s.Anonymous = "none" },
-		"a table of no size":        func(s *Settings) { s.Limits.Verdicts = 0 },
+		"a key ID used twice":                     func(s *Settings) { s.Keys = append(s.Keys, s.Keys[0]) },
+		"no keys":                                 func(s *Settings) { s.Keys = nil },
+		"a key that is never valid":               func(s *Settings) { s.Keys[0].From, s.Keys[0].Until = 2, 1 },
+		"a tenant name used twice":                func(s *Settings) { s.Tenants = append(s.Tenants, s.Tenants[0]) },
+		"a role that does not exist":              func(s *Settings) { s.Tenants[0].Roles = []string{"none"} },
+		"a name mapped to no tenant":              func(s *Settings) { s.NameMappings = []NameMapping{{"cn:x", "none"}} },
+		"an anonymous tenant that does not exist": func(s *Settings) { s.AnonymousTenant = "none" },
+		"a table of size 0":                       func(s *Settings) { s.Limits.Tokens = 0 },
 	} {
-		m := module(t)
-		assert.Error(t, m.Reload(0, noon, settings(change)), name)
-		_, r := verify(m, noon, claims())
-		assert.Equal(t, Passed, r, "%s: the old ones stay in force", name)
+		m := newTestController(t)
+		assert.Error(t, m.Reload(0, noon, testSettings(change)), name)
+		_, r := verify(m, noon, testClaims())
+		assert.Equal(t, Admitted, r, "%s: the old settings stay in force", name)
 	}
-	assert.NoError(t, module(t).Reload(0, noon, settings(func(s *Settings) { s.Keys, s.NoKeys = nil, true })), "no keys, said outright")
+	assert.NoError(t, newTestController(t).Reload(0, noon, testSettings(func(s *Settings) { s.Keys, s.AllowNoKeys = nil, true })), "no keys, as intended")
 }
 
-// ask has a tenant's caller ask once.
-func ask(m *Module, now float64, tenant, name string) (Ticket, Refusal) {
-	t, r, _ := m.Admit(now, Caller{m.tenants[tenant], name}, here, GET{})
+// admitOnce lets a tenant's caller send one GET.
+func admitOnce(m *Controller, now float64, tenant, name string) (Ticket, Rejection) {
+	t, r, _ := m.Admit(now, Caller{m.tenants[tenant], name}, clientAddr, GET{})
 	return t, r
 }
 
-func TestShares(t *testing.T) {
-	rate := func(s Share) func(*Settings) { return func(set *Settings) { set.Tenants[0].Share = s } }
-	caller := func(s Share) func(*Settings) { return func(set *Settings) { set.Tenants[0].Caller = s } }
+// TestQuotas guards against quotas that admit more or less than configured, and against one tenant's usage that counts
+// against another.
+func TestQuotas(t *testing.T) {
+	rate := func(s Quota) func(*Settings) { return func(set *Settings) { set.Tenants[0].Quota = s } }
+	caller := func(s Quota) func(*Settings) { return func(set *Settings) { set.Tenants[0].CallerQuota = s } }
 	for _, tt := range []struct {
 		name  string
-		share func(*Settings)
-		asks  func(m *Module) int
+		quota func(*Settings)
+		send  func(m *Controller) int
 		want  int
 	}{
-		{"a burst at once", rate(Share{Rate: 10, Burst: 4}), func(m *Module) int { return asks(m, 0, 100, true) }, 4},
-		{"its rate over ten seconds", rate(Share{Rate: 10, Burst: 4}), func(m *Module) int { return asks(m, 10, 1000, true) }, 103},
-		{"what never ran is not charged", rate(Share{Rate: 10, Burst: 4}), func(m *Module) int { return asks(m, 0, 100, false) }, 100},
-		{"so many under way", rate(Share{Most: 7}), func(m *Module) int {
-			return passed(func() Refusal { _, r := ask(m, 0, "a", "x"); return r }, 100)
+		{"a burst at once", rate(Quota{Rate: 10, Burst: 4}), func(m *Controller) int { return admitMany(m, 0, 100, true) }, 4},
+		{"the rate over ten seconds", rate(Quota{Rate: 10, Burst: 4}), func(m *Controller) int { return admitMany(m, 10, 1000, true) }, 103},
+		{"GETs that never ran are not charged", rate(Quota{Rate: 10, Burst: 4}), func(m *Controller) int { return admitMany(m, 0, 100, false) }, 100},
+		{"GETs in flight", rate(Quota{MaxInFlight: 7}), func(m *Controller) int {
+			return countAdmitted(func() Rejection { _, r := admitOnce(m, 0, "a", "x"); return r }, 100)
 		}, 7},
-		{"of one caller", caller(Share{Rate: 1, Burst: 3}), func(m *Module) int { return asks(m, 0, 100, true) }, 3},
-		{"another caller has its own", caller(Share{Rate: 1, Burst: 3}), func(m *Module) int {
+		{"one caller's quota", caller(Quota{Rate: 1, Burst: 3}), func(m *Controller) int { return admitMany(m, 0, 100, true) }, 3},
+		{"each caller has its own quota", caller(Quota{Rate: 1, Burst: 3}), func(m *Controller) int {
 			n := 0
 			for i := range 10 {
-				n += passed(func() Refusal { _, r := ask(m, 0, "a", fmt.Sprint(i)); return r }, 5)
+				n += countAdmitted(func() Rejection { _, r := admitOnce(m, 0, "a", fmt.Sprint(i)); return r }, 5)
 			}
 			return n
 		}, 30},
 	} {
-		m := module(t, tt.share)
-		assert.Equal(t, tt.want, tt.asks(m), tt.name)
-		assert.Equal(t, 50, passed(func() Refusal { _, r := ask(m, 0, "b", "x"); return r }, 50), "%s: the other tenant", tt.name)
+		m := newTestController(t, tt.quota)
+		assert.Equal(t, tt.want, tt.send(m), tt.name)
+		assert.Equal(t, 50, countAdmitted(func() Rejection { _, r := admitOnce(m, 0, "b", "x"); return r }, 50), "%s: the other tenant", tt.name)
 	}
 }
 
-// asks has tenant a ask so often over a span from 0 on, and settles each GET at once.
-func asks(m *Module, span float64, n int, ran bool) (through int) {
+// admitMany sends n GETs of tenant a, spread over span seconds from 0 on, and settles each at once. It returns the
+// number admitted.
+func admitMany(m *Controller, span float64, n int, ran bool) (through int) {
 	for i := range n {
 		now := span * float64(i) / float64(n)
-		through += once(m, now, "a", "x", ran)
+		through += admitAndEnd(m, now, "a", "x", ran)
 	}
 	return through
 }
 
-// once has a caller ask, and settles its GET at once; 1 if it was passed.
-func once(m *Module, now float64, tenant, name string, ran bool) int {
-	ticket, r := ask(m, now, tenant, name)
-	if r != Passed {
+// admitAndEnd sends one GET of a caller and settles it at once. It returns 1 if the GET was admitted.
+func admitAndEnd(m *Controller, now float64, tenant, name string, ran bool) int {
+	ticket, r := admitOnce(m, now, tenant, name)
+	if r != Admitted {
 		return 0
 	}
 	m.End(now, ticket, ran, !ran)
 	return 1
 }
 
-func passed(ask func() Refusal, n int) (through int) {
+// countAdmitted calls ask n times and counts the GETs admitted.
+func countAdmitted(ask func() Rejection, n int) (through int) {
 	for range n {
-		if ask() == Passed {
+		if ask() == Admitted {
 			through++
 		}
 	}
 	return through
 }
 
-// crowd is tenants that ask at rates of a service that bears so many GETs a second and sheds the rest, as core/routing would, with a delay.
-func crowd(m *Module, capacity, seconds float64, rates map[string]float64, callersOf map[string]int) (served, asked map[string]float64) {
+// simulateLoad sends GETs of two tenants at the given rates (GETs per second) to a service with a capacity in GETs per
+// second. Like core/routing, the service sheds the rest and reports that with a delay. It returns the numbers of GETs
+// served and sent after the first quarter, by tenant.
+func simulateLoad(m *Controller, capacity, seconds float64, rates map[string]float64, callersOf map[string]int) (served, asked map[string]float64) {
 	const step = 0.002
 	served, asked = map[string]float64{}, map[string]float64{}
-	chance, owed, room := rand.New(rand.NewPCG(1, 2)), map[string]float64{}, 0.0
+	rng, fractions, tokens := rand.New(rand.NewPCG(1, 2)), map[string]float64{}, 0.0
 	type end struct {
 		at     float64
 		ticket Ticket
@@ -322,19 +343,19 @@
 			m.End(now, ends[0].ticket, !ends[0].shed, ends[0].shed)
 			ends = ends[1:]
 		}
-		room = math.Min(capacity*0.02, room+capacity*step)
-		for _, name := range arrivals(chance, names, owed, rates, step) {
-			late := now > seconds/4 // the first quarter is for the level to settle
+		tokens = math.Min(capacity*0.02, tokens+capacity*step)
+		for _, name := range arrivals(rng, names, fractions, rates, step) {
+			late := now > seconds/4 // the level settles in the first quarter
 			if late {
 				asked[name]++
 			}
-			ticket, r := ask(m, now, name, fmt.Sprint(chance.IntN(max(1, callersOf[name]))))
-			if r != Passed {
+			ticket, r := admitOnce(m, now, name, fmt.Sprint(rng.IntN(max(1, callersOf[name]))))
+			if r != Admitted {
 				continue
 			}
-			shed := room < 1
+			shed := tokens < 1
 			if !shed {
-				room--
+				tokens--
 				if late {
 					served[name]++
 				}
@@ -345,132 +366,145 @@
 	return served, asked
 }
 
-// arrivals are the tenants of the GETs of one step, in any order; owed is what is left of a GET by tenant.
-func arrivals(chance *rand.Rand, names []string, owed, rates map[string]float64, step float64) (all []string) {
+// arrivals returns the tenants of the GETs of one step in random order. The map fractions keeps each tenant's part of
+// a GET that is left over.
+func arrivals(rng *rand.Rand, names []string, fractions, rates map[string]float64, step float64) (all []string) {
 	for _, name := range names {
-		for owed[name] += rates[name] * step; owed[name] >= 1; owed[name]-- {
+		for fractions[name] += rates[name] * step; fractions[name] >= 1; fractions[name]-- {
 			all = append(all, name)
 		}
 	}
-	chance.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+	rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	return all
 }
 
-func TestOneThatFloodsTakesNothingFromTheOther(t *testing.T) {
+// TestFloodingTenantDoesNotStarveOthers guards against a tenant that sends far more than its part under pressure and
+// takes the others' part, and against capacity left unused.
+func TestFloodingTenantDoesNotStarveOthers(t *testing.T) {
 	for _, tt := range []struct {
-		name         string
-		weightOfA    float64
-		a, b         float64 // asked for, of 1000 that can be borne
-		leastA, most float64 // share of what a asks that it gets; share of all that is left unused
+		name                  string
+		weightOfA             float64
+		a, b                  float64 // GETs per second, of a capacity of 1000
+		minServedA, maxUnused float64 // least share of a's GETs that are served; largest share of the capacity left unused
 	}{
-		{"20 times its share beside one at half of its own", 1, 250, 10000, 0.98, 0.05},
+		{"20 times its part beside a tenant at half of its part", 1, 250, 10000, 0.98, 0.05},
 		{"the same, with three times the weight", 3, 375, 5000, 0.98, 0.05},
-		{"both ask for more than there is", 1, 3000, 9000, 0.15, 0.05}, // half of 1000, less what the level swings
-		{"one alone has it all", 1, 0, 5000, 0, 0.05},
+		{"both send more than the capacity", 1, 3000, 9000, 0.15, 0.05}, // half of 1000, less the swing of the level
+		{"a single tenant gets everything", 1, 0, 5000, 0, 0.05},
 		{"nobody floods", 1, 300, 500, 1, 1},
 	} {
-		m := module(t, func(s *Settings) { s.Tenants[0].Share.Weight = tt.weightOfA })
-		served, asked := crowd(m, 1000, 20, map[string]float64{"a": tt.a, "b": tt.b}, nil)
+		m := newTestController(t, func(s *Settings) { s.Tenants[0].Quota.Weight = tt.weightOfA })
+		served, asked := simulateLoad(m, 1000, 20, map[string]float64{"a": tt.a, "b": tt.b}, nil)
 		if tt.a > 0 {
-			assert.GreaterOrEqual(t, served["a"]/asked["a"], tt.leastA, tt.name)
+			assert.GreaterOrEqual(t, served["a"]/asked["a"], tt.minServedA, tt.name)
 		}
 		used := (served["a"] + served["b"]) / (1000 * 15)
-		assert.GreaterOrEqual(t, used, 1-tt.most, tt.name)
-		t.Logf("%s: a %.3f of what it asks, b %.3f; %.3f of all used", tt.name, served["a"]/math.Max(1, asked["a"]), served["b"]/asked["b"], used)
+		assert.GreaterOrEqual(t, used, 1-tt.maxUnused, tt.name)
+		t.Logf("%s: a gets %.3f of what it sends, b %.3f; %.3f of the capacity used", tt.name, served["a"]/math.Max(1, asked["a"]), served["b"]/asked["b"], used)
 	}
 }
 
-func TestWithoutPressureNobodyIsHeld(t *testing.T) {
-	m := module(t)
-	served, asked := crowd(m, 1e9, 5, map[string]float64{"a": 100, "b": 50000}, nil)
+// TestFairLevelIsOffWithoutPressure guards against a fair level that limits tenants while nothing is shed, or that
+// stays on after the pressure has ended.
+func TestFairLevelIsOffWithoutPressure(t *testing.T) {
+	m := newTestController(t)
+	served, asked := simulateLoad(m, 1e9, 5, map[string]float64{"a": 100, "b": 50000}, nil)
 	assert.Equal(t, asked, served)
-	assert.True(t, math.IsInf(m.Level(), 1))
-	m = module(t)
-	crowd(m, 100, 5, map[string]float64{"a": 100, "b": 5000}, nil)
-	assert.False(t, math.IsInf(m.Level(), 1))
+	assert.True(t, math.IsInf(m.FairLevel(), 1))
+	m = newTestController(t)
+	simulateLoad(m, 100, 5, map[string]float64{"a": 100, "b": 5000}, nil)
+	assert.False(t, math.IsInf(m.FairLevel(), 1))
 	for now := 5.0; now < 60; now += 0.1 {
-		once(m, now, "a", "x", true)
+		admitAndEnd(m, now, "a", "x", true)
 	}
-	assert.True(t, math.IsInf(m.Level(), 1), "the level is put off once it holds nobody")
+	assert.True(t, math.IsInf(m.FairLevel(), 1), "the level is disabled once it limits nobody")
 }
 
-func TestWithinATenantOneCallerThatFloodsTakesNothingFromTheOthers(t *testing.T) {
-	m, quiet, flood := module(t, func(s *Settings) { s.Tenants[0].Share = Share{Rate: 100, Burst: 20} }), 0, 0
-	for i := range 20000 { // a thousand a second
+// TestFloodingCallerDoesNotStarveItsTenant guards against one caller that sends far more than its part and takes its
+// tenant's whole quota from the other callers.
+func TestFloodingCallerDoesNotStarveItsTenant(t *testing.T) {
+	m, quiet, flood := newTestController(t, func(s *Settings) { s.Tenants[0].Quota = Quota{Rate: 100, Burst: 20} }), 0, 0
+	for i := range 20000 { // a thousand per second
 		now := float64(i) / 1000
-		flood += once(m, now, "a", "floods", true)
-		if i%50 == 0 { // twenty a second, of the fifty that are its part
-			quiet += once(m, now, "a", "quiet", true)
+		flood += admitAndEnd(m, now, "a", "floods", true)
+		if i%50 == 0 { // twenty per second, where an equal part is fifty
+			quiet += admitAndEnd(m, now, "a", "quiet", true)
 		}
 	}
 	assert.GreaterOrEqual(t, quiet, 380, "of 400")
 	assert.GreaterOrEqual(t, quiet+flood, 1800, "of 2000")
 }
 
-func TestTenThousandTenantsThatEachComeOnce(t *testing.T) {
-	m := module(t, func(s *Settings) {
+// TestManyTenantsShareRightsAndTableStaysBounded guards against memory that grows with callers beyond the limit, or
+// with one index of rights for each tenant.
+func TestManyTenantsShareRightsAndTableStaysBounded(t *testing.T) {
+	m := newTestController(t, func(s *Settings) {
 		s.Limits.Callers = 100
 		for i := range 10000 {
-			s.Tenants = append(s.Tenants, Tenant{Name: fmt.Sprint("t", i), Roles: []string{"all"}, Share: Share{Rate: 1, Burst: 1}})
+			s.Tenants = append(s.Tenants, Tenant{Name: fmt.Sprint("t", i), Roles: []string{"all"}, Quota: Quota{Rate: 1, Burst: 1}})
 		}
 	})
 	for i := range 10000 {
-		require.Equal(t, 1, once(m, float64(i)/1000, fmt.Sprint("t", i), "x", true))
+		require.Equal(t, 1, admitAndEnd(m, float64(i)/1000, fmt.Sprint("t", i), "x", true))
 	}
 	assert.Equal(t, 100, m.callers.order.Len())
-	assert.Len(t, m.callers.by, 100)
-	assert.Same(t, m.tenants["t1"].rights, m.tenants["t2"].rights, "one index for all with the same roles")
+	assert.Len(t, m.callers.byKey, 100)
+	assert.Same(t, m.tenants["t1"].rights, m.tenants["t2"].rights, "one index for all tenants with the same roles")
 }
 
-// asked has a caller of tenant a ask, which must come to that.
-func asked(t *testing.T, m *Module, name string, want Refusal, why ...any) Ticket {
-	ticket, r := ask(m, 0, "a", name)
+// requireAdmit sends a GET of a caller of tenant a and requires this result.
+func requireAdmit(t *testing.T, m *Controller, name string, want Rejection, why ...any) Ticket {
+	ticket, r := admitOnce(m, 0, "a", name)
 	require.Equal(t, want, r, why...)
 	return ticket
 }
 
-func TestACallerWithGETsUnderWayKeepsItsPlace(t *testing.T) {
-	m := module(t, func(s *Settings) { s.Limits.Callers = 4; s.Tenants[0].Caller.Most = 1 })
+// TestCallerWithInFlightGETsIsNotEvicted guards against a caller that escapes its in-flight limit because its account
+// was evicted while its GETs were in flight.
+func TestCallerWithInFlightGETsIsNotEvicted(t *testing.T) {
+	m := newTestController(t, func(s *Settings) { s.Limits.Callers = 4; s.Tenants[0].CallerQuota.MaxInFlight = 1 })
 	for i := range 4 {
-		asked(t, m, fmt.Sprint(i), Passed)
+		requireAdmit(t, m, fmt.Sprint(i), Admitted)
 	}
-	ticket := asked(t, m, "more", Passed, "no place is free: an account that is forgotten with its GET")
+	ticket := requireAdmit(t, m, "more", Admitted, "the table is full: the account is temporary")
 	m.End(0, ticket, true, false)
-	asked(t, m, "0", ShareUsed)
+	requireAdmit(t, m, "0", QuotaExceeded)
 	assert.Equal(t, 4, m.callers.order.Len())
 }
 
-func TestAReloadKeepsWhatIsUsedAndUnderWay(t *testing.T) {
-	bounded := func(s *Settings) { s.Tenants[0].Share = Share{Rate: 1, Burst: 5, Most: 2} }
-	m := module(t, bounded)
-	first := asked(t, m, "x", Passed)
-	require.NoError(t, m.Reload(0, noon, settings(bounded, func(s *Settings) { s.Tenants[0].Share.Burst = 3 })))
-	asked(t, m, "x", Passed)
-	asked(t, m, "x", ShareUsed, "two are under way")
+// TestReloadKeepsUsageAndInFlight guards against a reload that resets usage or loses GETs in flight.
+func TestReloadKeepsUsageAndInFlight(t *testing.T) {
+	bounded := func(s *Settings) { s.Tenants[0].Quota = Quota{Rate: 1, Burst: 5, MaxInFlight: 2} }
+	m := newTestController(t, bounded)
+	first := requireAdmit(t, m, "x", Admitted)
+	require.NoError(t, m.Reload(0, noon, testSettings(bounded, func(s *Settings) { s.Tenants[0].Quota.Burst = 3 })))
+	requireAdmit(t, m, "x", Admitted)
+	requireAdmit(t, m, "x", QuotaExceeded, "two are in flight")
 	m.End(0, first, true, false)
-	asked(t, m, "x", Passed)
-	require.NoError(t, m.Reload(0, noon, settings(func(s *Settings) { s.Tenants = s.Tenants[1:] })))
-	m.End(0, first, true, false) // of a tenant that is gone
-	asked(t, m, "x", Nobody)
+	requireAdmit(t, m, "x", Admitted)
+	require.NoError(t, m.Reload(0, noon, testSettings(func(s *Settings) { s.Tenants = s.Tenants[1:] })))
+	m.End(0, first, true, false) // its tenant no longer exists
+	requireAdmit(t, m, "x", UnknownCaller)
 }
 
-// life is a key's as those see it who wrote it down, against which the module is held.
-type life struct {
+// keyHistory is the state of a key according to the test's own model.
+type keyHistory struct {
 	state         KeyState
 	from, retired float64
 }
 
-// TestNoLifeOfKeysLetsARevokedOnePassOrRefusesAnActiveOne has keys announced, activated, retired and revoked in any
-// order and with any clock, reloads after some of it, and asks by tokens of every age.
-func TestNoLifeOfKeysLetsARevokedOnePassOrRefusesAnActiveOne(t *testing.T) {
+// TestKeyStatesDecideTokens announces, activates, retires and revokes keys in random order while time passes, with
+// reloads in between, and sends tokens of every age. Guards against tokens of a revoked key that are accepted, and
+// tokens of an active key that are rejected.
+func TestKeyStatesDecideTokens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		written, told := map[string]life{}, map[string]life{}
+		configured, reloaded := map[string]keyHistory{}, map[string]keyHistory{}
 		current := func() Settings {
-			return settings(func(s *Settings) {
-				s.Keys, s.NoKeys, s.Require = nil, true, nil
-				for _, id := range slices.Sorted(maps.Keys(written)) {
-					l := written[id]
-					s.Keys = append(s.Keys, Key{ID: id, Algorithm: "EdDSA", Print: id, State: l.state, From: l.from, RetiredAt: l.retired})
+			return testSettings(func(s *Settings) {
+				s.Keys, s.AllowNoKeys, s.RequiredClaims = nil, true, nil
+				for _, id := range slices.Sorted(maps.Keys(configured)) {
+					l := configured[id]
+					s.Keys = append(s.Keys, Key{ID: id, Algorithm: "EdDSA", Fingerprint: id, State: l.state, From: l.from, RetiredAt: l.retired})
 				}
 			})
 		}
@@ -480,29 +514,29 @@
 		key := rapid.Custom(func(t *rapid.T) string { return fmt.Sprint("k", rapid.IntRange(1, 3).Draw(t, "key")) })
 		t.Repeat(map[string]func(*rapid.T){
 			"time":     func(t *rapid.T) { wall += rapid.Float64Range(0, 100).Draw(t, "s") },
-			"announce": func(t *rapid.T) { announce(written, key.Draw(t, "id")) },
-			"activate": func(t *rapid.T) { move(written, key.Draw(t, "id"), Active, wall) },
-			"retire":   func(t *rapid.T) { move(written, key.Draw(t, "id"), Retiring, wall) },
-			"revoke":   func(t *rapid.T) { move(written, key.Draw(t, "id"), Revoked, wall) },
+			"announce": func(t *rapid.T) { announceKey(configured, key.Draw(t, "id")) },
+			"activate": func(t *rapid.T) { setKeyState(configured, key.Draw(t, "id"), Active, wall) },
+			"retire":   func(t *rapid.T) { setKeyState(configured, key.Draw(t, "id"), Retiring, wall) },
+			"revoke":   func(t *rapid.T) { setKeyState(configured, key.Draw(t, "id"), Revoked, wall) },
 			"reload": func(t *rapid.T) {
 				require.NoError(t, m.Reload(0, wall, current()))
-				told = maps.Clone(written)
+				reloaded = maps.Clone(configured)
 			},
 			"ask": func(t *rapid.T) {
 				id := key.Draw(t, "id")
-				if l, ok := written[id]; ok && l.state == Active {
+				if l, ok := configured[id]; ok && l.state == Active {
 					issued[id] = append(issued[id], wall) // only active keys sign
 				}
 				for i, iat := range issued[id] {
-					c := claims(func(c *Claims) { c.IssuedAt, c.Expiry, c.ID = iat, 0, fmt.Sprint(i) })
-					token := Sum{id[1], byte(i), byte(i >> 8)}
-					_, r, known := m.ByToken(wall, token)
+					c := testClaims(func(c *Claims) { c.IssuedAt, c.Expiry, c.ID = iat, 0, fmt.Sprint(i) })
+					token := TokenHash{id[1], byte(i), byte(i >> 8)}
+					_, r, known := m.CallerByToken(wall, token)
 					if !known {
-						_, r = m.Verified(wall, &Conn{}, token, id, id, c)
+						_, r = m.AcceptVerified(wall, &Conn{}, token, id, id, c)
 					}
-					want := expected(told, id, iat)
-					if want != nil && (r == Passed) != *want {
-						t.Fatalf("key %s %+v, issued %v s ago: %v", id, told[id], wall-iat, r)
+					want := expectedResult(reloaded, id, iat)
+					if want != nil && (r == Admitted) != *want {
+						t.Fatalf("key %s %+v, issued %v s ago: %v", id, reloaded[id], wall-iat, r)
 					}
 				}
 			},
@@ -510,13 +544,15 @@
 	})
 }
 
-func announce(all map[string]life, id string) {
+// announceKey adds a key to the model if it is new.
+func announceKey(all map[string]keyHistory, id string) {
 	if _, ok := all[id]; !ok {
-		all[id] = life{state: Announced}
+		all[id] = keyHistory{state: Announced}
 	}
 }
 
-func move(all map[string]life, id string, to KeyState, wall float64) {
+// setKeyState moves a key of the model to a later state; it never goes back.
+func setKeyState(all map[string]keyHistory, id string, to KeyState, wall float64) {
 	l, ok := all[id]
 	if !ok || l.state >= to {
 		return
@@ -530,9 +566,10 @@
 	all[id] = l
 }
 
-// expected is whether a token without an end must pass; nil within the skew, where either will do.
-func expected(told map[string]life, id string, iat float64) *bool {
-	l, ok := told[id]
+// expectedResult returns whether a token without expiry must be accepted, or nil within the skew, where both results
+// are right.
+func expectedResult(reloaded map[string]keyHistory, id string, iat float64) *bool {
+	l, ok := reloaded[id]
 	yes, no := true, false
 	switch {
 	case !ok || l.state == Revoked || l.state == Announced:
@@ -545,20 +582,20 @@
 	return &yes
 }
 
-// TestSharesAddUp has two tenants' callers ask, end and be reloaded in any order: no bound is passed, and what is
-// under way is what was let on and has not ended.
-func TestSharesAddUp(t *testing.T) {
+// TestQuotaAccountingInvariants lets two tenants' callers send and end GETs, with reloads, in random order. Guards
+// against usage that exceeds a limit, and against GETs in flight that are not counted exactly once.
+func TestQuotaAccountingInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		share := rapid.Custom(func(t *rapid.T) Share {
-			return Share{
+		quota := rapid.Custom(func(t *rapid.T) Quota {
+			return Quota{
 				Rate: rapid.SampledFrom([]float64{0, 0.5, 20}).Draw(t, "rate"), Burst: float64(rapid.IntRange(1, 9).Draw(t, "burst")),
-				Most: rapid.IntRange(0, 5).Draw(t, "most"), Weight: rapid.SampledFrom([]float64{0, 1, 7}).Draw(t, "weight"),
+				MaxInFlight: rapid.IntRange(0, 5).Draw(t, "most"), Weight: rapid.SampledFrom([]float64{0, 1, 7}).Draw(t, "weight"),
 			}
 		})
-		s := settings(func(s *Settings) {
+		s := testSettings(func(s *Settings) {
 			s.Limits.Callers = rapid.IntRange(1, 3).Draw(t, "callers")
 			for i := range s.Tenants {
-				s.Tenants[i].Share, s.Tenants[i].Caller = share.Draw(t, "share"), share.Draw(t, "caller")
+				s.Tenants[i].Quota, s.Tenants[i].CallerQuota = quota.Draw(t, "share"), quota.Draw(t, "caller")
 			}
 		})
 		m, err := New(0, noon, s)
@@ -570,7 +607,7 @@
 			"reload": func(*rapid.T) { _ = m.Reload(now, noon, s) },
 			"ask": func(t *rapid.T) {
 				name := tenant.Draw(t, "tenant")
-				if ticket, r := ask(m, now, name, fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "caller"))); r == Passed {
+				if ticket, r := admitOnce(m, now, name, fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "caller"))); r == Admitted {
 					open[name] = append(open[name], ticket)
 					charged[name]++
 				}
@@ -585,22 +622,23 @@
 				}
 			},
 			"": func(t *rapid.T) {
-				for _, told := range s.Tenants {
-					a := &m.tenants[told.Name].account
-					require.False(t, a.out != len(open[told.Name]) || told.Share.Most > 0 && a.out > told.Share.Most, "tenant %s: %d under way, of which %d were let on and not ended; at most %d", told.Name, a.out, len(open[told.Name]), told.Share.Most)
-					r := told.Share.Rate
-					require.False(t, r > 0 && charged[told.Name] > told.Share.Burst+r*now+1e-6, "tenant %s: charged %v in %v s", told.Name, charged[told.Name], now)
+				for _, configured := range s.Tenants {
+					a := &m.tenants[configured.Name].account
+					require.False(t, a.inFlight != len(open[configured.Name]) || configured.Quota.MaxInFlight > 0 && a.inFlight > configured.Quota.MaxInFlight, "tenant %s: %d in flight by its account, %d by the test; at most %d", configured.Name, a.inFlight, len(open[configured.Name]), configured.Quota.MaxInFlight)
+					r := configured.Quota.Rate
+					require.False(t, r > 0 && charged[configured.Name] > configured.Quota.Burst+r*now+1e-6, "tenant %s: %v GETs charged in %v s", configured.Name, charged[configured.Name], now)
 				}
-				require.False(t, m.callers.order.Len() != len(m.callers.by) || len(m.callers.by) > s.Limits.Callers || m.fair.most < leastLevel || math.IsNaN(m.fair.most), "%d callers of %d, level %v", len(m.callers.by), s.Limits.Callers, m.fair.most)
+				require.False(t, m.callers.order.Len() != len(m.callers.byKey) || len(m.callers.byKey) > s.Limits.Callers || m.fair.limit < minLevel || math.IsNaN(m.fair.limit), "%d callers of %d, level %v", len(m.callers.byKey), s.Limits.Callers, m.fair.limit)
 			},
 		})
 	})
 }
 
+// TestRights guards against rules that are applied in a wrong order of precedence or with a condition left out.
 func TestRights(t *testing.T) {
-	const seat = 0x7f3a9c21e0b4d655
+	const objectID = 0x7f3a9c21e0b4d655
 	all, none := Rule{}, Rule{Deny: true}
-	under := func(digits int, r Rule) Rule { r.Objects = []Prefix{Prefix{seat, 16}.cut(digits)}; return r }
+	under := func(digits int, r Rule) Rule { r.Objects = []Prefix{Prefix{objectID, 16}.cut(digits)}; return r }
 	inside := func(r Rule) Rule { r.Networks = []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}; return r }
 	service := func(n int, r Rule) Rule { r.Services = []int{n}; return r }
 	group := func(n int, r Rule) Rule { r.Groups = []int{n}; return r }
@@ -613,28 +651,28 @@
 	}{
 		{"no rule", nil, GET{}, "10.1.1.1", false},
 		{"all", []Rule{all}, GET{}, "10.1.1.1", true},
-		{"a denial before an allowance of the same", []Rule{all, none}, GET{}, "10.1.1.1", false},
-		{"one object of what is denied", []Rule{none, under(16, all)}, GET{Object: seat}, "10.1.1.1", true},
-		{"another object", []Rule{none, under(16, all)}, GET{Object: seat + 1}, "10.1.1.1", false},
-		{"a longer prefix before a shorter", []Rule{under(4, none), under(8, all)}, GET{Object: seat}, "10.1.1.1", true},
-		{"beside the longer prefix", []Rule{under(4, none), under(8, all)}, GET{Object: seat ^ 1<<32}, "10.1.1.1", false},
-		{"a longer prefix that does not fit takes no part", []Rule{under(4, none), under(8, service(3, all))}, GET{Object: seat, Service: 2}, "10.1.1.1", false},
+		{"a denial comes before an allowance of the same object", []Rule{all, none}, GET{}, "10.1.1.1", false},
+		{"one object allowed among denied ones", []Rule{none, under(16, all)}, GET{Object: objectID}, "10.1.1.1", true},
+		{"another object stays denied", []Rule{none, under(16, all)}, GET{Object: objectID + 1}, "10.1.1.1", false},
+		{"a longer prefix comes before a shorter one", []Rule{under(4, none), under(8, all)}, GET{Object: objectID}, "10.1.1.1", true},
+		{"beside the longer prefix", []Rule{under(4, none), under(8, all)}, GET{Object: objectID ^ 1<<32}, "10.1.1.1", false},
+		{"a longer prefix whose conditions do not match is ignored", []Rule{under(4, none), under(8, service(3, all))}, GET{Object: objectID, Service: 2}, "10.1.1.1", false},
 		{"a delivery service", []Rule{service(3, all)}, GET{Service: 3}, "10.1.1.1", true},
-		{"the last of them", []Rule{service(63, all)}, GET{Service: 63}, "10.1.1.1", true},
+		{"the last delivery service", []Rule{service(63, all)}, GET{Service: 63}, "10.1.1.1", true},
 		{"a group", []Rule{group(255, all)}, GET{Group: 255}, "10.1.1.1", true},
 		{"another group", []Rule{group(255, all)}, GET{Group: 191}, "10.1.1.1", false},
 		{"a network", []Rule{inside(all)}, GET{}, "10.9.9.9", true},
-		{"outside it", []Rule{inside(all)}, GET{}, "11.9.9.9", false},
-		{"a network, and any", []Rule{inside(all), all}, GET{}, "11.9.9.9", true},
-		{"any, and a network", []Rule{all, inside(all)}, GET{}, "11.9.9.9", true},
-		{"a network denied of all", []Rule{all, inside(none)}, GET{}, "10.9.9.9", false},
+		{"outside the network", []Rule{inside(all)}, GET{}, "11.9.9.9", false},
+		{"a network, then any", []Rule{inside(all), all}, GET{}, "11.9.9.9", true},
+		{"any, then a network", []Rule{all, inside(all)}, GET{}, "11.9.9.9", true},
+		{"a network denied, all others allowed", []Rule{all, inside(none)}, GET{}, "10.9.9.9", false},
 	} {
 		assert.Equal(t, tt.want, newRights(tt.rules).allow(tt.get, netip.MustParseAddr(tt.from)), tt.name)
 	}
 }
 
-// scan is the order of rules as it is written, rule by rule.
-func scan(rules []Rule, g GET, from netip.Addr) bool {
+// scanRules evaluates rights rule by rule, as a reference for the index.
+func scanRules(rules []Rule, g GET, from netip.Addr) bool {
 	best, allowed := -1, false
 	for _, r := range rules {
 		if len(r.Services) > 0 && !slices.Contains(r.Services, g.Service) || len(r.Groups) > 0 && !slices.Contains(r.Groups, g.Group) ||
@@ -657,9 +695,11 @@
 	return allowed
 }
 
-func TestTheIndexSaysWhatAScanSays(t *testing.T) {
+// TestRightsIndexMatchesScan compares the index of rights with a scan of random rules. Guards against an index that
+// decides differently from the documented order of precedence.
+func TestRightsIndexMatchesScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		object := rapid.Custom(func(t *rapid.T) uint64 { // few, so that prefixes meet
+		object := rapid.Custom(func(t *rapid.T) uint64 { // few values, so that prefixes overlap
 			return uint64(rapid.IntRange(0, 3).Draw(t, "first"))<<60 | uint64(rapid.IntRange(0, 3).Draw(t, "second"))<<56 |
 				uint64(rapid.IntRange(0, 2).Draw(t, "last"))
 		})
@@ -679,57 +719,58 @@
 		rules := rapid.SliceOfN(rule, 0, 12).Draw(t, "rules")
 		g := GET{rapid.IntRange(0, 2).Draw(t, "service"), object.Draw(t, "object"), rapid.IntRange(63, 65).Draw(t, "group")}
 		from := netip.MustParseAddr(rapid.SampledFrom([]string{"10.1.2.3", "10.2.2.3", "fd00::1", "9.9.9.9"}).Draw(t, "from"))
-		got, want := newRights(rules).allow(g, from), scan(rules, g, from)
-		require.Equal(t, want, got, "the index says %v, a scan %v", got, want)
+		got, want := newRights(rules).allow(g, from), scanRules(rules, g, from)
+		require.Equal(t, want, got, "the index returned %v, the scan %v", got, want)
 	})
 }
 
-// BenchmarkRights is what a GET costs by the index, and what a rule takes there, against a scan.
+// BenchmarkRights measures the cost of a GET with the index and with a scan, and the memory that each rule takes in
+// the index.
 func BenchmarkRights(b *testing.B) {
-	for _, of := range [][2]int{{10, 6}, {1000, 6}, {100000, 6}, {100000, 16}} { // rules, lengths of their prefixes
-		n, most := of[0], of[1]
-		chance, rules, gets := rand.New(rand.NewPCG(1, uint64(n))), make([]Rule, n), make([]GET, 1024)
+	for _, shape := range [][2]int{{10, 6}, {1000, 6}, {100000, 6}, {100000, 16}} { // number of rules, number of prefix lengths
+		n, lengths := shape[0], shape[1]
+		rng, rules, gets := rand.New(rand.NewPCG(1, uint64(n))), make([]Rule, n), make([]GET, 1024)
 		for i := range rules {
-			p := Prefix{chance.Uint64(), 16}.cut(16 - chance.IntN(most))
-			rules[i] = Rule{Objects: []Prefix{p}, Deny: chance.IntN(4) == 0, Services: []int{chance.IntN(3)}}
+			p := Prefix{rng.Uint64(), 16}.cut(16 - rng.IntN(lengths))
+			rules[i] = Rule{Objects: []Prefix{p}, Deny: rng.IntN(4) == 0, Services: []int{rng.IntN(3)}}
 		}
 		for i := range gets {
-			gets[i] = GET{Service: chance.IntN(3), Object: rules[chance.IntN(n)].Objects[0].Bits | chance.Uint64()>>48}
+			gets[i] = GET{Service: rng.IntN(3), Object: rules[rng.IntN(n)].Objects[0].Bits | rng.Uint64()>>48}
 		}
 		before, index := need.Heap(), newRights(rules)
 		size := (need.Heap() - before) / float64(n)
-		scanned := func(g GET, from netip.Addr) bool { return scan(rules, g, from) }
-		b.Logf("%d rules, %d lengths: %.0f B each", n, most, size)
+		scanned := func(g GET, from netip.Addr) bool { return scanRules(rules, g, from) }
+		b.Logf("%d rules, %d lengths: %.0f B for each rule", n, lengths, size)
 		for name, allow := range map[string]func(GET, netip.Addr) bool{"prefixes": index.allow, "scan": scanned} {
-			need.Bench(b, fmt.Sprintf("%d-rules-%d-lengths/%s", n, most, name), func(i int) { allow(gets[i&1023], here) })
+			need.Bench(b, fmt.Sprintf("%d-rules-%d-lengths/%s", n, lengths, name), func(i int) { allow(gets[i&1023], clientAddr) })
 		}
 	}
 }
 
-// BenchmarkAdmit is what a GET costs that is passed on and settled, its token known.
+// BenchmarkAdmit measures the cost of a GET with a cached token that is admitted and settled.
 func BenchmarkAdmit(b *testing.B) {
-	m := module(b, func(s *Settings) { s.Tenants[0].Share = Share{Rate: 1e9, Burst: 1e9, Most: 1e6} })
-	verify(m, noon, claims())
+	m := newTestController(b, func(s *Settings) { s.Tenants[0].Quota = Quota{Rate: 1e9, Burst: 1e9, MaxInFlight: 1e6} })
+	verify(m, noon, testClaims())
 	need.Bench(b, "known", func(i int) {
-		c, _, _ := m.ByToken(noon, sum(1))
-		t, _, _ := m.Admit(float64(i)*1e-5, c, here, GET{})
+		c, _, _ := m.CallerByToken(noon, tokenHash(1))
+		t, _, _ := m.Admit(float64(i)*1e-5, c, clientAddr, GET{})
 		m.End(float64(i)*1e-5, t, true, false)
 	})
 }
 
-// BenchmarkTenants is what a tenant takes, and what a GET costs among so many that each ask in turn.
+// BenchmarkTenants measures the memory that each tenant takes, and the cost of a GET when all tenants send in turn.
 func BenchmarkTenants(b *testing.B) {
 	for _, n := range []int{10, 100000} {
 		names, before := make([]string, n), need.Heap()
-		m := module(b, func(s *Settings) {
+		m := newTestController(b, func(s *Settings) {
 			s.Tenants = nil
 			for i := range names {
 				names[i] = fmt.Sprint("tenant-", i)
-				s.Tenants = append(s.Tenants, Tenant{Name: names[i], Roles: []string{"all"}, Share: Share{Rate: 1e6, Burst: 1e6}})
+				s.Tenants = append(s.Tenants, Tenant{Name: names[i], Roles: []string{"all"}, Quota: Quota{Rate: 1e6, Burst: 1e6}})
 			}
 		})
 		taken := (need.Heap() - before) / float64(n)
-		b.Logf("%d tenants: %.0f B each", n, taken)
-		need.Bench(b, fmt.Sprint(n), func(i int) { once(m, float64(i)*1e-5, names[i%n], "x", true) })
+		b.Logf("%d tenants: %.0f B for each tenant", n, taken)
+		need.Bench(b, fmt.Sprint(n), func(i int) { admitAndEnd(m, float64(i)*1e-5, names[i%n], "x", true) })
 	}
 }
--- a/core/admission/golden_test.go
+++ b/core/admission/golden_test.go
@@ -7,12 +7,13 @@
 	"elderwall/internal/goldentest"
 )
 
-// What a client is told of a GET that is not admitted, and whether it may try again.
+// TestGoldenReasons compares the reasons that a client is given for each rejection, whether each may be retried, and
+// the default settings with the golden file.
 func TestGoldenReasons(t *testing.T) {
 	var tr goldentest.Transcript
-	for _, r := range []admission.Refusal{
-		admission.Passed, admission.BadToken, admission.Ended, admission.BadCertificate, admission.Nobody, admission.Denied,
-		admission.ShareUsed, admission.Pressed, admission.ChecksUsed, admission.FleetUsed,
+	for _, r := range []admission.Rejection{
+		admission.Admitted, admission.BadToken, admission.Expired, admission.BadCertificate, admission.UnknownCaller, admission.Denied,
+		admission.QuotaExceeded, admission.OverFairRate, admission.TooManyChecks, admission.FleetQuotaExceeded,
 	} {
 		tr.Values(r.String(), r, r.Shed())
 	}
--- a/core/admission/keys.go
+++ b/core/admission/keys.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// KeyState is where a key stands in its life.
+// KeyState is the state of a signing key.
 type KeyState int
 
-// The states. Announced and active keys differ by when they begin: an announced one is known, so that its first
-// tokens find it, and counts from its begin on. A retiring key keeps what it signed before it retired.
+// The states in their order. An announced key is known but not valid before its From time, so that the first tokens it
+// signs are accepted everywhere. Tokens that a retiring key signed before it retired stay valid.
 const (
 	Announced KeyState = iota
 	Active
@@ -18,41 +18,42 @@
 	Revoked
 )
 
-// Key is one that signs tokens. Its material stands elsewhere.
+// Key describes a key that signs tokens. Its material is kept elsewhere.
 type Key struct {
-	ID        string
-	Algorithm string // the only one by which it signs
-	Print     string // of its material
-	State     KeyState
-	From      float64  // Unix s; 0 for always, but an announced key with none counts not yet
-	Until     float64  // Unix s; 0 for no end
-	RetiredAt float64  // Unix s; a retiring key signed nothing after it, 0 where that is not known
-	Issuer    string   // that its tokens must name, "" for any
-	Tenants   []string // for which it may speak; none means all
-}
-
-// open tells whether the key counts at a time.
-func (k *Key) open(wall, skew float64) bool {
+	ID          string
+	Algorithm   string // the only algorithm that it signs with
+	Fingerprint string // of its material
+	State       KeyState
+	From        float64  // Unix seconds; 0 for always, but an announced key with 0 is not valid yet
+	Until       float64  // Unix seconds; 0 for no end
+	RetiredAt   float64  // Unix seconds; a retiring key signed nothing later; 0 if unknown
+	Issuer      string   // that its tokens must name, "" for any
+	Tenants     []string // tenants whose tokens it may sign; empty for all
+}
+
+// validAt reports whether the key is valid at a time.
+func (k *Key) validAt(wall, skew float64) bool {
 	if k.State == Announced && k.From == 0 {
 		return false
 	}
 	return wall >= k.From-skew && (k.Until == 0 || wall <= k.Until+skew)
 }
 
-// signs tells whether a key may have signed a token made at iat, 0 where that is not told.
-func (k *Key) signs(iat, skew float64) bool {
+// mayHaveSigned reports whether the key may have signed a token that was issued at iat; 0 if that is unknown.
+func (k *Key) mayHaveSigned(iat, skew float64) bool {
 	return k.State != Retiring || k.RetiredAt == 0 || iat != 0 && iat <= k.RetiredAt+skew
 }
 
-// Claims is what a token says (RFC 7519, section 4.1). Moments are Unix seconds, 0 where they are not told.
+// Claims are the claims of a token (RFC 7519, section 4.1). Times are Unix seconds, 0 if absent.
 type Claims struct {
 	Issuer, Subject, ID, Tenant string
 	Audience                    []string
 	IssuedAt, NotBefore, Expiry float64
 }
 
-// The claims that Settings.Require may name.
-var required = map[string]func(Claims) bool{
+// claimPresent has, for each claim that Settings.RequiredClaims may name, a function that reports whether a token has
+// it.
+var claimPresent = map[string]func(Claims) bool{
 	"exp": func(c Claims) bool { return c.Expiry > 0 },
 	"nbf": func(c Claims) bool { return c.NotBefore > 0 },
 	"iat": func(c Claims) bool { return c.IssuedAt > 0 },
@@ -61,29 +62,29 @@
 	"jti": func(c Claims) bool { return c.ID != "" },
 }
 
-// Requirable tells whether a claim can be required.
-func Requirable(claim string) bool { return required[claim] != nil }
+// CanRequire reports whether Settings.RequiredClaims may name a claim.
+func CanRequire(claim string) bool { return claimPresent[claim] != nil }
 
-// Revocations names what no longer counts, whatever its own time.
+// Revocations lists what is revoked, whatever its own validity.
 type Revocations struct {
 	Tokens       []string // by jti
 	Subjects     []string
 	Certificates []Serial
 }
 
-// Serial names a certificate: the sum of its issuer's name, and its number in hex.
+// Serial identifies a certificate by the hash of its issuer's name and its serial number in hex.
 type Serial struct{ Issuer, Number string }
 
-type revoked struct {
+type revocationIndex struct {
 	tokens, subjects map[string]bool
 	certificates     map[Serial]bool
 }
 
-func newRevoked(r Revocations) revoked {
-	return revoked{set(r.Tokens), set(r.Subjects), set(r.Certificates)}
+func newRevocationIndex(r Revocations) revocationIndex {
+	return revocationIndex{setOf(r.Tokens), setOf(r.Subjects), setOf(r.Certificates)}
 }
 
-func set[T comparable](all []T) map[T]bool {
+func setOf[T comparable](all []T) map[T]bool {
 	s := make(map[T]bool, len(all))
 	for _, v := range all {
 		s[v] = true
@@ -91,92 +92,92 @@
 	return s
 }
 
-// judge names the caller of a token whose signature is right.
-func (m *Module) judge(wall float64, v *verdict) (Caller, Refusal) {
-	if v.gen != m.gen {
-		v.gen, v.tenant, v.fault = m.gen, nil, Passed
+// evaluate returns the caller of a token whose signature is right, or the reason why it is rejected.
+func (m *Controller) evaluate(wall float64, v *verifiedToken) (Caller, Rejection) {
+	if v.generation != m.generation {
+		v.generation, v.tenant, v.rejection = m.generation, nil, Admitted
 		m.resolve(v)
 	}
-	skew, c := m.s.Skew, &v.claims
+	skew, c := m.settings.Skew, &v.claims
 	switch {
-	case v.fault != Passed:
-		return Caller{}, v.fault
-	case !v.key.open(wall, skew):
+	case v.rejection != Admitted:
+		return Caller{}, v.rejection
+	case !v.key.validAt(wall, skew):
 		return Caller{}, BadToken
-	case wall > v.end+skew || wall < math.Max(c.NotBefore, c.IssuedAt)-skew:
-		return Caller{}, Ended
+	case wall > v.expiry+skew || wall < math.Max(c.NotBefore, c.IssuedAt)-skew:
+		return Caller{}, Expired
 	}
-	return Caller{v.tenant, c.Subject}, Passed
+	return Caller{v.tenant, c.Subject}, Admitted
 }
 
-// resolve judges a token by all that only settings change.
-func (m *Module) resolve(v *verdict) {
+// resolve evaluates the part of a token that depends on settings alone, not on time.
+func (m *Controller) resolve(v *verifiedToken) {
 	k, c := m.keys[v.key.ID], &v.claims
-	if k == nil || k.Print != v.key.Print || k.State == Revoked || !k.signs(c.IssuedAt, m.s.Skew) || !m.fitting(k, c) {
-		v.fault = BadToken
+	if k == nil || k.Fingerprint != v.key.Fingerprint || k.State == Revoked || !k.mayHaveSigned(c.IssuedAt, m.settings.Skew) || !m.claimsFit(k, c) {
+		v.rejection = BadToken
 		return
 	}
-	v.key, v.end = k, math.Inf(1)
+	v.key, v.expiry = k, math.Inf(1)
 	if c.Expiry > 0 {
-		v.end = c.Expiry
+		v.expiry = c.Expiry
 	}
-	if m.s.MostLife > 0 && c.IssuedAt > 0 {
-		v.end = math.Min(v.end, c.IssuedAt+m.s.MostLife)
+	if m.settings.MaxTokenLifetime > 0 && c.IssuedAt > 0 {
+		v.expiry = math.Min(v.expiry, c.IssuedAt+m.settings.MaxTokenLifetime)
 	}
 	if m.revoked.tokens[c.ID] || m.revoked.subjects[c.Subject] {
-		v.fault = BadToken
+		v.rejection = BadToken
 	} else if v.tenant = m.tenants[c.Tenant]; v.tenant == nil {
-		v.fault = Nobody
+		v.rejection = UnknownCaller
 	}
 }
 
-// fitting tells whether a token says what settings and its key ask for.
-func (m *Module) fitting(k *Key, c *Claims) bool {
-	for _, name := range m.s.Require {
-		if !required[name](*c) {
+// claimsFit reports whether a token has the claims that the settings and its key demand.
+func (m *Controller) claimsFit(k *Key, c *Claims) bool {
+	for _, name := range m.settings.RequiredClaims {
+		if !claimPresent[name](*c) {
 			return false
 		}
 	}
-	return (m.s.Audience == "" || slices.Contains(c.Audience, m.s.Audience)) &&
+	return (m.settings.Audience == "" || slices.Contains(c.Audience, m.settings.Audience)) &&
 		(k.Issuer == "" || c.Issuer == k.Issuer) && (len(k.Tenants) == 0 || slices.Contains(k.Tenants, c.Tenant)) &&
-		(m.s.MostLife == 0 || c.IssuedAt > 0)
+		(m.settings.MaxTokenLifetime == 0 || c.IssuedAt > 0)
 }
 
-// Certificate is a client's, verified in the handshake.
+// Certificate is a client certificate that was verified in the handshake.
 type Certificate struct {
 	Serial
-	Names       []string // "uri:…", "dns:…" and "cn:…", in the order in which they count
-	From, Until float64  // Unix s
-	Authorities []string // prints of the authorities of the chains that it was verified by
+	Names       []string // "uri:…", "dns:…" and "cn:…", in order of precedence
+	From, Until float64  // Unix seconds
+	Authorities []string // fingerprints of the authorities of the chains that verified it
 }
 
-// Name maps a certificate's name to a tenant. One that ends in "*" fits all that begin alike; "dns:*." fits one
-// label more.
-type Name struct{ Name, Tenant string }
+// NameMapping maps a certificate's name to a tenant. A name that ends in "*" matches all names with that prefix;
+// "dns:*." followed by a domain matches exactly one more label.
+type NameMapping struct{ Name, Tenant string }
 
-type names struct {
-	exact map[string]string
-	wild  []Name
+type nameIndex struct {
+	exact     map[string]string
+	wildcards []NameMapping
 }
 
-func newNames(all []Name) names {
-	n := names{exact: map[string]string{}}
-	for _, told := range all {
-		switch _, there := n.exact[told.Name]; {
-		case strings.Contains(told.Name, "*"):
-			n.wild = append(n.wild, told)
-		case !there:
-			n.exact[told.Name] = told.Tenant
+func newNameIndex(all []NameMapping) nameIndex {
+	n := nameIndex{exact: map[string]string{}}
+	for _, mapping := range all {
+		switch _, exists := n.exact[mapping.Name]; {
+		case strings.Contains(mapping.Name, "*"):
+			n.wildcards = append(n.wildcards, mapping)
+		case !exists:
+			n.exact[mapping.Name] = mapping.Tenant
 		}
 	}
 	return n
 }
 
-func (n names) find(name string) (tenant string, ok bool) {
+func (n nameIndex) find(name string) (tenant string, ok bool) {
 	if tenant, ok = n.exact[name]; ok {
 		return tenant, true
 	}
-	for _, w := range n.wild {
+	for _, w := range n.wildcards {
 		if start, end, _ := strings.Cut(w.Name, "*"); strings.HasPrefix(name, start) &&
 			len(name) > len(start)+len(end) && strings.HasSuffix(name, end) &&
 			(end == "" || !strings.Contains(name[len(start):len(name)-len(end)], ".")) {
@@ -186,24 +187,24 @@
 	return "", false
 }
 
-// byCertificate names the caller of a connection by its certificate, which is judged anew by each GET.
-func (m *Module) byCertificate(wall float64, c *Conn) (Caller, Refusal) {
+// callerByCertificate identifies the caller by the connection's certificate, which is evaluated for each GET.
+func (m *Controller) callerByCertificate(wall float64, c *Conn) (Caller, Rejection) {
 	cert := c.Certificate
-	if wall > cert.Until+m.s.Skew || wall < cert.From-m.s.Skew || m.revoked.certificates[cert.Serial] ||
-		!slices.ContainsFunc(cert.Authorities, func(fingerprint string) bool { return m.trusted[fingerprint] }) {
+	if wall > cert.Until+m.settings.Skew || wall < cert.From-m.settings.Skew || m.revoked.certificates[cert.Serial] ||
+		!slices.ContainsFunc(cert.Authorities, func(fingerprint string) bool { return m.trustedAuthorities[fingerprint] }) {
 		return Caller{}, BadCertificate
 	}
-	if c.gen != m.gen {
-		c.gen, c.named, c.as = m.gen, nil, ""
+	if c.generation != m.generation {
+		c.generation, c.certTenant, c.certName = m.generation, nil, ""
 		for _, name := range cert.Names {
 			if tenant, ok := m.names.find(name); ok {
-				c.named, c.as = m.tenants[tenant], name
+				c.certTenant, c.certName = m.tenants[tenant], name
 				break
 			}
 		}
 	}
-	if c.named == nil || m.revoked.subjects[c.as] {
-		return Caller{}, Nobody
+	if c.certTenant == nil || m.revoked.subjects[c.certName] {
+		return Caller{}, UnknownCaller
 	}
-	return Caller{c.named, c.as}, Passed
+	return Caller{c.certTenant, c.certName}, Admitted
 }
--- a/core/admission/rights.go
+++ b/core/admission/rights.go
@@ -10,26 +10,27 @@
 )
 
 const (
-	objectDigits = 16 // hex digits of an object
+	objectDigits = 16 // hex digits of an object's name
 	digitBits    = 4
 )
 
-// rights is an index of rules. The most specific object decides: an exact one before a longer prefix before a
-// shorter one before rules that name none; at the same object a denial counts before an allowance. A rule whose
-// other conditions do not fit takes no part, and what no rule fits is denied.
+// rights is an index of rules. The rule with the most specific object decides: an exact object before a longer prefix,
+// that before a shorter one, and that before rules that name no object. At the same object a denial comes before an
+// allowance. A rule whose other conditions do not match is ignored, and a GET that no rule matches is denied.
 //
-// Objects are kept as prefixes in a table for network prefixes, in the upper half of an IPv6 address: of the ways
-// measured (docs/callers.md) the only one whose cost grows neither with the rules nor with the lengths in use.
-type rights struct{ byObject bart.Table[*place] }
+// Objects are stored as prefixes in a table for network prefixes, in the upper half of an IPv6 address. Of the ways
+// measured (docs/callers.md), it is the only one whose cost grows neither with the number of rules nor with the number
+// of prefix lengths in use.
+type rights struct{ byObject bart.Table[*ruleNode] }
 
-// place is the rules of one prefix.
-type place struct {
+// ruleNode holds the rules of one prefix.
+type ruleNode struct {
 	deny, allow []*condition
-	above       *place // that of the next shorter prefix which has rules
+	shorter     *ruleNode // node of the next shorter prefix that has rules
 }
 
-// condition is what a GET must fit besides its object. Rules of one place and effect that differ in networks alone
-// are one condition.
+// condition is what a GET must match besides its object. Rules with the same prefix, effect, services and groups are
+// merged into one condition.
 type condition struct {
 	services uint64
 	groups   [4]uint64
@@ -40,25 +41,25 @@
 	r := &rights{}
 	var prefixes []Prefix
 	for _, rule := range rules {
-		at := rule.Objects
-		if len(at) == 0 {
-			at = []Prefix{{}}
+		objects := rule.Objects
+		if len(objects) == 0 {
+			objects = []Prefix{{}}
 		}
-		for _, p := range at {
-			here, ok := r.byObject.Get(p.network())
+		for _, p := range objects {
+			node, ok := r.byObject.Get(p.network())
 			if !ok {
-				here = &place{}
-				r.byObject.Insert(p.network(), here)
+				node = &ruleNode{}
+				r.byObject.Insert(p.network(), node)
 				prefixes = append(prefixes, p)
 			}
-			here.add(rule)
+			node.add(rule)
 		}
 	}
 	slices.SortFunc(prefixes, func(a, b Prefix) int { return cmp.Compare(a.Digits, b.Digits) })
 	for _, p := range prefixes {
-		here, _ := r.byObject.Get(p.network())
-		for digits := p.Digits - 1; digits >= 0 && here.above == nil; digits-- {
-			here.above, _ = r.byObject.Get(p.cut(digits).network())
+		node, _ := r.byObject.Get(p.network())
+		for digits := p.Digits - 1; digits >= 0 && node.shorter == nil; digits-- {
+			node.shorter, _ = r.byObject.Get(p.cut(digits).network())
 		}
 	}
 	return r
@@ -68,7 +69,7 @@
 	return Prefix{p.Bits &^ (^uint64(0) >> (digits * digitBits)), digits}
 }
 
-// network is the prefix as one of IPv6.
+// network returns the prefix as an IPv6 prefix.
 func (p Prefix) network() netip.Prefix {
 	return netip.PrefixFrom(objectAddr(p.Bits), p.Digits*digitBits)
 }
@@ -79,8 +80,8 @@
 	return netip.AddrFrom16(b)
 }
 
-func (p *place) add(rule Rule) {
-	c := condition{services: bits(rule.Services)}
+func (p *ruleNode) add(rule Rule) {
+	c := condition{services: serviceBits(rule.Services)}
 	if len(rule.Groups) == 0 {
 		c.groups = [4]uint64{^uint64(0), ^uint64(0), ^uint64(0), ^uint64(0)}
 	}
@@ -97,22 +98,22 @@
 		*list = append(*list, &c)
 		i = len(*list) - 1
 	}
-	at := (*list)[i]
+	existing := (*list)[i]
 	if len(rule.Networks) == 0 {
-		at.networks = nil
+		existing.networks = nil
 	}
-	if at.networks != nil {
+	if existing.networks != nil {
 		for _, n := range rule.Networks {
-			at.networks.Insert(n.Masked())
+			existing.networks.Insert(n.Masked())
 		}
 	}
 }
 
-func bits(places []int) (b uint64) {
-	if len(places) == 0 {
+func serviceBits(services []int) (b uint64) {
+	if len(services) == 0 {
 		return ^uint64(0)
 	}
-	for _, p := range places {
+	for _, p := range services {
 		b |= 1 << p
 	}
 	return b
@@ -123,7 +124,7 @@
 		(c.networks == nil || c.networks.Contains(from))
 }
 
-func fits(list []*condition, g GET, from netip.Addr) bool {
+func anyFits(list []*condition, g GET, from netip.Addr) bool {
 	for _, c := range list {
 		if c.fits(g, from) {
 			return true
@@ -132,17 +133,17 @@
 	return false
 }
 
-// allow tells whether a GET from an address may pass.
+// allow reports whether a GET from an address is allowed.
 func (r *rights) allow(g GET, from netip.Addr) bool {
 	p, ok := r.byObject.Lookup(objectAddr(g.Object))
 	if !ok {
 		return false
 	}
-	for ; p != nil; p = p.above {
-		if fits(p.deny, g, from) {
+	for ; p != nil; p = p.shorter {
+		if anyFits(p.deny, g, from) {
 			return false
 		}
-		if fits(p.allow, g, from) {
+		if anyFits(p.allow, g, from) {
 			return true
 		}
 	}
--- a/core/cluster/quota/holder.go
+++ b/core/cluster/quota/holder.go
@@ -6,96 +6,98 @@
 	"slices"
 )
 
-// Question is what a dispatcher says of itself and wants, of all budgets at once.
-type Question struct {
-	ID      uint64 `cbor:"ID"` // later ones are higher
-	Name    string `cbor:"Name"`
-	Boot    uint64 `cbor:"Boot"`
-	Zone    string `cbor:"Zone"`
-	Address string `cbor:"Address"`
-	Token   uint64 `cbor:"Token"`  // of the last divider that answered it
-	Leaves  bool   `cbor:"Leaves"` // it uses nothing any more, and gives all up, floors too
-	Asks    []Ask  `cbor:"Asks"`
+// Request is a dispatcher's message to the allocator: who it is and what it demands of all budgets.
+type Request struct {
+	ID      uint64   `cbor:"ID"` // increases with each request
+	Name    string   `cbor:"Name"`
+	BootID  uint64   `cbor:"Boot"`
+	Zone    string   `cbor:"Zone"`
+	Address string   `cbor:"Address"`
+	Token   uint64   `cbor:"Token"`  // fencing token of the allocator that last answered it
+	Leaving bool     `cbor:"Leaves"` // the dispatcher uses nothing any more and gives everything up, including floors
+	Demands []Demand `cbor:"Asks"`
 }
 
-// Ask is a question's part about one budget.
-type Ask struct {
-	Budget string `cbor:"Budget"`
-	Keep   int64  `cbor:"Keep"`  // it binds itself to that until it is answered
-	Floor  int64  `cbor:"Floor"` // that it counts on without word
-	Used   int64  `cbor:"Used"`  // of an amount: all so far
-	Need   int64  `cbor:"Need"`  // that it would use
+// Demand is the part of a request about one budget.
+type Demand struct {
+	Budget       string `cbor:"Budget"`
+	CurrentLimit int64  `cbor:"Keep"`  // limit that the dispatcher keeps to until it gets a response
+	Floor        int64  `cbor:"Floor"` // units that it keeps using without contact to the allocator
+	Used         int64  `cbor:"Used"`  // units of an amount that it has used so far, over all windows
+	Need         int64  `cbor:"Need"`  // units that it would use
 }
 
-// Answer is what a dispatcher may have.
-type Answer struct {
-	ID    uint64 `cbor:"ID"`
-	Token uint64 `cbor:"Token"` // the divider's
-	Gives []Give `cbor:"Gives"`
+// Response tells a dispatcher what it may use.
+type Response struct {
+	ID     uint64  `cbor:"ID"`    // of the request
+	Token  uint64  `cbor:"Token"` // fencing token of the allocator
+	Grants []Grant `cbor:"Gives"`
 }
 
-// Give is an answer's part about one budget.
-type Give struct {
+// Grant is the part of a response about one budget.
+type Grant struct {
 	Budget string `cbor:"Budget"`
 	Kind   Kind   `cbor:"Kind"`
-	Size   int64  `cbor:"Size"` // of an amount: all that it may have used
-	Floor  int64  `cbor:"Floor"`
-	Burst  int64  `cbor:"Burst"`
+	Size   int64  `cbor:"Size"`  // units; for an amount, the total that the holder may have used
+	Floor  int64  `cbor:"Floor"` // units that may be used without contact to the allocator
+	Burst  int64  `cbor:"Burst"` // units of a rate that the bucket may hold
 }
 
-// Holder is a dispatcher's part.
+// Holder holds one dispatcher's grants and decides whether a unit may be used now. It is not safe for concurrent use.
 type Holder struct {
-	name    string
-	boot    uint64
-	zone    string
-	address string
-	shares  map[string]*share
-	id      uint64
-	asked   float64 // when the last question was
-	answers uint64  // the last question that was answered
-	token   uint64
-	until   float64 // shares count until then
-	stands  float64 // floors do
-	due     float64
-	leaving bool
-	tries   int // questions with no answer since
+	name          string
+	bootID        uint64
+	zone          string
+	address       string
+	budgets       map[string]*budgetState
+	lastRequestID uint64
+	requestedAt   float64 // time of the last request
+	answeredID    uint64  // last request that was answered
+	token         uint64  // highest fencing token seen in a response
+	leaseEnd      float64 // time until which grants are valid
+	floorEnd      float64 // time until which floors are valid
+	nextRequest   float64 // time at which the next request is due
+	leaving       bool
+	unanswered    int // consecutive requests without a response
 }
 
-type share struct {
-	Give
-	inUse   int64
-	spare   int64   // of that, reserved and not begun
-	area    float64 // in use by seconds, since the last question
-	areaAt  float64
-	used    int64
-	level   float64 // of a rate's bucket
-	at      float64 // when it was last filled
-	took    float64 // since the last question
-	refused float64
-	rate    float64 // taken and refused a second, lately
-	counted float64 // since when
-	gone    bool    // used here no more
-	told    int64   // Need of the last question
+// budgetState is the state of one budget at this dispatcher: its grant and its use.
+type budgetState struct {
+	Grant
+	inUse         int64   // units in flight, including reserved ones
+	idleReserved  int64   // units in use that are reserved but not started
+	usageIntegral float64 // unit-seconds in flight since the last request
+	integratedAt  float64 // time up to which usageIntegral is counted
+	used          int64   // units of an amount used so far
+	tokens        float64 // in a rate's bucket
+	filledAt      float64 // time at which the bucket was last refilled
+	taken         float64 // units since the last request
+	rejected      float64 // units since the last request
+	rate          float64 // units taken and rejected per second before the last request
+	countedSince  float64 // time from which taken and rejected are counted
+	unused        bool    // no longer used here; dropped once nothing is in flight
+	reportedNeed  int64   // need that the last request reported
 }
 
-// NewHolder holds nothing, of any budget that it is asked about.
-func NewHolder(name string, boot uint64, zone, address string) *Holder {
-	return &Holder{name: name, boot: boot, zone: zone, address: address, shares: map[string]*share{}, id: boot * 0x9e3779b97f4a7c15 >> 1}
+// NewHolder returns a holder for one run of a dispatcher. It has no budgets and no grants.
+func NewHolder(name string, bootID uint64, zone, address string) *Holder {
+	return &Holder{name: name, bootID: bootID, zone: zone, address: address, budgets: map[string]*budgetState{}, lastRequestID: bootID * 0x9e3779b97f4a7c15 >> 1}
 }
 
-// Use says that a budget is used here.
-func (h *Holder) Use(budget string, kind Kind, now float64) {
-	if h.shares[budget] == nil && len(h.shares) < MostBudgets {
-		h.shares[budget] = &share{Give: Give{Budget: budget, Kind: kind}, at: now, counted: now, areaAt: now}
-		h.due = now
+// AddBudget registers a budget that is used here. It does nothing beyond MaxBudgets.
+func (h *Holder) AddBudget(budget string, kind Kind, now float64) {
+	if h.budgets[budget] == nil && len(h.budgets) < MaxBudgets {
+		h.budgets[budget] = &budgetState{Grant: Grant{Budget: budget, Kind: kind}, filledAt: now, countedSince: now, integratedAt: now}
+		h.nextRequest = now
 	}
 }
 
-// Only says which budgets are used here from now on: others go once nothing is under way of them and that was told.
-func (h *Holder) Only(used func(budget string) bool, now float64) {
-	for name, s := range h.shares {
-		if s.gone = !used(name); s.gone {
-			s.Size, s.Floor, h.due = min(s.Size, s.used), 0, now
+// RetainBudgets keeps only the budgets for which used returns true. Others are dropped once nothing of them is in
+// flight and the allocator has answered a request sent since.
+func (h *Holder) RetainBudgets(used func(budget string) bool, now float64) {
+	for name, s := range h.budgets {
+		if s.unused = !used(name); s.unused {
+			s.Size, s.Floor, h.nextRequest = min(s.Size, s.used), 0, now
 			if s.Kind != Amount {
 				s.Size = 0
 			}
@@ -103,62 +105,62 @@
 	}
 }
 
-// limit is what may be used now: the share while it counts, then the floor, then nothing.
-func (h *Holder) limit(now float64, s *share) int64 {
+// limit returns what may be used now: the grant during its lease, then the floor, then nothing.
+func (h *Holder) limit(now float64, s *budgetState) int64 {
 	switch {
 	case h.leaving:
 		return 0
-	case now < h.until:
+	case now < h.leaseEnd:
 		return s.Size
 	case s.Kind == Amount:
-		return s.used // what was not used counts as spent at the divider
-	case now < h.stands:
+		return s.used // the allocator counts unused units as spent
+	case now < h.floorEnd:
 		return min(s.Floor, s.Size)
 	}
 	return 0
 }
 
-// Limit is what may be used of a budget now.
+// Limit returns how many units of a budget may be used now.
 func (h *Holder) Limit(now float64, budget string) int64 {
-	if s := h.shares[budget]; s != nil {
+	if s := h.budgets[budget]; s != nil {
 		return h.limit(now, s)
 	}
 	return 0
 }
 
-// InUse is what of a budget is under way.
+// InUse returns how many units of a budget are in flight.
 func (h *Holder) InUse(budget string) int64 {
-	if s := h.shares[budget]; s != nil {
+	if s := h.budgets[budget]; s != nil {
 		return s.inUse
 	}
 	return 0
 }
 
-// burst is what the bucket of a rate holds at most now.
-func (h *Holder) burst(now float64, s *share) float64 {
+// burst returns how many units the bucket of a rate may hold now.
+func (h *Holder) burst(now float64, s *budgetState) float64 {
 	if limit := h.limit(now, s); s.Size > 0 {
 		return float64(s.Burst) * float64(min(limit, s.Size)) / float64(s.Size)
 	}
 	return 0
 }
 
-// Take takes so many units of a budget, if they are there; what is under way is given back by Done. It is asked right before each act:
-// whoever was stopped finds its share over.
+// Take takes n units of a budget and reports whether they were available. Units in flight are returned by Done.
+// Callers must call it right before each use, so that a process that was paused notices an expired grant.
 func (h *Holder) Take(now float64, budget string, n int64) bool {
-	s := h.shares[budget]
+	s := h.budgets[budget]
 	if s == nil || n < 0 {
 		return false
 	}
 	limit, ok := h.limit(now, s), false
 	switch s.Kind {
-	case UnderWay:
+	case InFlight:
 		if ok = s.inUse+n <= limit; ok {
-			s.use(now, n)
+			s.changeInUse(now, n)
 		}
 	case Rate:
-		h.fill(now, s)
-		if ok = s.level >= float64(n); ok {
-			s.level -= float64(n)
+		h.refill(now, s)
+		if ok = s.tokens >= float64(n); ok {
+			s.tokens -= float64(n)
 		}
 	case Amount:
 		if ok = s.used+n <= limit; ok {
@@ -166,155 +168,158 @@
 		}
 	}
 	if ok {
-		s.took += float64(n)
+		s.taken += float64(n)
 	} else {
-		s.refused += float64(n)
-		if h.starved(s) && h.answers == h.id {
-			h.due = math.Min(h.due, h.asked+leastAsk)
+		s.rejected += float64(n)
+		if h.needsMore(s) && h.answeredID == h.lastRequestID {
+			h.nextRequest = math.Min(h.nextRequest, h.requestedAt+minRequestInterval)
 		}
 	}
 	return ok
 }
 
-// starved tells that far more is wanted than was told.
-func (h *Holder) starved(s *share) bool { return s.refused > 0.1*s.took }
+// needsMore reports whether demand is well above what was granted: rejected units exceed a tenth of those taken.
+func (h *Holder) needsMore(s *budgetState) bool { return s.rejected > 0.1*s.taken }
 
-// fill fills a rate's bucket. A share that came late begins empty: guards against a burst that its last holder has had already.
-func (h *Holder) fill(now float64, s *share) {
-	gone := math.Max(0, now-s.at)
-	rate := float64(h.limit(now, s)) / float64(Thousand)
-	if s.at < h.until && now > h.until { // part of the time is past its end
+// refill adds tokens to a rate's bucket for the time since the last refill. Guards against a repeated burst: a grant
+// that arrives late starts with an empty bucket, because its previous holder may have used the burst already.
+func (h *Holder) refill(now float64, s *budgetState) {
+	elapsed := math.Max(0, now-s.filledAt)
+	rate := float64(h.limit(now, s)) / float64(RateUnits)
+	if s.filledAt < h.leaseEnd && now > h.leaseEnd { // part of the time is after the end of the lease
 		rate = 0
 	}
-	s.at = now
-	s.level = math.Min(h.burst(now, s), s.level+gone*rate)
+	s.filledAt = now
+	s.tokens = math.Min(h.burst(now, s), s.tokens+elapsed*rate)
 }
 
-// Refused books what was turned away elsewhere by a bound that this gave.
-func (h *Holder) Refused(budget string, n int64) {
-	if s := h.shares[budget]; s != nil && n > 0 {
-		if s.refused += float64(n); h.starved(s) && h.answers == h.id {
-			h.due = math.Min(h.due, h.asked+leastAsk)
+// RecordRejected counts units that another component rejected because of this budget's limit.
+func (h *Holder) RecordRejected(budget string, count int64) {
+	if s := h.budgets[budget]; s != nil && count > 0 {
+		if s.rejected += float64(count); h.needsMore(s) && h.answeredID == h.lastRequestID {
+			h.nextRequest = math.Min(h.nextRequest, h.requestedAt+minRequestInterval)
 		}
 	}
 }
 
-// Reserve books what may be under way elsewhere by a bound that this gave, in place of what was reserved before; held is what is, begun how
-// much of it was since the last time.
-func (h *Holder) Reserve(now float64, budget string, was, is, held, begun int64) {
-	if s := h.shares[budget]; s != nil && s.Kind == UnderWay {
-		s.use(now, is-was)
-		s.took += float64(begun)
-		s.spare = is - held
+// Reserve records how many units another component may have in flight under this budget's limit, in place of the
+// previous number. Of the current number, held are in flight; started have begun since the last call.
+func (h *Holder) Reserve(now float64, budget string, previous, current, held, started int64) {
+	if s := h.budgets[budget]; s != nil && s.Kind == InFlight {
+		s.changeInUse(now, current-previous)
+		s.taken += float64(started)
+		s.idleReserved = current - held
 	}
 }
 
-// Done ends what was under way.
+// Done returns n units that were in flight.
 func (h *Holder) Done(now float64, budget string, n int64) {
-	if s := h.shares[budget]; s != nil && s.Kind == UnderWay {
-		s.use(now, -n)
+	if s := h.budgets[budget]; s != nil && s.Kind == InFlight {
+		s.changeInUse(now, -n)
 	}
 }
 
-// use books what begins and ends.
-func (s *share) use(now float64, n int64) {
-	s.area += float64(s.inUse-s.spare) * math.Max(0, now-s.areaAt)
-	s.areaAt = now
+// changeInUse adds n to the units in flight, after adding the time since the last change to the integral of use.
+func (s *budgetState) changeInUse(now float64, n int64) {
+	s.usageIntegral += float64(s.inUse-s.idleReserved) * math.Max(0, now-s.integratedAt)
+	s.integratedAt = now
 	s.inUse = max(0, s.inUse+n)
 }
 
-// Leave gives all up.
-func (h *Holder) Leave(now float64) { h.leaving, h.due = true, now }
+// Leave gives up all grants and floors; the next request says so.
+func (h *Holder) Leave(now float64) { h.leaving, h.nextRequest = true, now }
 
-// Settled tells that word of all that was given up has come.
-func (h *Holder) Settled() bool { return h.leaving && h.answers == h.id }
+// LeaveAcknowledged reports whether the allocator has answered the request that gave everything up.
+func (h *Holder) LeaveAcknowledged() bool { return h.leaving && h.answeredID == h.lastRequestID }
 
-// keep is what a share binds itself to until it is answered; what is under way counts until it ends.
-func (h *Holder) keep(now float64, s *share) int64 {
-	k := h.limit(now, s)
-	if s.Kind == UnderWay {
-		k = max(k, s.inUse)
+// currentLimit returns the limit that this dispatcher keeps to until it gets a response. Units in flight count until
+// they end.
+func (h *Holder) currentLimit(now float64, s *budgetState) int64 {
+	limit := h.limit(now, s)
+	if s.Kind == InFlight {
+		limit = max(limit, s.inUse)
 	}
-	return k
+	return limit
 }
 
-// need is what would be used, by what was and by what was turned away.
-func (s *share) need(now float64) int64 {
-	span := math.Max(leastAsk, now-s.counted)
-	rate := (s.took + s.refused) / span
+// need returns how many units would be used, estimated from those taken and rejected since the last request.
+func (s *budgetState) need(now float64) int64 {
+	span := math.Max(minRequestInterval, now-s.countedSince)
+	rate := (s.taken + s.rejected) / span
 	if s.rate = rate; s.Kind == Rate {
-		return int64(math.Ceil(rate * float64(Thousand)))
+		return int64(math.Ceil(rate * float64(RateUnits)))
 	}
 	if s.Kind == Amount {
 		return int64(math.Ceil(rate * 2 * Lease))
 	}
-	s.use(now, 0)
-	n := s.area / span // by the mean: a peak would hold far more than is used at those that have little
-	if s.refused > 0 {
-		n = math.Max(n*(s.took+s.refused)/math.Max(1, s.took), 1)
+	s.changeInUse(now, 0)
+	n := s.usageIntegral / span // the mean, because a peak would reserve far more than is used at dispatchers with little traffic
+	if s.rejected > 0 {
+		n = math.Max(n*(s.taken+s.rejected)/math.Max(1, s.taken), 1)
 	}
 	return int64(math.Ceil(n))
 }
 
-// Tick gives the next question, when it is time for one.
-func (h *Holder) Tick(now float64) (q Question, ask bool) {
-	if now < h.due || len(h.shares) == 0 {
-		return q, false
+// Tick returns the next request if one is due.
+func (h *Holder) Tick(now float64) (req Request, due bool) {
+	if now < h.nextRequest || len(h.budgets) == 0 {
+		return req, false
 	}
-	if h.answers != h.id {
-		h.tries++
+	if h.answeredID != h.lastRequestID {
+		h.unanswered++
 	}
-	h.id++
-	h.asked = now
-	h.due = now + math.Min(askEach, leastAsk*math.Pow(2, float64(min(h.tries, 3)))) // an answer puts it off
-	q = Question{ID: h.id, Name: h.name, Boot: h.boot, Zone: h.zone, Address: h.address, Token: h.token, Leaves: h.leaving}
-	for _, name := range slices.Sorted(maps.Keys(h.shares)) {
-		s := h.shares[name]
+	h.lastRequestID++
+	h.requestedAt = now
+	h.nextRequest = now + math.Min(requestInterval, minRequestInterval*math.Pow(2, float64(min(h.unanswered, 3)))) // a response postpones it further
+	req = Request{ID: h.lastRequestID, Name: h.name, BootID: h.bootID, Zone: h.zone, Address: h.address, Token: h.token, Leaving: h.leaving}
+	for _, name := range slices.Sorted(maps.Keys(h.budgets)) {
+		s := h.budgets[name]
 		if s.Kind == Rate {
-			h.fill(now, s)
+			h.refill(now, s)
 		}
-		s.told = s.need(now)
-		// What it binds itself to is in force from now on: an answer to an earlier question raises nothing.
+		s.reportedNeed = s.need(now)
+		// The reported limit is in force from now on: a response to an earlier request cannot raise it.
 		s.Size = h.limit(now, s)
-		q.Asks = append(q.Asks, Ask{Budget: name, Keep: h.keep(now, s), Floor: min(s.Floor, s.Size), Used: s.used, Need: s.told})
-		s.area, s.took, s.refused, s.counted = 0, 0, 0, now
+		req.Demands = append(req.Demands, Demand{Budget: name, CurrentLimit: h.currentLimit(now, s), Floor: min(s.Floor, s.Size), Used: s.used, Need: s.reportedNeed})
+		s.usageIntegral, s.taken, s.rejected, s.countedSince = 0, 0, 0, now
 	}
-	return q, true
+	return req, true
 }
 
-// Answer takes what a question came to. Only the last question's counts, and none of an older divider: what it says is as of when it was
-// asked, and later questions have bound this one to less.
-func (h *Holder) Answer(now float64, a Answer) bool {
-	if a.ID != h.id || a.ID == h.answers || a.Token < h.token {
+// HandleResponse applies a response and reports whether it was accepted. It accepts only a response to the last
+// request, and none from an older allocator: a response reflects the limits at the time of its request, and later
+// requests have bound this dispatcher to lower ones.
+func (h *Holder) HandleResponse(now float64, resp Response) bool {
+	if resp.ID != h.lastRequestID || resp.ID == h.answeredID || resp.Token < h.token {
 		return false
 	}
-	h.answers, h.token, h.tries = a.ID, a.Token, 0
-	h.until, h.stands = h.asked+Lease*(1-Drift), h.asked+Standing*(1-Drift)
-	each, less := askEach, len(a.Gives) == 0 // not enrolled yet
-	for name, s := range h.shares {
-		i := slices.IndexFunc(a.Gives, func(g Give) bool { return g.Budget == name && g.Kind == s.Kind })
-		g := Give{Budget: name, Kind: s.Kind}
+	h.answeredID, h.token, h.unanswered = resp.ID, resp.Token, 0
+	h.leaseEnd, h.floorEnd = h.requestedAt+Lease*(1-Drift), h.requestedAt+FloorLease*(1-Drift)
+	interval, soon := requestInterval, len(resp.Grants) == 0 // no grants: this dispatcher has not joined yet
+	for name, s := range h.budgets {
+		i := slices.IndexFunc(resp.Grants, func(g Grant) bool { return g.Budget == name && g.Kind == s.Kind })
+		g := Grant{Budget: name, Kind: s.Kind}
 		if i >= 0 {
-			g = a.Gives[i]
+			g = resp.Grants[i]
 		}
-		if s.gone {
+		if s.unused {
 			if s.inUse == 0 {
-				delete(h.shares, name)
+				delete(h.budgets, name)
 			}
 			continue
 		}
 		if s.Kind == Rate {
-			h.fill(now, s)
+			h.refill(now, s)
 		}
-		less = less || g.Size < s.Size && s.Kind != Amount
-		s.Give = g
+		soon = soon || g.Size < s.Size && s.Kind != Amount
+		s.Grant = g
 		if s.Kind == Rate {
-			s.level = math.Min(s.level, h.burst(now, s))
+			s.tokens = math.Min(s.tokens, h.burst(now, s))
 		}
 	}
-	if less { // who waits for it is given it once this one has said that it is bound to less
-		each = leastAsk
+	if soon { // another dispatcher gets the returned units once the next request confirms the lower limit
+		interval = minRequestInterval
 	}
-	h.due = math.Max(now, h.asked+each)
+	h.nextRequest = math.Max(now, h.requestedAt+interval)
 	return true
 }
--- a/core/cluster/quota/ledger.go
+++ b/core/cluster/quota/ledger.go
@@ -1,11 +1,13 @@
-// Package quota divides a whole that the fleet may use among its dispatchers. The Ledger is what the replicated log keeps:
-// wholes and what each dispatcher may have of them. The Divider, at whoever holds the duty divide, decides who gets how much, and
-// answers only what the ledger has. The Holder is each dispatcher's part: what passes asks it. All of them are pure:
-// internal/cluster drives them, emulator and tests play them on one clock.
+// Package quota divides totals that the fleet may use among its dispatchers. The Ledger is kept in the replicated log:
+// it has the totals and each dispatcher's allocations. The Allocator runs at the dispatcher that holds the duty
+// "divide"; it decides who gets how much, and grants only what the ledger has allocated. The Holder runs at each
+// dispatcher and decides whether a unit may be used. All of them are pure: internal/cluster drives them, and the
+// emulator and the tests run them on one clock.
 //
-// The invariant, held by tests: what all dispatchers together may use by their own reckoning is never more than the whole. A part
-// is lowered in the ledger only once its holder has said that it binds itself to less, or once it has surely ended: the holder counts
-// from before it asked, the divider from after that, and what is under way under it has the tail to end.
+// The tests check this invariant: what all dispatchers together may use, each by its own state and clock, is never
+// more than the total. An allocation is lowered in the ledger only once its holder has confirmed a lower limit or its
+// lease has surely ended. The holder counts its lease from before it sent the request, the allocator from after that,
+// and work in flight under a grant has the tail to end.
 package quota
 
 import (
@@ -14,304 +16,309 @@
 	"slices"
 )
 
-// Bounds and figures.
+// Limits and times.
 const (
-	MostBudgets = 64
-	MostHolders = 600
-	LongestName = 100 // bytes of a budget's, a dispatcher's or a zone's
-	MostWhole   = int64(1) << 50
+	MaxBudgets      = 64
+	MaxParticipants = 600
+	MaxNameLength   = 100 // bytes; of a budget's, a dispatcher's or a zone's name, or of an address
+	MaxTotal        = int64(1) << 50
 
-	Drift    = 0.01        // share by which a clock may run fast or slow
-	Lease    = 6.0         // s; a share counts so long without word
-	Standing = 24 * 3600.0 // s; a floor counts so long without word
-	Duty     = "divide"    // who holds it divides
-	Thousand = int64(1000) // units of a rate: thousandths a second
-	leastAsk = 0.25        // s between a dispatcher's questions
-	askEach  = Lease / 4   // s; three may be lost
-	mostTail = 30.0        // s; what is under way under a share ends by then
+	Drift              = 0.01        // share by which a clock may run fast or slow
+	Lease              = 6.0         // seconds; a grant is valid this long without a new response
+	FloorLease         = 24 * 3600.0 // seconds; a floor is valid this long without a new response
+	Duty               = "divide"    // name of the duty; its holder runs the allocator
+	RateUnits          = int64(1000) // units of a rate for one use per second: a rate is given in thousandths per second
+	minRequestInterval = 0.25        // seconds between a dispatcher's requests
+	requestInterval    = Lease / 4   // seconds; three requests in a row may be lost within a lease
+	maxTail            = 30.0        // seconds; upper limit of the tail
 )
 
-// What uses budgets; a tenant's GETs by UseTenant and its name.
+// Uses that a budget can be set for. A tenant's GETs use UseTenant followed by the tenant's name.
 const (
 	UseOrigin  = "origin"  // forwards that may need the origin
-	UseRetries = "retries" // forwards after failed ones
+	UseRetries = "retries" // forwards that retry failed ones
 	UseTenant  = "tenant:"
-	UseHost    = "host:" // forwards at it, or with it as their source
-	MostHosts  = 8       // that are bounded so: each act of a module looks at all of them
+	UseHost    = "host:" // followed by a cache host: forwards to it or with it as their source
+	MaxHosts   = 8       // cache hosts that may have a budget; few, because each routing decision looks at all of them
 )
 
-// Kind is what a budget counts.
+// Kind is what a budget limits.
 type Kind uint8
 
-// The kinds.
+// The kinds of budgets.
 const (
-	UnderWay Kind = 1 + iota // at one time
-	Rate                     // thousandths a second, with a burst
-	Amount                   // by window; used once
+	InFlight Kind = 1 + iota // units in use at one time
+	Rate                     // thousandths per second, with a burst
+	Amount                   // units per window, each used once
 )
 
-// Budget is a whole, as an operator sets it.
+// Budget is a total with its limits, as the operator sets it.
 type Budget struct {
 	Name    string  `json:"Name"`
 	Kind    Kind    `json:"Kind"`
-	Whole   int64   `json:"Whole"`
-	Burst   int64   `json:"Burst"`   // of a rate: so many at once, of all together, and one more of each dispatcher
-	Window  float64 `json:"Window"`  // s; of an amount
-	Floor   int64   `json:"Floor"`   // the standing part of each dispatcher, also cut off; 0 for none
-	Ceiling int64   `json:"Ceiling"` // the most that one may have; 0 for any
+	Total   int64   `json:"Whole"`
+	Burst   int64   `json:"Burst"`   // of a rate: units at once by all dispatchers together, plus one for each dispatcher
+	Window  float64 `json:"Window"`  // seconds; of an amount
+	Floor   int64   `json:"Floor"`   // units that each dispatcher may use even without contact to the allocator; 0 for none
+	Ceiling int64   `json:"Ceiling"` // most units that one dispatcher may have; 0 for no limit
 }
 
-// Check tells what is wrong with a budget.
+// Check returns an error if the budget is invalid.
 func (b *Budget) Check() error {
 	switch {
-	case b.Name == "" || len(b.Name) > LongestName:
-		return fmt.Errorf("budget %.20q: a name has 1 to %d bytes", b.Name, LongestName)
-	case b.Kind < UnderWay || b.Kind > Amount:
-		return fmt.Errorf("budget %q: no such kind", b.Name)
-	case min(b.Whole, b.Burst, b.Floor, b.Ceiling) < 0 || max(b.Whole, b.Burst, b.Floor, b.Ceiling) > MostWhole:
-		return fmt.Errorf("budget %q: figures are from 0 to %d", b.Name, MostWhole)
+	case b.Name == "" || len(b.Name) > MaxNameLength:
+		return fmt.Errorf("budget %.20q: the name must have 1 to %d bytes", b.Name, MaxNameLength)
+	case b.Kind < InFlight || b.Kind > Amount:
+		return fmt.Errorf("budget %q: unknown kind", b.Name)
+	case min(b.Total, b.Burst, b.Floor, b.Ceiling) < 0 || max(b.Total, b.Burst, b.Floor, b.Ceiling) > MaxTotal:
+		return fmt.Errorf("budget %q: numbers must be from 0 to %d", b.Name, MaxTotal)
 	case b.Kind == Amount && !(b.Window >= 1 && b.Window <= 31*24*3600):
-		return fmt.Errorf("budget %q: a window of %g s", b.Name, b.Window)
+		return fmt.Errorf("budget %q: a window of %g s is not between 1 s and 31 days", b.Name, b.Window)
 	case b.Kind == Amount && b.Floor > 0:
-		return fmt.Errorf("budget %q: an amount has no floor: one that is cut off would use it in each window", b.Name)
+		return fmt.Errorf("budget %q: an amount has no floor, because a dispatcher without contact would use it again in each window", b.Name)
 	case b.Ceiling > 0 && b.Ceiling < b.Floor:
 		return fmt.Errorf("budget %q: the ceiling is under the floor", b.Name)
 	}
 	return nil
 }
 
-// Seat is a dispatcher that the ledger knows: one process of a name. Its floors are reserved until it is forgotten.
-type Seat struct {
+// Participant is one run of a dispatcher that the ledger knows. Its floors stay reserved until it is forgotten.
+type Participant struct {
 	ID      uint32 `json:"ID"`
 	Name    string `json:"Name"`
-	Boot    uint64 `json:"Boot"`
+	BootID  uint64 `json:"Boot"`
 	Zone    string `json:"Zone"`
 	Address string `json:"Address"`
 }
 
-// Part is what one dispatcher may have of a budget.
-type Part struct {
-	Out   int64 `cbor:"Out"`   // reserved for it
-	Floor int64 `cbor:"Floor"` // of that, also without word
-	Used  int64 `cbor:"Used"`  // of an amount: all that it said it has used
+// Allocation is what one participant may have of a budget.
+type Allocation struct {
+	Reserved int64 `cbor:"Out"`   // units reserved for it
+	Floor    int64 `cbor:"Floor"` // of these, units that it may use without contact to the allocator
+	Used     int64 `cbor:"Used"`  // of an amount: all units that it has reported as used
 }
 
-// Account is a budget with its parts.
+// Account is a budget with its allocations, by participant.
 type Account struct {
 	Budget
-	Parts map[uint32]Part
-	Spent int64  // of an amount, in this window
-	Turn  uint64 // number of the window
-	Gone  bool   // no longer in the settings: it ends with its last part
+	Allocations  map[uint32]Allocation
+	Spent        int64 // units of an amount that were used in this window
+	WindowNumber uint64
+	Removed      bool // no longer in the settings; the account is deleted with its last allocation
 }
 
-// Sum is what is reserved or spent.
+// Sum returns the units that are reserved or spent.
 func (a *Account) Sum() int64 {
 	s := a.Spent
-	for _, p := range a.Parts {
-		s += p.Out
+	for _, p := range a.Allocations {
+		s += p.Reserved
 	}
 	return s
 }
 
-// Ledger is what the log keeps.
+// Ledger is the state that the log keeps. It is not safe for concurrent use.
 type Ledger struct {
-	Token      uint64 // of the divider that wrote last
-	Seq        uint64 // of its last command
-	Generation uint64 // of the settings in force
-	NextID     uint32
-	Hold       bool // grants may be out that the log has lost: nothing is given before they have surely ended
-	Seats      map[uint32]Seat
-	Accounts   map[string]*Account
+	Token           uint64 // fencing token of the allocator that wrote last
+	Seq             uint64 // number of its last command
+	Generation      uint64 // of the budgets in force
+	NextID          uint32 // id of the next participant
+	GrantsSuspended bool   // set after the log may have lost grants: nothing is granted until these have surely ended
+	Participants    map[uint32]Participant
+	Accounts        map[string]*Account
 }
 
-// NewLedger is empty.
+// NewLedger returns an empty ledger.
 func NewLedger() *Ledger {
-	return &Ledger{NextID: 1, Seats: map[uint32]Seat{}, Accounts: map[string]*Account{}}
+	return &Ledger{NextID: 1, Participants: map[uint32]Participant{}, Accounts: map[string]*Account{}}
 }
 
-// Set is a change of one part: to absolute values, so that it may come twice.
-type Set struct {
+// AllocationUpdate changes one allocation to absolute values, so that it may be applied twice.
+type AllocationUpdate struct {
 	Budget string `cbor:"Budget"`
 	ID     uint32 `cbor:"ID"`
-	Part
+	Allocation
 }
 
-// Command is one entry of the ledger. What a divider writes bears its token; one with an older token does nothing.
+// Command is one log entry. It has the fencing token of the allocator that wrote it; an entry with an older token than
+// the ledger's has no effect.
 type Command struct {
-	Token      uint64   `cbor:"Token"`
-	Seq        uint64   `cbor:"Seq"` // of the token's commands, rising: one that comes late, behind a later one, does nothing
-	Generation uint64   `cbor:"Generation"`
-	Declare    []Budget `cbor:"Declare"` // all that there are, where Generation is above the ledger's
-	Enrol      []Seat   `cbor:"Enrol"`   // their ids are given here
-	Forget     []uint32 `cbor:"Forget"`
-	Sets       []Set    `cbor:"Sets"`
-	Unhold     bool     `cbor:"Unhold"`
-	Turns      []string `cbor:"Turns"` // budgets whose next window begins
+	Token        uint64             `cbor:"Token"`
+	Seq          uint64             `cbor:"Seq"`        // rises with each command of a token; a command that arrives after a later one has no effect
+	Generation   uint64             `cbor:"Generation"` // of Budgets
+	Budgets      []Budget           `cbor:"Declare"`    // all budgets; used if Generation is above the ledger's
+	Join         []Participant      `cbor:"Enrol"`      // new participants; the ledger assigns their ids
+	Forget       []uint32           `cbor:"Forget"`     // ids of participants that are removed
+	Updates      []AllocationUpdate `cbor:"Sets"`
+	ResumeGrants bool               `cbor:"Unhold"` // clears Ledger.GrantsSuspended
+	NextWindows  []string           `cbor:"Turns"`  // names of the amounts whose next window begins
 }
 
-// Apply does a command, whole or not at all; false where it was not done.
+// Apply applies a command as a whole or not at all, and reports whether it did.
 func (l *Ledger) Apply(c *Command) bool {
-	if !l.fits(c) {
+	if !l.isValid(c) {
 		return false
 	}
 	l.Token, l.Seq = c.Token, c.Seq
-	l.Hold = l.Hold && !c.Unhold
+	l.GrantsSuspended = l.GrantsSuspended && !c.ResumeGrants
 	if c.Generation > l.Generation {
-		l.declare(c)
+		l.setBudgets(c)
 	}
-	for _, s := range c.Sets {
+	for _, s := range c.Updates {
 		a := l.Accounts[s.Budget]
-		a.Spent += max(0, s.Used-a.Parts[s.ID].Used)
-		if a.Parts[s.ID] = s.Part; s.Part == (Part{}) {
-			delete(a.Parts, s.ID)
+		a.Spent += max(0, s.Used-a.Allocations[s.ID].Used)
+		if a.Allocations[s.ID] = s.Allocation; s.Allocation == (Allocation{}) {
+			delete(a.Allocations, s.ID)
 		}
 	}
 	for _, id := range c.Forget {
 		l.forget(id)
 	}
-	l.enrol(c.Enrol)
-	for _, name := range c.Turns {
+	l.join(c.Join)
+	for _, name := range c.NextWindows {
 		if a := l.Accounts[name]; a != nil && a.Kind == Amount {
 			a.Spent = 0
-			a.Turn++
+			a.WindowNumber++
 		}
 	}
-	maps.DeleteFunc(l.Accounts, func(_ string, a *Account) bool { return a.Gone && len(a.Parts) == 0 })
+	maps.DeleteFunc(l.Accounts, func(_ string, a *Account) bool { return a.Removed && len(a.Allocations) == 0 })
 	return true
 }
 
-// fits tells whether a command may be done: it is newer than the last one, within all bounds, and gives no more than there is.
-func (l *Ledger) fits(c *Command) bool {
-	if c.Token < l.Token || c.Token == l.Token && c.Seq <= l.Seq || len(c.Declare) > MostBudgets || len(l.Seats)+len(c.Enrol) > MostHolders {
+// isValid reports whether a command may be applied: it must be newer than the last one, within all limits, and
+// allocate no more than the totals.
+func (l *Ledger) isValid(c *Command) bool {
+	if c.Token < l.Token || c.Token == l.Token && c.Seq <= l.Seq || len(c.Budgets) > MaxBudgets || len(l.Participants)+len(c.Join) > MaxParticipants {
 		return false
 	}
-	for i := range c.Declare {
-		if c.Declare[i].Check() != nil {
+	for i := range c.Budgets {
+		if c.Budgets[i].Check() != nil {
 			return false
 		}
 	}
-	// Guards against a divider that gives more than there is, whatever it believes: no entry raises a sum beyond the whole.
+	// Guards against an allocator that allocates more than there is, whatever its own state: no command may raise a
+	// sum above its total.
 	sums := map[string]int64{}
-	for _, s := range c.Sets {
+	for _, s := range c.Updates {
 		a := l.Accounts[s.Budget]
-		if _, ok := l.Seats[s.ID]; a == nil || !ok || s.Out < s.Floor || s.Floor < 0 {
+		if _, ok := l.Participants[s.ID]; a == nil || !ok || s.Reserved < s.Floor || s.Floor < 0 {
 			return false
 		}
-		was := a.Parts[s.ID]
-		sums[s.Budget] += s.Out - was.Out + max(0, s.Used-was.Used)
+		current := a.Allocations[s.ID]
+		sums[s.Budget] += s.Reserved - current.Reserved + max(0, s.Used-current.Used)
 	}
 	for name, more := range sums {
-		if a := l.Accounts[name]; more > 0 && a.Sum()+more > a.Whole {
+		if a := l.Accounts[name]; more > 0 && a.Sum()+more > a.Total {
 			return false
 		}
 	}
 	return true
 }
 
-// enrol gives seats to processes that have none.
-func (l *Ledger) enrol(all []Seat) {
-	for _, s := range all {
-		if len(s.Name) > LongestName || len(s.Zone) > LongestName || len(s.Address) > LongestName || l.Seat(s.Name, s.Boot) != 0 {
+// join assigns ids to processes that are not participants yet.
+func (l *Ledger) join(joining []Participant) {
+	for _, s := range joining {
+		if len(s.Name) > MaxNameLength || len(s.Zone) > MaxNameLength || len(s.Address) > MaxNameLength || l.ParticipantID(s.Name, s.BootID) != 0 {
 			continue
 		}
 		s.ID = l.NextID
 		l.NextID++
-		l.Seats[s.ID] = s
+		l.Participants[s.ID] = s
 	}
 }
 
-// declare takes settings in. A whole may be under its sum then: nothing more is given of it until that holds.
-func (l *Ledger) declare(c *Command) {
+// setBudgets replaces the budgets. A new total may be below the sum of its allocations; nothing more is allocated
+// until the sum has fallen below it.
+func (l *Ledger) setBudgets(c *Command) {
 	l.Generation = c.Generation
 	for _, a := range l.Accounts {
-		a.Gone = true
+		a.Removed = true
 	}
-	for _, b := range c.Declare {
+	for _, b := range c.Budgets {
 		a := l.Accounts[b.Name]
 		if a == nil || a.Kind != b.Kind {
-			if a != nil && len(a.Parts) > 0 { // another kind takes its place once the old one's parts are over
+			if a != nil && len(a.Allocations) > 0 { // a budget of another kind replaces it once its allocations have ended
 				continue
 			}
-			a = &Account{Parts: map[uint32]Part{}}
+			a = &Account{Allocations: map[uint32]Allocation{}}
 			l.Accounts[b.Name] = a
 		}
-		a.Budget, a.Gone = b, false
+		a.Budget, a.Removed = b, false
 	}
 }
 
-// forget takes a dispatcher's parts back; what it had of an amount counts as spent.
+// forget removes a participant. What was reserved for it of an amount counts as spent.
 func (l *Ledger) forget(id uint32) {
 	for _, a := range l.Accounts {
 		if a.Kind == Amount {
-			a.Spent += a.Parts[id].Out
+			a.Spent += a.Allocations[id].Reserved
 		}
-		delete(a.Parts, id)
+		delete(a.Allocations, id)
 	}
-	delete(l.Seats, id)
+	delete(l.Participants, id)
 }
 
-// Seat is the id of a process, 0 where it is not known.
-func (l *Ledger) Seat(name string, boot uint64) uint32 {
-	for id, s := range l.Seats {
-		if s.Name == name && s.Boot == boot {
+// ParticipantID returns the id of a process, or 0 if it is not a participant.
+func (l *Ledger) ParticipantID(name string, bootID uint64) uint32 {
+	for id, s := range l.Participants {
+		if s.Name == name && s.BootID == bootID {
 			return id
 		}
 	}
 	return 0
 }
 
-// Saved is a ledger as a snapshot keeps it.
-type Saved struct {
-	Token      uint64         `json:"Token"`
-	Seq        uint64         `json:"Seq"`
-	Generation uint64         `json:"Generation"`
-	NextID     uint32         `json:"NextID"`
-	Hold       bool           `json:"Hold"`
-	Seats      []Seat         `json:"Seats"`
-	Accounts   []SavedAccount `json:"Accounts"`
+// SavedLedger is a ledger as stored in a snapshot.
+type SavedLedger struct {
+	Token           uint64         `json:"Token"`
+	Seq             uint64         `json:"Seq"`
+	Generation      uint64         `json:"Generation"`
+	NextID          uint32         `json:"NextID"`
+	GrantsSuspended bool           `json:"Hold"`
+	Participants    []Participant  `json:"Seats"`
+	Accounts        []SavedAccount `json:"Accounts"`
 }
 
-// SavedAccount is one of its accounts; Parts are four numbers each: id, out, floor, used.
+// SavedAccount is an account as stored in a snapshot. Allocations holds four numbers for each: the participant's id,
+// Reserved, Floor and Used.
 type SavedAccount struct {
 	Budget
-	Spent int64   `json:"Spent"`
-	Turn  uint64  `json:"Turn"`
-	Gone  bool    `json:"Gone"`
-	Parts []int64 `json:"Parts"`
+	Spent        int64   `json:"Spent"`
+	WindowNumber uint64  `json:"Turn"`
+	Removed      bool    `json:"Gone"`
+	Allocations  []int64 `json:"Parts"`
 }
 
-// Save gives all of it; nothing is shared with it.
-func (l *Ledger) Save() Saved {
-	s := Saved{Token: l.Token, Seq: l.Seq, Generation: l.Generation, NextID: l.NextID, Hold: l.Hold}
-	for _, id := range slices.Sorted(maps.Keys(l.Seats)) {
-		s.Seats = append(s.Seats, l.Seats[id])
+// Save returns the state of the ledger for a snapshot. It shares no memory with the ledger.
+func (l *Ledger) Save() SavedLedger {
+	s := SavedLedger{Token: l.Token, Seq: l.Seq, Generation: l.Generation, NextID: l.NextID, GrantsSuspended: l.GrantsSuspended}
+	for _, id := range slices.Sorted(maps.Keys(l.Participants)) {
+		s.Participants = append(s.Participants, l.Participants[id])
 	}
 	for _, name := range slices.Sorted(maps.Keys(l.Accounts)) {
 		a := l.Accounts[name]
-		o := SavedAccount{Budget: a.Budget, Spent: a.Spent, Turn: a.Turn, Gone: a.Gone}
-		for _, id := range slices.Sorted(maps.Keys(a.Parts)) {
-			p := a.Parts[id]
-			o.Parts = append(o.Parts, int64(id), p.Out, p.Floor, p.Used)
+		o := SavedAccount{Budget: a.Budget, Spent: a.Spent, WindowNumber: a.WindowNumber, Removed: a.Removed}
+		for _, id := range slices.Sorted(maps.Keys(a.Allocations)) {
+			p := a.Allocations[id]
+			o.Allocations = append(o.Allocations, int64(id), p.Reserved, p.Floor, p.Used)
 		}
 		s.Accounts = append(s.Accounts, o)
 	}
 	return s
 }
 
-// Restore makes a ledger of what was saved.
-func Restore(s Saved) *Ledger {
+// Restore returns a ledger with a saved state.
+func Restore(s SavedLedger) *Ledger {
 	l := NewLedger()
 	l.Token, l.Seq, l.Generation, l.NextID = s.Token, s.Seq, s.Generation, max(1, s.NextID)
-	l.Hold = s.Hold
-	for _, seat := range s.Seats {
-		l.Seats[seat.ID] = seat
+	l.GrantsSuspended = s.GrantsSuspended
+	for _, participant := range s.Participants {
+		l.Participants[participant.ID] = participant
 	}
 	for _, o := range s.Accounts {
-		a := &Account{Budget: o.Budget, Spent: o.Spent, Turn: o.Turn, Gone: o.Gone, Parts: map[uint32]Part{}}
-		for p := range slices.Chunk(o.Parts, 4) {
+		a := &Account{Budget: o.Budget, Spent: o.Spent, WindowNumber: o.WindowNumber, Removed: o.Removed, Allocations: map[uint32]Allocation{}}
+		for p := range slices.Chunk(o.Allocations, 4) {
 			if len(p) == 4 {
-				a.Parts[uint32(p[0])] = Part{Out: p[1], Floor: p[2], Used: p[3]}
+				a.Allocations[uint32(p[0])] = Allocation{Reserved: p[1], Floor: p[2], Used: p[3]}
 			}
 		}
 		l.Accounts[o.Name] = a
--- a/emulator/budgets.go
+++ b/emulator/budgets.go
@@ -69,7 +69,7 @@
 // BudgetDefault is a calm fleet.
 func BudgetDefault() BudgetScenario {
 	return BudgetScenario{
-		Seed: 1, Way: Divided, Kind: quota.UnderWay, Dispatchers: 300, Zones: 3, Whole: 3000, Demand: 1.5, Skew: 1, Takes: 0.5, Delay: 0.01,
+		Seed: 1, Way: Divided, Kind: quota.InFlight, Dispatchers: 300, Zones: 3, Whole: 3000, Demand: 1.5, Skew: 1, Takes: 0.5, Delay: 0.01,
 		Span: 120, Warm: 30, Tail: 5,
 	}
 }
@@ -113,7 +113,7 @@
 	all     []*budgetDispatcher
 	ledger  *quota.Ledger // the log
 	token   uint64
-	divider *quota.Divider
+	divider *quota.Allocator
 	gone    float64 // no divider until then
 	result  *BudgetResult
 	inUse   int
@@ -135,18 +135,18 @@
 
 func (w *budgetWorld) units(x float64) int64 {
 	if w.Kind == quota.Rate {
-		return int64(x * float64(quota.Thousand))
+		return int64(x * float64(quota.RateUnits))
 	}
 	return int64(x)
 }
 
 func (w *budgetWorld) settings() []quota.Budget {
-	return []quota.Budget{{Name: budgetName, Kind: w.Kind, Whole: w.units(w.whole), Burst: int64(w.Burst)}}
+	return []quota.Budget{{Name: budgetName, Kind: w.Kind, Total: w.units(w.whole), Burst: int64(w.Burst)}}
 }
 
 // RunBudgets plays one.
 func RunBudgets(s BudgetScenario) (*BudgetResult, error) {
-	if s.Dispatchers < 1 || s.Dispatchers > quota.MostHolders || s.Span <= 0 || s.Kind == quota.Amount {
+	if s.Dispatchers < 1 || s.Dispatchers > quota.MaxParticipants || s.Span <= 0 || s.Kind == quota.Amount {
 		return nil, fmt.Errorf("budgets: %d dispatchers over %g s of kind %d", s.Dispatchers, s.Span, s.Kind)
 	}
 	w := &budgetWorld{
@@ -190,7 +190,7 @@
 	d.boot++
 	d.inUse, d.ownAt = 0, w.now
 	d.holder = quota.NewHolder(fmt.Sprint("n", i), d.boot, fmt.Sprint("z", i%max(1, w.Zones)), fmt.Sprint("a", i))
-	d.holder.Use(budgetName, w.Kind, w.now*d.clock)
+	d.holder.AddBudget(budgetName, w.Kind, w.now*d.clock)
 }
 
 func (w *budgetWorld) elect(after float64) {
@@ -202,7 +202,7 @@
 		}
 		w.token++
 		w.ledger.Apply(&quota.Command{Token: w.token, Seq: 1}) // what an earlier one has on its way comes too late from here on
-		w.divider = quota.NewDivider(quota.Restore(w.ledger.Save()), w.token, w.now, w.Tail, w.generation, w.settings())
+		w.divider = quota.NewAllocator(quota.Restore(w.ledger.Save()), w.token, w.now, w.Tail, w.generation, w.settings())
 	})
 }
 
@@ -225,9 +225,9 @@
 		return
 	}
 	if q, ask := d.holder.Tick(w.now * d.clock); ask && w.now >= d.cut {
-		w.send(60+12*len(q.Asks), func() {
+		w.send(60+12*len(q.Demands), func() {
 			if w.divider != nil {
-				w.divider.Ask(w.now, q)
+				w.divider.HandleRequest(w.now, q)
 			}
 		})
 	}
@@ -255,13 +255,13 @@
 	})
 }
 
-func (w *budgetWorld) answer(all []quota.Answered) {
+func (w *budgetWorld) answer(all []quota.AddressedResponse) {
 	for _, a := range all {
 		i := 0
 		_, _ = fmt.Sscanf(a.Name, "n%d", &i)
-		w.send(40+14*len(a.Gives), func() {
+		w.send(40+14*len(a.Grants), func() {
 			d := w.all[i]
-			if w.now >= d.down && w.now >= d.cut && d.boot == a.Boot {
+			if w.now >= d.down && w.now >= d.cut && d.boot == a.BootID {
 				if w.now < d.stall {
 					w.after(d.stall-w.now, func() { w.took(d, a) })
 					return
@@ -272,9 +272,9 @@
 	}
 }
 
-func (w *budgetWorld) took(d *budgetDispatcher, a quota.Answered) {
-	if d.boot == a.Boot && w.now >= d.down {
-		d.holder.Answer(w.now*d.clock, a.Answer)
+func (w *budgetWorld) took(d *budgetDispatcher, a quota.AddressedResponse) {
+	if d.boot == a.BootID && w.now >= d.down {
+		d.holder.HandleResponse(w.now*d.clock, a.Response)
 	}
 }
 
@@ -282,7 +282,7 @@
 func (w *budgetWorld) arrive(i int) {
 	d := w.all[i]
 	rate := w.Demand * w.Whole * d.part
-	if w.Kind == quota.UnderWay {
+	if w.Kind == quota.InFlight {
 		rate /= w.Takes
 	}
 	w.after(w.chance.ExpFloat64()/max(rate, 1e-3), func() { w.arrive(i); w.get(i) })
@@ -295,7 +295,7 @@
 		return
 	}
 	cost := 1.0
-	if w.Kind == quota.UnderWay {
+	if w.Kind == quota.InFlight {
 		cost = w.Takes
 	}
 	second := min(int(w.now), len(w.wants)-1)
@@ -336,7 +336,7 @@
 		n := int64(1)
 		return d.holder.Take(w.now*d.clock, budgetName, n)
 	case Ideal:
-		if w.Kind == quota.UnderWay {
+		if w.Kind == quota.InFlight {
 			return float64(w.inUse) < w.whole
 		}
 		w.idle = min(max(1, w.Burst), w.idle+w.whole*(w.now-w.idleAt))
@@ -351,7 +351,7 @@
 	if w.Way == Separate {
 		part *= 2
 	}
-	if w.Kind == quota.UnderWay {
+	if w.Kind == quota.InFlight {
 		return float64(d.inUse) < math.Floor(part)
 	}
 	d.own = min(max(1, w.Burst/float64(w.Dispatchers)), d.own+part*(w.now-d.ownAt))
@@ -403,7 +403,7 @@
 		w.whole *= t.Share
 		w.generation++
 		if w.divider != nil {
-			w.divider.Settings(w.generation, w.settings())
+			w.divider.SetBudgets(w.generation, w.settings())
 		}
 	case Surge, Moving:
 		sum, times := 0.0, map[int]bool{}
@@ -436,7 +436,7 @@
 			sight.Limits = append(sight.Limits, d.holder.Limit(w.now*d.clock, budgetName))
 		}
 	}
-	if w.Kind == quota.UnderWay && w.now > w.Warm {
+	if w.Kind == quota.InFlight && w.now > w.Warm {
 		w.result.Most = max(w.result.Most, float64(w.inUse)/max(1, sight.Whole))
 	}
 	if w.now > w.Warm {
--- a/emulator/emulate_test.go
+++ b/emulator/emulate_test.go
@@ -301,7 +301,7 @@
 			if sum > whole {
 				t.Fatalf("seed %d at %.2f s: %d may be used of %d\n%+v", seed, at.At, sum, whole, s)
 			}
-			if s.Kind == quota.UnderWay && int64(at.InUse) > whole {
+			if s.Kind == quota.InFlight && int64(at.InUse) > whole {
 				t.Fatalf("seed %d at %.2f s: %d are in use of %d\n%+v", seed, at.At, at.InUse, whole, s)
 			}
 		}
--- a/internal/authn/gate.go
+++ b/internal/authn/gate.go
@@ -41,7 +41,7 @@
 	Fleet  Fleet // nil where tenants have no budgets of the whole fleet
 
 	mu     sync.Mutex
-	module *admission.Module
+	module *admission.Controller
 	keys   map[string]*token.Key
 	level  bool // a fair level holds
 }
@@ -79,29 +79,29 @@
 
 // Identify takes a token for all GETs of a connection that bring none.
 func (g *Gate) Identify(c *admission.Conn, text string) (reason string) {
-	if _, refusal := g.byToken(c, text); refusal != admission.Passed {
+	if _, refusal := g.byToken(c, text); refusal != admission.Admitted {
 		return refusal.String()
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.module.Give(c, sha256.Sum256([]byte(text))) {
-		return admission.ChecksUsed.String()
+	if !g.module.BindToken(c, sha256.Sum256([]byte(text))) {
+		return admission.TooManyChecks.String()
 	}
 	return ""
 }
 
 // Standing tells whether a connection may stay.
-func (g *Gate) Standing(c *admission.Conn) admission.Standing {
+func (g *Gate) Standing(c *admission.Conn) admission.ConnState {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.module.Standing(g.Clock.Now(), g.wall(), c)
+	return g.module.ConnState(g.Clock.Now(), g.wall(), c)
 }
 
 // Admit says whether a GET is passed on, and with what End is to be called if so.
-func (g *Gate) Admit(in call.GET, service int) (t admission.Ticket, r admission.Refusal, wait float64) {
+func (g *Gate) Admit(in call.GET, service int) (t admission.Ticket, r admission.Rejection, wait float64) {
 	object, err := strconv.ParseUint(in.Object, 16, 64)
 	if err != nil || in.Conn == nil {
-		return t, admission.Nobody, 0
+		return t, admission.UnknownCaller, 0
 	}
 	var c admission.Caller
 	if in.Token != "" {
@@ -110,16 +110,16 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if in.Token == "" {
-		c, r = g.module.ByConn(g.wall(), in.Conn)
+		c, r = g.module.CallerByConn(g.wall(), in.Conn)
 	}
-	if r == admission.Passed {
+	if r == admission.Admitted {
 		t, r, wait = g.module.Admit(g.Clock.Now(), c, in.Conn.Remote, admission.GET{Service: service, Object: object, Group: in.Group})
 	}
-	if r == admission.Passed && g.Fleet != nil {
+	if r == admission.Admitted && g.Fleet != nil {
 		var ok bool
 		if t.Budgets, ok = g.Fleet.Spend(quota.UseTenant + c.Tenant()); !ok {
 			g.module.End(g.Clock.Now(), t, false, false)
-			t, r, wait = admission.Ticket{}, admission.FleetUsed, backFleet
+			t, r, wait = admission.Ticket{}, admission.FleetQuotaExceeded, backFleet
 		}
 	}
 	g.count(r)
@@ -127,13 +127,13 @@
 }
 
 // byToken names the caller of a token; its signature is checked unless that was done before.
-func (g *Gate) byToken(conn *admission.Conn, text string) (admission.Caller, admission.Refusal) {
+func (g *Gate) byToken(conn *admission.Conn, text string) (admission.Caller, admission.Rejection) {
 	if len(text) > token.Longest { // not even its sum is worth making
 		return admission.Caller{}, admission.BadToken
 	}
-	sum := admission.Sum(sha256.Sum256([]byte(text)))
+	sum := admission.TokenHash(sha256.Sum256([]byte(text)))
 	g.mu.Lock()
-	c, r, known := g.module.ByToken(g.wall(), sum)
+	c, r, known := g.module.CallerByToken(g.wall(), sum)
 	g.mu.Unlock()
 	if known {
 		return c, r
@@ -143,9 +143,9 @@
 		return admission.Caller{}, admission.BadToken
 	}
 	g.mu.Lock()
-	r, k := g.module.MayCheck(g.Clock.Now(), g.wall(), conn, t.KeyID, t.Algorithm), g.keys[t.KeyID]
+	r, k := g.module.AllowCheck(g.Clock.Now(), g.wall(), conn, t.KeyID, t.Algorithm), g.keys[t.KeyID]
 	g.mu.Unlock()
-	if r != admission.Passed {
+	if r != admission.Admitted {
 		return admission.Caller{}, r
 	}
 	g.Counts.SignatureChecks.Add(1)
@@ -155,7 +155,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.module.Verified(g.wall(), conn, sum, k.ID, k.Print, claims)
+	return g.module.AcceptVerified(g.wall(), conn, sum, k.ID, k.Fingerprint, claims)
 }
 
 // End settles a GET that was passed on.
@@ -170,18 +170,18 @@
 }
 
 // count books why a GET ended here.
-func (g *Gate) count(r admission.Refusal) {
+func (g *Gate) count(r admission.Rejection) {
 	switch r {
-	case admission.Passed:
+	case admission.Admitted:
 	case admission.Denied:
 		g.Counts.Denied.Add(1)
-	case admission.ShareUsed:
+	case admission.QuotaExceeded:
 		g.Counts.OverShare.Add(1)
-	case admission.Pressed:
+	case admission.OverFairRate:
 		g.Counts.OverLevel.Add(1)
-	case admission.FleetUsed:
+	case admission.FleetQuotaExceeded:
 		g.Counts.OverFleet.Add(1)
-	case admission.ChecksUsed:
+	case admission.TooManyChecks:
 		g.Counts.Unchecked.Add(1)
 	default:
 		g.Counts.NotNamed.Add(1)
@@ -191,7 +191,7 @@
 
 // tell logs when the fair level begins to hold, and when it is put off.
 func (g *Gate) tell() {
-	if level := g.module.Level(); level < 1e300 != g.level {
+	if level := g.module.FairLevel(); level < 1e300 != g.level {
 		g.level = !g.level
 		if g.level {
 			g.Log.Info().Float64("level", level).Msg("under pressure, tenants are held to a fair level")
--- a/internal/authn/gate_test.go
+++ b/internal/authn/gate_test.go
@@ -29,7 +29,7 @@
 
 func take(t testing.TB, g *Gate, keys ...*token.Key) {
 	s := admission.Defaults()
-	s.Limits.Checks, s.Limits.ChecksByConn, s.Limits.CheckBurst = 100, 20, 10
+	s.Limits.ChecksPerSecond, s.Limits.ChecksPerConn, s.Limits.CheckBurst = 100, 20, 10
 	s.Tenants = []admission.Tenant{{Name: "a", Rules: []admission.Rule{{}}}}
 	by := map[string]*token.Key{}
 	for _, k := range keys {
@@ -49,9 +49,9 @@
 	return need.Of(k.Sign(admission.Claims{Subject: subject, Tenant: "a", IssuedAt: noon, Expiry: noon + 60}))(t)
 }
 
-func ask(g *Gate, c *admission.Conn, text string) admission.Refusal {
+func ask(g *Gate, c *admission.Conn, text string) admission.Rejection {
 	t, r, _ := g.Admit(call.GET{Object: "7f3a9c21e0b4d655", Token: text, Conn: c}, 0)
-	if r == admission.Passed {
+	if r == admission.Admitted {
 		g.End(t, true, false)
 	}
 	return r
@@ -72,15 +72,15 @@
 		{"valid ones that all differ", func(i int) string { return sign(t, k, fmt.Sprint(i)) }, 11},
 	} {
 		g, flooding, other := newGate(t, &wall, k, rsa), &admission.Conn{}, &admission.Conn{}
-		require.Equal(t, admission.Passed, ask(g, other, good), tt.name)
+		require.Equal(t, admission.Admitted, ask(g, other, good), tt.name)
 		before, began := g.Counts.SignatureChecks.Load(), time.Now()
 		for i := range 300 {
 			ask(g, flooding, tt.text(i))
 		}
 		most := tt.checks + int64(20*time.Since(began).Seconds())
 		assert.LessOrEqual(t, g.Counts.SignatureChecks.Load()-before, most, tt.name)
-		assert.Equal(t, admission.Passed, ask(g, other, good), "%s: the other caller goes on", tt.name)
-		assert.Equal(t, admission.Passed, ask(g, other, sign(t, k, "new")), "%s: with another token too", tt.name)
+		assert.Equal(t, admission.Admitted, ask(g, other, good), "%s: the other caller goes on", tt.name)
+		assert.Equal(t, admission.Admitted, ask(g, other, sign(t, k, "new")), "%s: with another token too", tt.name)
 	}
 }
 
@@ -90,10 +90,10 @@
 	g, conn := newGate(t, &wall, k), &admission.Conn{}
 	in := call.GET{Object: "7f3a9c21e0b4d655", Token: sign(t, k, "till"), Conn: conn}
 	ticket, r, _ := g.Admit(in, 0)
-	require.Equal(t, admission.Passed, r)
+	require.Equal(t, admission.Admitted, r)
 	wall += 60 + 31
 	_, r, _ = g.Admit(in, 0)
-	assert.Equal(t, admission.Ended, r, "a new one is refused")
+	assert.Equal(t, admission.Expired, r, "a new one is refused")
 	take(t, g, key(t, "k9", "EdDSA")) // and its key goes too
 	g.End(ticket, true, false)
 	assert.Equal(t, "token", g.Identify(conn, in.Token))
@@ -103,11 +103,11 @@
 	wall, k := noon, key(t, "k1", "EdDSA")
 	g, conn := newGate(t, &wall, k), &admission.Conn{}
 	text := sign(t, k, "till")
-	require.Equal(t, admission.Passed, ask(g, conn, text))
+	require.Equal(t, admission.Admitted, ask(g, conn, text))
 	other := key(t, "k1", "EdDSA") // of the same id
 	take(t, g, other)
 	assert.Equal(t, admission.BadToken, ask(g, conn, text), "what the old key signed counts no more")
-	assert.Equal(t, admission.Passed, ask(g, conn, sign(t, other, "till")))
+	assert.Equal(t, admission.Admitted, ask(g, conn, sign(t, other, "till")))
 }
 
 func BenchmarkAdmit(b *testing.B) {
@@ -140,10 +140,10 @@
 	g.Fleet = left
 	get := call.GET{Object: "7f3a9c21e0b4d655", Token: sign(t, k, "till"), Conn: conn}
 	first, r, _ := g.Admit(get, 0)
-	require.Equal(t, admission.Passed, r)
+	require.Equal(t, admission.Admitted, r)
 	for range 3 {
 		_, r, wait := g.Admit(get, 0)
-		assert.Equal(t, admission.FleetUsed, r)
+		assert.Equal(t, admission.FleetQuotaExceeded, r)
 		assert.True(t, r.Shed())
 		assert.Equal(t, "fleet", r.String())
 		assert.Positive(t, wait)
@@ -151,6 +151,6 @@
 	assert.EqualValues(t, 3, g.Counts.OverFleet.Load())
 	g.End(first, true, false)
 	assert.Equal(t, shares{left: 1}, *left)
-	assert.Equal(t, admission.Passed, ask(g, conn, get.Token))
+	assert.Equal(t, admission.Admitted, ask(g, conn, get.Token))
 	assert.Equal(t, shares{left: 1}, *left)
 }
--- a/internal/cluster/ask.go
+++ b/internal/cluster/ask.go
@@ -95,7 +95,7 @@
 	Seats    []lease.Seat          `cbor:"13,keyasint,omitempty" json:"Seats,omitempty"`
 	Leases   []lease.Lease         `cbor:"14,keyasint,omitempty" json:"Leases,omitempty"`
 	Changed  bool                  `cbor:"15,keyasint,omitempty" json:"Changed,omitempty"`
-	Ledger   *quota.Saved          `cbor:"17,keyasint,omitempty" json:"Ledger,omitempty"`
+	Ledger   *quota.SavedLedger    `cbor:"17,keyasint,omitempty" json:"Ledger,omitempty"`
 	Budgets  []ToldBudget          `cbor:"18,keyasint,omitempty" json:"Budgets,omitempty"`
 	Memory   *ToldMemory           `cbor:"19,keyasint,omitempty" json:"Memory,omitempty"`
 	Records  []replication.Record  `cbor:"20,keyasint,omitempty" json:"Records,omitempty"`
--- a/internal/cluster/budgets_test.go
+++ b/internal/cluster/budgets_test.go
@@ -158,7 +158,7 @@
 	b.change(wholes)
 	b.Until(soon, "the smaller whole holds", func() error {
 		told := b.books(b.divider())
-		return processes.When(told.Whole != int64(whole) || told.Out > int64(whole) || told.Gone, fmt.Errorf("%+v", told))
+		return processes.When(told.Total != int64(whole) || told.Out > int64(whole) || told.Gone, fmt.Errorf("%+v", told))
 	})
 	time.Sleep(time.Second)
 	b.origin.mu.Lock()
@@ -326,13 +326,13 @@
 // BenchmarkSpend is what a GET pays where budgets are on: one tenant's, and the bound at the origin around each act of the module.
 func BenchmarkSpend(b *testing.B) {
 	f := &Fleet{Settings: Settings{Name: "x", Budgets: &Budgets{
-		All:  []quota.Budget{{Name: "t", Kind: quota.UnderWay, Whole: 9}, {Name: "o", Kind: quota.UnderWay, Whole: 9}},
+		All:  []quota.Budget{{Name: "t", Kind: quota.InFlight, Total: 9}, {Name: "o", Kind: quota.InFlight, Total: 9}},
 		Uses: map[string][]string{"tenant:a": {"t"}, quota.UseOrigin: {"o"}},
 	}}}
 	f.beginSpending()
 	s := &f.spending
 	q, _ := s.holder.Tick(f.dutyNow())
-	s.holder.Answer(f.dutyNow(), quota.Answer{ID: q.ID, Token: 1, Gives: []quota.Give{{Budget: "t", Kind: quota.UnderWay, Size: 9}, {Budget: "o", Kind: quota.UnderWay, Size: 9}}})
+	s.holder.HandleResponse(f.dutyNow(), quota.Response{ID: q.ID, Token: 1, Grants: []quota.Grant{{Budget: "t", Kind: quota.InFlight, Size: 9}, {Budget: "o", Kind: quota.InFlight, Size: 9}}})
 	b.Run("tenant", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
@@ -406,7 +406,7 @@
 	b.Processes[d].Start()
 	b.Until(2*soon, "all is given out", func() error {
 		told := b.books((d + 1) % 5)
-		return processes.When(told.Whole-told.Spent-told.Out > units*5 || told.Out > units*10, fmt.Errorf("%d spent, %d out", told.Spent, told.Out))
+		return processes.When(told.Total-told.Spent-told.Out > units*5 || told.Out > units*10, fmt.Errorf("%d spent, %d out", told.Spent, told.Out))
 	})
 	close(stop)
 	all.Wait()
--- a/internal/cluster/divide.go
+++ b/internal/cluster/divide.go
@@ -47,7 +47,7 @@
 // dividing is the part of whoever divides.
 type dividing struct {
 	mu      sync.Mutex
-	divider *quota.Divider
+	divider *quota.Allocator
 	token   uint64
 	seq     uint64
 	full    map[string]bool // budgets whose whole was found to be exceeded: told once
@@ -55,13 +55,13 @@
 
 // spendMessage is a question on the wire.
 type spendMessage struct {
-	Question quota.Question `cbor:"1,keyasint"`
+	Question quota.Request `cbor:"1,keyasint"`
 }
 
 // giveMessage is its answer.
 type giveMessage struct {
-	Boot   uint64       `cbor:"1,keyasint"`
-	Answer quota.Answer `cbor:"2,keyasint"`
+	Boot   uint64         `cbor:"1,keyasint"`
+	Answer quota.Response `cbor:"2,keyasint"`
 }
 
 func (f *Fleet) beginSpending() {
@@ -83,12 +83,12 @@
 			s.hosts = append(slices.Clone(s.hosts), host)
 		}
 	}
-	s.holder.Only(func(name string) bool {
+	s.holder.RetainBudgets(func(name string) bool {
 		return slices.ContainsFunc(b.All, func(o quota.Budget) bool { return o.Name == name })
 	}, f.dutyNow())
 	for _, o := range b.All {
 		s.kinds[o.Name] = o.Kind
-		s.holder.Use(o.Name, o.Kind, f.dutyNow())
+		s.holder.AddBudget(o.Name, o.Kind, f.dutyNow())
 	}
 	s.mu.Unlock()
 	d := &f.dividing
@@ -96,7 +96,7 @@
 	defer d.mu.Unlock()
 	f.Budgets = b
 	if d.divider != nil {
-		d.divider.Settings(b.Generation, b.All)
+		d.divider.SetBudgets(b.Generation, b.All)
 	}
 }
 
@@ -135,7 +135,7 @@
 	switch {
 	case s.holder == nil || s.kinds[name] == 0:
 		return fmt.Errorf("no budget %q", name)
-	case s.kinds[name] == quota.UnderWay:
+	case s.kinds[name] == quota.InFlight:
 		return fmt.Errorf("budget %q counts what is under way: nothing says when that ends", name)
 	case !s.holder.Take(f.dutyNow(), name, n):
 		return errSpent
@@ -183,7 +183,7 @@
 		r.names, r.reserved = names, 0
 	}
 	for _, name := range names {
-		s.holder.Refused(name, int64(refused-r.refused))
+		s.holder.RecordRejected(name, int64(refused-r.refused))
 		s.holder.Reserve(now, name, int64(r.reserved), int64(held), int64(held), int64(max(0, held-r.held)))
 		if acts {
 			most = min(most, held+int(max(0, s.holder.Limit(now, name)-s.holder.InUse(name))))
@@ -281,7 +281,7 @@
 // takeQuestion takes a dispatcher's question, where this one divides.
 func (f *Fleet) takeQuestion(text []byte) {
 	var in spendMessage
-	if err := decoding.Unmarshal(text, &in); err != nil || len(in.Question.Asks) > quota.MostBudgets || len(in.Question.Name) > quota.LongestName {
+	if err := decoding.Unmarshal(text, &in); err != nil || len(in.Question.Demands) > quota.MaxBudgets || len(in.Question.Name) > quota.MaxNameLength {
 		f.Counts.Unusable.Add(1)
 		return
 	}
@@ -289,7 +289,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.divider != nil {
-		d.divider.Ask(f.dutyNow(), in.Question)
+		d.divider.HandleRequest(f.dutyNow(), in.Question)
 	}
 }
 
@@ -303,11 +303,11 @@
 	s := &f.spending
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.holder == nil || in.Boot != f.boot || !s.holder.Answer(f.dutyNow(), in.Answer) {
+	if s.holder == nil || in.Boot != f.boot || !s.holder.HandleResponse(f.dutyNow(), in.Answer) {
 		return
 	}
 	s.silent = 0
-	if got := len(in.Answer.Gives) > 0; got != s.held {
+	if got := len(in.Answer.Grants) > 0; got != s.held {
 		s.held = got
 		f.Log.Info().Bool("enrolled", got).Uint64("token", in.Answer.Token).Msg("budgets: shares")
 	}
@@ -322,7 +322,7 @@
 	for end := time.Now().Add(turnTime / 4); time.Now().Before(end); time.Sleep(spendEach) {
 		f.spendTick(f.ctx)
 		s.mu.Lock()
-		settled := s.holder.Settled()
+		settled := s.holder.LeaveAcknowledged()
 		s.mu.Unlock()
 		if settled {
 			return
@@ -377,8 +377,8 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.divider = quota.NewDivider(quota.Restore(*t.Ledger), token, f.dutyNow(), f.Budgets.Tail, f.Budgets.Generation, f.Budgets.All)
-	f.Log.Info().Uint64("token", token).Int("seats", len(t.Ledger.Seats)).Uint64("generation", t.Ledger.Generation).Msg("budgets: divides")
+	d.divider = quota.NewAllocator(quota.Restore(*t.Ledger), token, f.dutyNow(), f.Budgets.Tail, f.Budgets.Generation, f.Budgets.All)
+	f.Log.Info().Uint64("token", token).Int("seats", len(t.Ledger.Participants)).Uint64("generation", t.Ledger.Generation).Msg("budgets: divides")
 	return nil
 }
 
@@ -407,12 +407,12 @@
 }
 
 // give sends answers, as long as this one has the duty right now.
-func (f *Fleet) give(all []quota.Answered, token uint64) {
+func (f *Fleet) give(all []quota.AddressedResponse, token uint64) {
 	for _, a := range all {
 		if now, ok := f.Guard(quota.Duty); !ok || now != token {
 			return
 		}
-		if raw, err := encoding.Marshal(giveMessage{a.Boot, a.Answer}); err == nil {
+		if raw, err := encoding.Marshal(giveMessage{a.BootID, a.Response}); err == nil {
 			f.sendSealed(a.Address, sealedGive, raw, false, nil)
 		}
 	}
@@ -425,9 +425,9 @@
 		d.full = map[string]bool{}
 	}
 	for name, a := range d.divider.Ledger().Accounts {
-		if over := a.Sum() > a.Whole; over != d.full[name] {
+		if over := a.Sum() > a.Total; over != d.full[name] {
 			d.full[name] = over
-			f.Log.Info().Str("budget", name).Int64("whole", a.Whole).Int64("out", a.Sum()).Bool("holds", !over).Msg("budgets: a smaller whole")
+			f.Log.Info().Str("budget", name).Int64("whole", a.Total).Int64("out", a.Sum()).Bool("holds", !over).Msg("budgets: a smaller whole")
 		}
 	}
 }
@@ -462,11 +462,11 @@
 		t.Leads = f.Address
 		now, l := f.dutyNow(), d.divider.Ledger()
 		for _, o := range l.Save().Accounts {
-			b := ToldBudget{Budget: o.Budget, Generation: l.Generation, Spent: o.Spent, Gone: o.Gone}
-			for p := range slices.Chunk(o.Parts, 4) {
+			b := ToldBudget{Budget: o.Budget, Generation: l.Generation, Spent: o.Spent, Gone: o.Removed}
+			for p := range slices.Chunk(o.Allocations, 4) {
 				id := uint32(p[0])
-				heard, asked, ok := d.divider.Heard(id, o.Name)
-				part := ToldPart{Name: l.Seats[id].Name, Zone: l.Seats[id].Zone, Out: p[1], Floor: p[2], Keep: asked.Keep, Need: asked.Need, Age: now - heard}
+				heard, asked, ok := d.divider.LastRequest(id, o.Name)
+				part := ToldPart{Name: l.Participants[id].Name, Zone: l.Participants[id].Zone, Out: p[1], Floor: p[2], Keep: asked.CurrentLimit, Need: asked.Need, Age: now - heard}
 				if !ok {
 					part.Age = -1
 				}
--- a/internal/cluster/golden_words_test.go
+++ b/internal/cluster/golden_words_test.go
@@ -24,7 +24,7 @@
 	tr.Values("commands of duties", lease.Declare, lease.Drop, lease.Stand, lease.Withdraw, lease.GiveBack, lease.HandOver, lease.Expire,
 		lease.Prove, lease.Gone, lease.Skip, lease.Sit, lease.Mark, lease.Told)
 	tr.Values("changes of seats", lease.NoChange, lease.AddLearner, lease.Promote, lease.Remove)
-	tr.Values("kinds of budgets", quota.UnderWay, quota.Rate, quota.Amount, quota.Thousand)
+	tr.Values("kinds of budgets", quota.InFlight, quota.Rate, quota.Amount, quota.RateUnits)
 	tr.Values("uses of budgets", quota.Duty, quota.UseOrigin, quota.UseRetries, quota.UseTenant, quota.UseHost)
 	tr.Values("levels of writes", replication.Here, replication.Copies, replication.Majority)
 	tr.Values("orders of channels", channel.Latest, channel.ByKey, channel.BySender, channel.Causal, channel.Total)
--- a/internal/cluster/raftvoter/golden_test.go
+++ b/internal/cluster/raftvoter/golden_test.go
@@ -62,11 +62,11 @@
 	}
 	ledger := quota.NewLedger()
 	assert.True(t, ledger.Apply(&quota.Command{
-		Token: 1, Seq: 1, Generation: 2, Enrol: []quota.Seat{{Name: "n1", Boot: 11, Zone: "east", Address: "127.0.0.1:1"}},
-		Declare: []quota.Budget{{Name: "fills", Kind: quota.UnderWay, Whole: 40, Floor: 1, Ceiling: 9}, {Name: "a", Kind: quota.Rate, Whole: 2500}},
+		Token: 1, Seq: 1, Generation: 2, Join: []quota.Participant{{Name: "n1", BootID: 11, Zone: "east", Address: "127.0.0.1:1"}},
+		Budgets: []quota.Budget{{Name: "fills", Kind: quota.InFlight, Total: 40, Floor: 1, Ceiling: 9}, {Name: "a", Kind: quota.Rate, Total: 2500}},
 	}))
 	assert.True(t, ledger.Apply(&quota.Command{
-		Token: 1, Seq: 2, Generation: 2, Sets: []quota.Set{{Budget: "fills", ID: 1, Part: quota.Part{Out: 8, Floor: 1}}},
+		Token: 1, Seq: 2, Generation: 2, Updates: []quota.AllocationUpdate{{Budget: "fills", ID: 1, Allocation: quota.Allocation{Reserved: 8, Floor: 1}}},
 	}))
 	streams := channel.NewLedger()
 	for _, d := range []channel.Declaration{
--- a/internal/cluster/voter.go
+++ b/internal/cluster/voter.go
@@ -477,7 +477,7 @@
 	status := v.machine.Status()
 	if change != nil {
 		change(state)
-		ledger.Hold = true // what the lost voters alone knew may be out
+		ledger.GrantsSuspended = true // what the lost voters alone knew may be out
 		if err := v.disk.aside(); err != nil {
 			return err
 		}
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -58,7 +58,7 @@
 // Admission is the stage before the module that asks who is calling.
 type Admission interface {
 	// Admit says whether a request is passed on, and for how many seconds its client is to stay away if not.
-	Admit(in call.GET, service int) (t admission.Ticket, r admission.Refusal, wait float64)
+	Admit(in call.GET, service int) (t admission.Ticket, r admission.Rejection, wait float64)
 	// End settles a request that was passed on: whether a host may have worked on it, and whether it was
 	// shed.
 	End(t admission.Ticket, ran, shed bool)
--- a/internal/dispatcher/intake.go
+++ b/internal/dispatcher/intake.go
@@ -43,7 +43,7 @@
 	}
 	ticket, refusal, wait := d.Admission.Admit(in, service)
 	switch {
-	case refusal == admission.Passed:
+	case refusal == admission.Admitted:
 		return ticket, true
 	case refusal.Shed():
 		d.Options.Counts.GateShed.Add(1)
--- a/internal/downstream/close_test.go
+++ b/internal/downstream/close_test.go
@@ -63,7 +63,7 @@
 		closes func(t *testing.T, s *downstream.Server, by *standing, address string, end func())
 	}{
 		"its caller may not stay": {whole(7), func(_ *testing.T, s *downstream.Server, by *standing, _ string, _ func()) {
-			by.now.Store(admission.Leaving)
+			by.now.Store(admission.Draining)
 			s.Review()
 		}},
 		"it gives way": {whole(7), func(t *testing.T, s *downstream.Server, _ *standing, address string, _ func()) {
@@ -132,7 +132,7 @@
 	c := &standin.Client{Conn: tls.Client(wire, client)}
 	need.Of(c.Probe())(t)
 	need.Soon(t, s.Quiet)
-	by.now.Store(admission.Leaving)
+	by.now.Store(admission.Draining)
 	s.Review()
 	_, err := c.Read()
 	assert.ErrorIs(t, err, io.EOF)
@@ -197,9 +197,9 @@
 			c := need.Client(t, l.Addr().String())
 			need.Of(c.Probe())(t)
 			need.Soon(t, s.Quiet)
-			by.now.Store(admission.Leaving)
+			by.now.Store(admission.Draining)
 			s.Review()
-			by.now.Store(admission.Stays)
+			by.now.Store(admission.KeepOpen)
 			began, chunk := time.Now(), make([]byte, map[bool]int{true: 64 << 10, false: 1}[each == 0])
 			for err := error(nil); err == nil; time.Sleep(each) {
 				_, err = c.Conn.Write(chunk)
@@ -217,7 +217,7 @@
 	c := need.Client(t, l.Addr().String())
 	need.Of(c.Probe())(t)
 	need.Soon(t, s.Quiet)
-	by.now.Store(admission.Leaving)
+	by.now.Store(admission.Draining)
 	s.Review()
 	_, err := c.Read()
 	require.ErrorIs(t, err, io.EOF)
--- a/internal/downstream/crossing_test.go
+++ b/internal/downstream/crossing_test.go
@@ -28,8 +28,8 @@
 
 func (s *standing) Connected(netip.Addr, net.Conn) *admission.Conn { return &admission.Conn{} }
 func (s *standing) Identify(*admission.Conn, string) string        { return "" }
-func (s *standing) Standing(*admission.Conn) admission.Standing {
-	now, _ := s.now.Load().(admission.Standing)
+func (s *standing) Standing(*admission.Conn) admission.ConnState {
+	now, _ := s.now.Load().(admission.ConnState)
 	return now
 }
 
@@ -81,7 +81,7 @@
 func TestACallThatIsReadAfterTheCloseIsRefused(t *testing.T) {
 	for name, closes := range map[string]func(t *testing.T, s *downstream.Server, by *standing, address string){
 		"its caller may not stay": func(_ *testing.T, s *downstream.Server, by *standing, _ string) {
-			by.now.Store(admission.Leaving)
+			by.now.Store(admission.Draining)
 			s.Review()
 		},
 		"it gives way": func(t *testing.T, s *downstream.Server, _ *standing, address string) {
@@ -135,7 +135,7 @@
 	c := need.Client(t, l.Addr().String())
 	need.Sent(t, c)
 	<-h.begun
-	by.now.Store(admission.Left)
+	by.now.Store(admission.CloseNow)
 	s.Review()
 	close(h.taking)
 	assert.Equal(t, standin.Reply{Seq: 1, Method: "process", Kind: "failed", Fields: map[string]string{"reason": admission.BadCertificate.String()}}, need.Of(c.Read())(t))
--- a/internal/downstream/front.go
+++ b/internal/downstream/front.go
@@ -45,7 +45,7 @@
 	// Identify takes a token for all GETs of a connection that bring none; a reason tells that it names nobody.
 	Identify(c *admission.Conn, token string) (reason string)
 	// Standing tells whether a connection may stay.
-	Standing(c *admission.Conn) admission.Standing
+	Standing(c *admission.Conn) admission.ConnState
 }
 
 // Devices tells in which field the class of a client's device stands.
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -212,9 +212,9 @@
 			continue
 		}
 		switch s.Callers.Standing(caller) {
-		case admission.Leaving:
+		case admission.Draining:
 			c.shutQuiet()
-		case admission.Left:
+		case admission.CloseNow:
 			c.failAll(admission.BadCertificate.String())
 			c.shutQuiet()
 		}
--- a/internal/operator/callers.go
+++ b/internal/operator/callers.go
@@ -29,22 +29,22 @@
 	d.config.Callers = &s
 	o.Duration("skew", &s.Skew, 0, day)
 	o.Duration("window", &s.Window, 0.5, day)
-	o.Text("anonymous", &s.Anonymous)
+	o.Text("anonymous", &s.AnonymousTenant)
 	if t := o.Inner("tokens"); t != nil {
 		d.tokens(t, &s)
 	} else {
-		s.NoKeys = true
+		s.AllowNoKeys = true
 	}
 	for i, v := range o.List("certificates") {
 		c := o.Element("certificates", i, v)
-		var n admission.Name
+		var n admission.NameMapping
 		c.Text("name", &n.Name)
 		c.Text("tenant", &n.Tenant)
 		if kind, rest, _ := strings.Cut(n.Name, ":"); !slices.Contains([]string{"uri", "dns", "cn"}, kind) || rest == "" {
 			c.Fault("name", `%q must begin with "uri:", "dns:" or "cn:"`, n.Name)
 		}
 		c.Done()
-		s.Names = append(s.Names, n)
+		s.NameMappings = append(s.NameMappings, n)
 	}
 	s.Roles = map[string][]admission.Rule{}
 	if roles := o.Inner("roles"); roles != nil {
@@ -63,22 +63,22 @@
 
 func (d *decoder) tokens(o *configfile.Object, s *admission.Settings) {
 	o.Text("audience", &s.Audience)
-	o.Duration("longest", &s.MostLife, 0, 3650*day)
+	o.Duration("longest", &s.MaxTokenLifetime, 0, 3650*day)
 	if _, told := o.Get("require"); told {
-		s.Require = o.Texts("require")
+		s.RequiredClaims = o.Texts("require")
 	}
-	for _, claim := range s.Require {
-		if !admission.Requirable(claim) {
+	for _, claim := range s.RequiredClaims {
+		if !admission.CanRequire(claim) {
 			o.Fault("require", "%q is no claim that can be required", claim)
 		}
 	}
-	o.Flag("no_keys", &s.NoKeys)
+	o.Flag("no_keys", &s.AllowNoKeys)
 	d.config.Keys = map[string]*token.Key{}
 	if raw, path, ok := d.file(o, "keys"); ok {
 		keys, err := token.ReadSet(raw, false)
 		if err != nil {
 			d.Each(o.At("keys"), err)
-			s.NoKeys = true // told of already: that none are left is no second fault
+			s.AllowNoKeys = true // told of already: that none are left is no second fault
 		}
 		for _, k := range keys {
 			s.Keys = append(s.Keys, k.Key)
@@ -88,10 +88,10 @@
 			d.secret(o, "keys", path)
 		}
 	} else {
-		if _, told := o.Get("keys"); !told && !s.NoKeys {
+		if _, told := o.Get("keys"); !told && !s.AllowNoKeys {
 			o.Fault("keys", "is needed, the name of a JWK Set file")
 		}
-		s.NoKeys = true // meant, or told of already
+		s.AllowNoKeys = true // meant, or told of already
 	}
 	if raw, path, ok := d.file(o, "revoked"); ok {
 		if err := revocations(raw, &s.Revoked); err != nil {
@@ -126,21 +126,21 @@
 	}
 	t.Roles = o.Texts("roles")
 	t.Rules = d.rules(o, "rules")
-	t.Share, t.Caller = d.share(o.Inner("share")), d.share(o.Inner("caller"))
-	if t.Caller.Weight != 0 {
+	t.Quota, t.CallerQuota = d.share(o.Inner("share")), d.share(o.Inner("caller"))
+	if t.CallerQuota.Weight != 0 {
 		o.Fault("caller", "weight is for tenants alone")
 	}
 	o.Done()
 	return t
 }
 
-func (d *decoder) share(o *configfile.Object) (s admission.Share) {
+func (d *decoder) share(o *configfile.Object) (s admission.Quota) {
 	if o == nil {
 		return s
 	}
 	o.Rate("rate", &s.Rate, 1.0/3600, mostRate)
 	o.Number("burst", &s.Burst, 1, mostCount)
-	o.Count("under_way", &s.Most, 1, mostCount)
+	o.Count("under_way", &s.MaxInFlight, 1, mostCount)
 	o.Number("weight", &s.Weight, 1/mostWeight, mostWeight)
 	if s.Burst > 0 && s.Rate == 0 {
 		o.Fault("burst", "means nothing without a rate")
@@ -177,7 +177,7 @@
 			d.services = append(d.services, name)
 			place = len(d.services) - 1
 		}
-		if place < 0 || place >= admission.MostServices {
+		if place < 0 || place >= admission.MaxServices {
 			o.Fault("services", "%q is no delivery service that rules can name", name)
 			continue
 		}
@@ -224,10 +224,10 @@
 	if o == nil {
 		return
 	}
-	o.Count("verdicts", &l.Verdicts, 1, mostTable)
+	o.Count("verdicts", &l.Tokens, 1, mostTable)
 	o.Count("callers", &l.Callers, 1, mostTable)
-	o.Rate("checks", &l.Checks, 1, mostRate)
-	o.Rate("checks_by_connection", &l.ChecksByConn, 1.0/60, mostRate)
+	o.Rate("checks", &l.ChecksPerSecond, 1, mostRate)
+	o.Rate("checks_by_connection", &l.ChecksPerConn, 1.0/60, mostRate)
 	o.Number("check_burst", &l.CheckBurst, 1, mostCount)
 	o.Done()
 }
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -176,11 +176,11 @@
 			o.Fault("wholes", "%s: more than two bound one use", strings.Join(names, ", "))
 		}
 	}
-	if n := len(all.Hosts()); n > quota.MostHosts {
-		o.Fault("wholes", "%d bound the origin or a host, at most %d", n, quota.MostHosts)
+	if n := len(all.Hosts()); n > quota.MaxHosts {
+		o.Fault("wholes", "%d bound the origin or a host, at most %d", n, quota.MaxHosts)
 	}
-	if len(all.All) > quota.MostBudgets {
-		o.Fault("wholes", "%d, at most %d", len(all.All), quota.MostBudgets)
+	if len(all.All) > quota.MaxBudgets {
+		o.Fault("wholes", "%d, at most %d", len(all.All), quota.MaxBudgets)
 	}
 }
 
@@ -214,15 +214,15 @@
 	o.Number("rate", &rate, 0, mostRate)
 	o.Count("amount", &amount, 0, 1<<50)
 	if most >= 0 {
-		b.Kind, b.Whole = quota.UnderWay, int64(most)
+		b.Kind, b.Total = quota.InFlight, int64(most)
 		kinds++
 	}
 	if rate >= 0 {
-		b.Kind, b.Whole = quota.Rate, int64(rate*float64(quota.Thousand))
+		b.Kind, b.Total = quota.Rate, int64(rate*float64(quota.RateUnits))
 		kinds++
 	}
 	if amount >= 0 {
-		b.Kind, b.Whole = quota.Amount, int64(amount)
+		b.Kind, b.Total = quota.Amount, int64(amount)
 		kinds++
 	}
 	return kinds
@@ -237,7 +237,7 @@
 	o.Duration("window", &b.Window, 1, 31*24*3600)
 	unit := int64(1)
 	if b.Kind == quota.Rate {
-		unit = quota.Thousand
+		unit = quota.RateUnits
 	}
 	b.Burst, b.Floor, b.Ceiling = int64(burst), int64(floor)*unit, int64(ceiling)*unit
 }
@@ -247,7 +247,7 @@
 	tenant := strings.HasPrefix(of, quota.UseTenant) && len(of) > len(quota.UseTenant)
 	host := strings.HasPrefix(of, quota.UseHost) && len(of) > len(quota.UseHost) || of == quota.UseOrigin
 	switch {
-	case kind == quota.Amount, host && kind != quota.UnderWay, of == quota.UseRetries && kind != quota.Rate:
+	case kind == quota.Amount, host && kind != quota.InFlight, of == quota.UseRetries && kind != quota.Rate:
 		o.Fault("of", "%q can't be bounded by that: a tenant by most or rate, the origin and a host by most, retries by rate", of)
 		return false
 	case !host && of != quota.UseRetries && !tenant:
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -53,10 +53,10 @@
 	require.NoError(t, err, "as it stands it names no file that is not there")
 	c := need.Of(decode(filepath.Join(folder(t), "operator.jsonnet"), example(t), services))(t)
 	s := c.Callers
-	assert.Equal(t, []any{30.0, 2.0, 43200.0, "elderwall", 1, []string{"j9"}}, []any{s.Skew, s.Window, s.MostLife, s.Audience, len(s.Keys), s.Revoked.Tokens})
+	assert.Equal(t, []any{30.0, 2.0, 43200.0, "elderwall", 1, []string{"j9"}}, []any{s.Skew, s.Window, s.MaxTokenLifetime, s.Audience, len(s.Keys), s.Revoked.Tokens})
 	assert.Equal(t, admission.Tenant{
 		Name: "reseller-south", Roles: []string{"clips", "pages"}, Rules: []admission.Rule{{Deny: true, Groups: []int{17}}},
-		Share: admission.Share{Rate: 200, Burst: 400, Most: 256, Weight: 2}, Caller: admission.Share{Rate: 20, Burst: 40},
+		Quota: admission.Quota{Rate: 200, Burst: 400, MaxInFlight: 256, Weight: 2}, CallerQuota: admission.Quota{Rate: 20, Burst: 40},
 	}, s.Tenants[2])
 	assert.Equal(t, admission.Rule{Deny: true, Services: []int{1}, Objects: []admission.Prefix{{Bits: 0xff << 48, Digits: 4}}}, s.Roles["pages"][1])
 	assert.Equal(t, []any{"127.0.0.1:4143", true, false, 1, 1}, []any{c.TLS.Listen, c.TLS.Required, c.TLS.Only13, len(s.Authorities), len(s.Revoked.Certificates)})
@@ -225,8 +225,8 @@
 	assert.Equal(t, uint64(3), b.Generation)
 	assert.Equal(t, 4.0, b.Tail)
 	assert.Equal(t, map[string][]string{"origin": {"fills"}, "tenant:a": {"aa", "a"}, "retries": {"again"}}, b.Uses, "what can be given back comes first")
-	assert.Contains(t, b.All, quota.Budget{Name: "a", Kind: quota.Rate, Whole: 2500, Burst: 10})
-	assert.Contains(t, b.All, quota.Budget{Name: "fills", Kind: quota.UnderWay, Whole: 40, Floor: 1, Ceiling: 9})
+	assert.Contains(t, b.All, quota.Budget{Name: "a", Kind: quota.Rate, Total: 2500, Burst: 10})
+	assert.Contains(t, b.All, quota.Budget{Name: "fills", Kind: quota.InFlight, Total: 40, Floor: 1, Ceiling: 9})
 	faults(t, with, map[string]string{
 		``:                                                 "wholes: is needed",
 		`wholes: {x: {}}`:                                  "needs one of most, rate and amount",
--- a/internal/token/keys.go
+++ b/internal/token/keys.go
@@ -146,7 +146,7 @@
 		return err
 	}
 	sum, err := thumbprint(jwk)
-	k.Print = hex.EncodeToString(sum)
+	k.Fingerprint = hex.EncodeToString(sum)
 	return err
 }
 
--- a/internal/token/token_test.go
+++ b/internal/token/token_test.go
@@ -25,7 +25,7 @@
 func public(t testing.TB, k *Key) *Key {
 	raw := need.Of(WriteSet([]*Key{k.Public()}))(t)
 	keys := need.Of(ReadSet(raw, false))(t)
-	require.Equal(t, k.Print, keys[0].Print)
+	require.Equal(t, k.Fingerprint, keys[0].Fingerprint)
 	return keys[0]
 }
 
@@ -168,7 +168,7 @@
 		again := need.Of(WriteSet(keys))(t)
 		twice := need.Of(ReadSet(again, true))(t)
 		for i, k := range keys {
-			assert.Equal(t, k.Print, twice[i].Print)
+			assert.Equal(t, k.Fingerprint, twice[i].Fingerprint)
 		}
 	})
 }
