--- a/core/routing/api.go
+++ b/core/routing/api.go
@@ -1,44 +1,45 @@
 package routing
 
-// Outcome is how an attempt ended.
+// Outcome tells how an attempt ended.
 type Outcome int
 
-// The outcomes of an attempt. Those from Rejected on prove that it was never executed.
+// These are the outcomes of an attempt. Rejected and all later values prove that the attempt was never
+// executed.
 const (
 	Succeeded      Outcome = iota
 	HostFailed             // the host answered with an error
-	TimedOut               // the host gave no answer in time
-	ConnectionLost         // the connection broke with the request complete
+	TimedOut               // the host did not answer in time
+	ConnectionLost         // the connection broke after the request had been sent completely
 	Canceled               // by the router
-	Rejected               // by the host, or for want of our own resources
-	Unreachable            // no connection, or one that broke before the request was complete
-	ArrivedLate            // the host dropped it unheard, as too little time was left
-	NotCached              // the host or the source has no copy, and did not fill
-	Withdrawn              // before anything of it was sent, as an update forbade it: it tells nothing of a host
+	Rejected               // by the host, or because this process lacks resources
+	Unreachable            // no connection could be made, or it broke before the request had been sent completely
+	ArrivedLate            // the host dropped the request without executing it because too little time was left
+	NotCached              // the host or the source has no copy and did not fill
+	Withdrawn              // an endpoint update ruled it out before any byte was sent; it says nothing about a host
 )
 
-// Note says what a result tells of a hit or a fill.
+// Note tells what a result reveals about a cache hit or a fill.
 type Note int
 
-// The notes. Those from SourceRejected on tell of a fill that failed.
+// These are the notes. SourceRejected and all later values describe a fill that failed.
 const (
 	NoNote Note = iota
 	CacheHit
 	Filled         // from a parent
-	FilledByOrigin // from the origin, itself or behind a parent
-	FillCoalesced  // with another request's fill
+	FilledByOrigin // from the origin, either directly or through a parent
+	FillCoalesced  // the answer was shared with another request's fill
 	StaleHit
 	SourceRejected
 	SourceFailed
 	SourceNotCached
-	FillsExhausted // the cache has no capacity for a fill
+	FillsExhausted // the cache has no capacity for another fill
 	OriginFailed
 )
 
-// Phase is what the endpoint list says of a host.
+// Phase is the state of a host according to the endpoint list.
 type Phase int
 
-// The phases of a host.
+// These are the phases of a host.
 const (
 	Removed Phase = iota
 	Ready
@@ -51,19 +52,19 @@
 	Zone, Kind, Cell int
 	Phase            Phase
 	Weight           float64
-	OnlineSince      float64 // s; on the router's clock
+	OnlineSince      float64 // seconds on the router's clock; when the host last started
 	OnlineSinceKnown bool
 }
 
-// ListKind tells what an endpoint list is.
+// ListKind tells what an endpoint list contains.
 type ListKind int
 
-// The kinds of lists.
+// These are the kinds of endpoint lists.
 const (
-	ListChanges  ListKind = iota // entries that have changed
+	ListChanges  ListKind = iota // only the entries that have changed
 	ListComplete                 // all entries
-	ListCached                   // all entries, as of an earlier moment
-	ListFailed                   // a poll that failed
+	ListCached                   // all entries as they were at an earlier time
+	ListFailed                   // no entries, because polling the list failed
 )
 
 // Request is one request as a client sends it.
@@ -72,57 +73,59 @@
 	Service     int // index into Settings.Services
 	Object      string
 	Group, Part int
-	Deadline    float64 // s; when the client leaves, on the router's clock
-	SizeKB      float64 // 0 where it is not known
+	Deadline    float64 // seconds on the router's clock; when the client stops waiting
+	SizeKB      float64 // 0 if it is unknown
 }
 
-// Attempt is what a host is asked to do with a request.
+// Attempt tells a host what to do with a request.
 type Attempt struct {
 	RequestID     uint32
-	Host, Source  uint32  // the source of a fill; the host itself where it is not to fill
-	CachePriority int     // 0: the copy is not cached
-	MaxAge        float64 // s; 0: what the delivery service allows
-	Coalesce      bool    // a fill may be shared with other requests
+	Host, Source  uint32  // Source is where a miss is filled from; it equals Host if the host must not fill
+	CachePriority int     // 0 means that the copy is not cached
+	MaxAge        float64 // seconds; maximum age of a copy, or 0 for the limit of the delivery service
+	Coalesce      bool    // whether a fill may be shared with other requests
 	Revalidate    bool
-	CachedOnly    bool // the source gives only what it has cached
-	// s; when its first byte must be out, on the router's clock: while hosts recognize a repeat, and the
-	// request is not given up
+	CachedOnly    bool // the source may only return what it has cached
+	// SendBy is the time, in seconds on the router's clock, by which the first byte of the attempt must be
+	// sent. After it, hosts may no longer recognize a repeat, or the request has been given up.
 	SendBy float64
 }
 
-// AttemptResult is how one attempt ended.
+// AttemptResult describes how one attempt ended.
 type AttemptResult struct {
 	RequestID uint32
-	Attempt   int // its number, from 0 in the order of Actions.Forward
+	Attempt   int // number of the attempt for its request, counted from 0 in the order of Actions.Forward
 	Outcome   Outcome
-	Elapsed   float64 // s; since it was sent
-	// s; of it the fill waited for its source's first byte, or until that failed; 0 where it is not known
+	Elapsed   float64 // seconds since the attempt was sent
+	// FillWait is the part of Elapsed, in seconds, during which the fill waited for the first byte from its
+	// source or for the source to fail. It is 0 if it is unknown.
 	FillWait float64
-	SizeKB   float64 // of the bytes that came; 0 where it is not known
-	Final    bool    // the client has its answer
+	SizeKB   float64 // size of the received body; 0 if it is unknown
+	Final    bool    // the client has received its answer
 	Note     Note
-	// as reported: transfers into the host's zone over those that fit at full pace, 0 for none
+	// IngressLoad is the number of transfers into the host's zone divided by the number that fits at full
+	// rate, as the host reported it. It is 0 if nothing was reported.
 	IngressLoad float64
 }
 
-// Actions carries a router's decisions out. Its methods are called from within the router's own, and must not
-// call back.
+// Actions carries out the decisions of a router. The router calls its methods from within its own methods, so
+// they must not call the router.
 type Actions interface {
-	// Forward sends an attempt. The number of an attempt is the count of those before it for the same
+	// Forward sends an attempt. The number of an attempt is the count of earlier attempts for the same
 	// request.
 	Forward(a Attempt)
-	// Cancel ends an attempt; its result is still expected.
+	// Cancel ends an attempt. The router still expects its result.
 	Cancel(requestID uint32, attempt int)
-	// Shed answers a request as rejected with no effect; the client may come back after some seconds, 0 for
-	// none.
+	// Shed answers a request as rejected without any effect. The client may retry after retryAfter seconds;
+	// with 0 no time is given.
 	Shed(requestID uint32, retryAfter float64)
-	// Fail answers a request as failed: it may have had an effect.
+	// Fail answers a request as failed. The request may have had an effect.
 	Fail(requestID uint32)
-	// Schedule asks for HandleTimer after some seconds.
+	// Schedule asks for a call of HandleTimer after delay seconds.
 	Schedule(delay float64, cookie string)
-	// PollEndpoints asks for the endpoint list.
+	// PollEndpoints requests the endpoint list.
 	PollEndpoints()
-	// HostEjected and HostRecovered tell of a change in a host's health, for the log.
+	// HostEjected and HostRecovered report changes of a host's health, for the log.
 	HostEjected(host uint32)
 	HostRecovered(host uint32)
 }
--- a/core/routing/attempt.go
+++ b/core/routing/attempt.go
@@ -1,45 +1,47 @@
 package routing
 
-// attempt is one forward of a request to a host.
+// attempt is one request sent to a host.
 //
-// States: out (neither returned nor abandoned), abandoned (its result is not waited for any more, it still
-// counts as in flight), returned (its result is known and it counts nowhere).
+// It is in one of three states: outstanding (neither returned nor abandoned), abandoned (the request no
+// longer waits for its result, but it still counts as in flight), or returned (its result is known and it is
+// no longer counted anywhere).
 type attempt struct {
 	number       int
-	host, source *host   // the source is the host itself where nothing is filled
-	sentAt       float64 // s
-	work         float64 // s; what it counts in a concurrency limit
-	objective    float64 // s; its latency objective
-	concurrent   int     // attempts in flight at the host when it was sent
-	cachedOnly   bool    // the source was to give only what it has cached
-	isFill       bool    // it counts as a fill, as far as is known
+	host, source *host   // the source equals the host if nothing is filled
+	sentAt       float64 // seconds
+	work         float64 // seconds; the amount that it counts for in a concurrency limit
+	objective    float64 // seconds; its latency objective
+	concurrent   int     // number of attempts in flight at the host when this one was sent
+	cachedOnly   bool    // the source was asked to return only what it has cached
+	isFill       bool    // it counts as a fill, as far as the router can tell
 	limits       attemptLimits
 
-	overdue       timer // when its host's silence becomes suspicious
-	objectiveOver timer // when it has missed its latency objective
+	overdueTimer   timer // fires when the silence of the host becomes suspicious
+	objectiveTimer timer // fires when the attempt has missed its latency objective
 
 	result         AttemptResult
 	returned       bool
 	abandoned      bool
 	mayHaveRun     bool
-	sourceRejected bool // it was rejected, and its source is at fault for that
+	sourceRejected bool // it was rejected because of its source
 }
 
-// attemptLimits are the concurrency limits that an attempt counts in, and those that its end is judged by.
+// attemptLimits holds the concurrency limits that an attempt counts in, and those that its end is counted
+// against. The arrays back the slices so that most attempts allocate nothing.
 type attemptLimits struct {
-	counted      []*concurrencyLimit // it counts in these, its host's first
-	fill         []*concurrencyLimit // they judge it as a fill: its source's, and that of all fills
-	late         []*concurrencyLimit // its lateness counts against these
-	judgedBy     *concurrencyLimit   // the first of those that have counted its end; nil before
-	countedStore [5]*concurrencyLimit
-	fillStore    [2]*concurrencyLimit
+	acquired      []*concurrencyLimit // limits that count the attempt as in flight; the limit of its host is the first
+	fill          []*concurrencyLimit // limits that judge it as a fill: that of its source, then that on all fills
+	chargedIfLate []*concurrencyLimit // limits that it counts against if it is late
+	judgedBy      *concurrencyLimit   // first of the limits that counted its end; nil until then
+	acquiredStore [5]*concurrencyLimit
+	fillStore     [2]*concurrencyLimit
 }
 
-// filled reports whether a source other than the host itself was named.
-func (a *attempt) filled() bool { return a.source != a.host }
+// hasFillSource reports whether a source other than the host itself was named.
+func (a *attempt) hasFillSource() bool { return a.source != a.host }
 
-// reachedHost reports whether the attempt came to its host and ended there, whatever the result. Guards
-// against connections that do not come up, or break, passing for congestion where no note tells of fills.
+// reachedHost reports whether the attempt reached its host and ended there, whatever its result. Guards
+// against failed or broken connections being mistaken for congestion when results carry no notes about fills.
 func (a *attempt) reachedHost() bool {
 	switch a.result.Outcome {
 	case Withdrawn, Unreachable, ConnectionLost, ArrivedLate:
@@ -48,7 +50,7 @@
 	return true
 }
 
-// hostAnswered reports whether the host itself has given a sign of life.
+// hostAnswered reports whether the outcome shows that the host itself responded.
 func (o Outcome) hostAnswered() bool {
 	switch o {
 	case Canceled, ArrivedLate, TimedOut, Withdrawn:
@@ -57,7 +59,7 @@
 	return true
 }
 
-// costsNothing reports whether an attempt with this outcome has cost its host nothing.
+// costsNothing reports whether an attempt with this outcome used no resources of its host.
 func (o Outcome) costsNothing() bool {
 	switch o {
 	case Rejected, NotCached, ArrivedLate, Withdrawn:
@@ -69,8 +71,8 @@
 // mayHaveRun reports whether the attempt may have been executed.
 func (o Outcome) mayHaveRun() bool { return o < Rejected }
 
-// blamesSource reports whether a note lays a failure on the source of a fill, not on the host that tells of
-// it.
+// blamesSource reports whether the note attributes a failure to the source of a fill rather than to the host
+// that reported it.
 func (n Note) blamesSource() bool {
 	switch n {
 	case SourceRejected, SourceFailed, SourceNotCached, OriginFailed:
@@ -79,5 +81,5 @@
 	return false
 }
 
-// filledFromSource reports whether a note says that the answer was filled from a source.
+// filledFromSource reports whether the note says that the answer was filled from a source.
 func (n Note) filledFromSource() bool { return n == Filled || n == FilledByOrigin }
--- a/core/routing/bench_test.go
+++ b/core/routing/bench_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// BenchmarkRequest measures a request that is a hit, for one of 5,000 objects, at several sizes of the cluster.
+// BenchmarkRequest measures a request that is a cache hit for one of 5,000 objects, in clusters of several
+// sizes.
 func BenchmarkRequest(b *testing.B) {
 	objects := make([]string, 5000)
 	for i := range objects {
@@ -25,7 +26,9 @@
 				respond(r, now, uint32(i+1), 0, Succeeded, CacheHit)
 				rec.attempts = rec.attempts[:0]
 			}
-			first := min(10000, 2_000_000/hosts) // objects are known then, for the smaller clusters all of them twice
+			// The requests before the measurement make objects known; in the smaller clusters they request
+			// each one twice.
+			first := min(10000, 2_000_000/hosts)
 			for i := range first {
 				request(i)
 			}
@@ -38,7 +41,7 @@
 	}
 }
 
-// benchmarkHosts is a parent, the origin and so many caches.
+// benchmarkHosts returns a parent, the origin and the given number of caches.
 func benchmarkHosts(caches int) []Endpoint {
 	hosts := []Endpoint{endpoint(1<<30, 1, Ready), endpoint(1<<30+1, 2, Ready)}
 	for i := range caches {
@@ -47,8 +50,8 @@
 	return hosts
 }
 
-// benchmarkRacks is benchmarkHosts with the caches in racks of twenty.
-func benchmarkRacks(caches int) []Endpoint {
+// benchmarkHostsInRacks returns the same hosts as benchmarkHosts, with the caches in racks of twenty.
+func benchmarkHostsInRacks(caches int) []Endpoint {
 	hosts := benchmarkHosts(caches)
 	for i := range caches {
 		hosts[2+i].Cell = i / 20
@@ -56,12 +59,13 @@
 	return hosts
 }
 
-const benchmarkChanges = 64 // in one list
+const benchmarkChanges = 64 // number of changes in one list
 
-// BenchmarkUpdateEndpoints measures an endpoint list: a complete one, and 64 changes to it.
+// BenchmarkUpdateEndpoints measures the processing of a complete endpoint list, and of a list with 64
+// changes.
 func BenchmarkUpdateEndpoints(b *testing.B) {
 	for _, caches := range []int{100, 1000, 10000} {
-		hosts := benchmarkRacks(caches)
+		hosts := benchmarkHostsInRacks(caches)
 		b.Run(fmt.Sprint(caches, "/complete"), func(b *testing.B) { benchmarkCompleteList(b, hosts) })
 		b.Run(fmt.Sprint(caches, "/phase changes"), func(b *testing.B) { benchmarkPhaseChanges(b, hosts) })
 		b.Run(fmt.Sprint(caches, "/replacements"), func(b *testing.B) { benchmarkReplacements(b, hosts) })
@@ -75,7 +79,7 @@
 	}
 }
 
-// benchmarkPhaseChanges has caches drain and become ready again.
+// benchmarkPhaseChanges makes caches drain and become ready again.
 func benchmarkPhaseChanges(b *testing.B, hosts []Endpoint) {
 	caches := hosts[2:]
 	r := New(testSettings(), 0, &recorder{})
@@ -90,7 +94,8 @@
 	}
 }
 
-// benchmarkReplacements has half of the caches that change removed and half added, and the other way round the next time.
+// benchmarkReplacements alternates between two lists: in each, half of the changed caches are removed and the
+// other half are added.
 func benchmarkReplacements(b *testing.B, hosts []Endpoint) {
 	r := New(testSettings(), 0, &recorder{})
 	r.UpdateEndpoints(0, ListComplete, hosts)
--- a/core/routing/cache_fill.go
+++ b/core/routing/cache_fill.go
@@ -8,16 +8,18 @@
 )
 
 const (
-	muchLargerLimit       = 4.0  // multiple of the first parent's limit that makes the next one the better
-	rejectionThreshold    = 0.5  // share of fills that are rejected from which a source may be to blame
-	forgetRejectionsUnder = 0.25 // share of rejected fills under which it is not to blame any more
-	rejectionWeight       = 0.25 // share of one fill in that share
-	// caches that reject a source's fills before it is to blame: fewer may be full themselves
+	muchLargerLimitMultiple = 4.0  // the next parent is preferred if its limit is over this multiple of the first one's
+	rejectionThreshold      = 0.5  // share of rejected fills from which a source may be at fault
+	forgetRejectionsBelow   = 0.25 // share of rejected fills below which a source is no longer suspected
+	rejectionWeight         = 0.25 // weight of one fill in the decaying share of rejected fills
+	// minRejectingCaches is the number of caches that must reject fills from a source before the source may
+	// be at fault. Fewer caches may simply be full themselves.
 	minRejectingCaches = 3
 )
 
-// selectSource names the source of a miss: the object's parent, the next one, or the origin. While fills are
-// at their limit a request only looks whether the cache has the object, and is rejected if not.
+// selectSource selects where a miss is filled from: the object's parent, the next parent, or the origin.
+// While fills are at their limit, the request only looks up the object in the cache and is rejected on a
+// miss.
 func (r *Router) selectSource(q *request) verdict {
 	q.source, q.cachedOnly = q.host, false
 	if q.host == r.endpoints.origin && !r.limits.origin.quotaAllows() {
@@ -26,39 +28,40 @@
 	if q.host == r.endpoints.origin || q.host.Kind == r.ParentKind {
 		return proceed
 	}
-	work, admitted := r.costs.work(q)/r.costs.priority(q), r.congestion.FillShare(r.now)
+	work, admittedShare := r.costs.work(q)/r.costs.priority(q), r.congestion.FillShare(r.now)
 	source, originHasCapacity := r.selectParent(q), r.limits.origin.hasCapacity(work)
 	if o := r.endpoints.origin; o != nil && o.health.ejected {
-		originHasCapacity = r.mayTryOrigin(o)
+		originHasCapacity = r.mayProbeOrigin(o)
 	}
-	notAdmitted := !r.limits.fills.hasCapacity(work) || admitted < 1 && r.uniform(q.host) > admitted
+	notAdmitted := !r.limits.fills.hasCapacity(work) || admittedShare < 1 && r.uniform(q.host) > admittedShare
 	noSource := source == nil || source == r.endpoints.origin && !originHasCapacity
-	onlyLook := notAdmitted || noSource || r.looksFirst(q, source)
-	if !onlyLook {
+	lookupOnly := notAdmitted || noSource || r.shouldLookUpFirst(q, source)
+	if !lookupOnly {
 		q.source, q.cachedOnly = source, source != r.endpoints.origin && !originHasCapacity
 	}
-	if onlyLook && q.cacheMissed || q.cachedOnly && q.sourceMissed {
+	if lookupOnly && q.cacheMissed || q.cachedOnly && q.sourceMissed {
 		return r.requests.giveUp(q)
 	}
 	return proceed
 }
 
-// mayTryOrigin reports whether an ejected origin may be tried: by one request at a time, itself or behind a
-// parent.
-func (r *Router) mayTryOrigin(origin *host) bool {
+// mayProbeOrigin reports whether an ejected origin may be probed. Only one request at a time may do so,
+// either directly or through a parent.
+func (r *Router) mayProbeOrigin(origin *host) bool {
 	return r.now >= origin.health.ejectedUntil && r.limits.origin.count == 0 && r.limits.origin.quotaAllows()
 }
 
-// looksFirst reports whether a cache that is thought to have the object is asked for that alone, where the
-// cluster sets quotas for what may need the origin or the source: else a cache that has evicted the object
-// would fill it, and that would count nowhere.
-func (r *Router) looksFirst(q *request, source *host) bool {
+// shouldLookUpFirst reports whether a cache that probably has the object is asked for a cached copy only.
+// This applies where the cluster sets a quota for the origin or for the source: otherwise a cache that has
+// evicted the object would fill it, and no quota would count that fill.
+func (r *Router) shouldLookUpFirst(q *request, source *host) bool {
 	hasQuota := r.limits.origin.hasQuota || source != nil && source.limit.hasQuota
 	return hasQuota && !q.cacheMissed && q.object.cachedBy(q.host, r.now)
 }
 
-// selectParent returns the first usable parent in the object's order over all listed parents, the next one if
-// that fails or is at its limit while the next bears clearly more, and the origin when none is usable.
+// selectParent returns the first usable parent in the object's order of all listed parents. It returns the
+// next one instead if the first is at its limit or congested and the next has much more capacity. It returns
+// the origin if no parent is usable.
 func (r *Router) selectParent(q *request) *host {
 	var first, better *host
 	work, slowdown := r.costs.work(q), 0.0
@@ -70,7 +73,7 @@
 			first, slowdown = h, r.congestion.Slowdown(r.now, &h.link)
 			return !h.limit.hasCapacity(work) || slowdown > congestion.CongestedSlowdown
 		}
-		if h.limit.hasCapacity(work) && r.bearsMore(h, first, slowdown) {
+		if h.limit.hasCapacity(work) && r.hasMuchMoreCapacity(h, first, slowdown) {
 			better = h
 			return false
 		}
@@ -79,22 +82,23 @@
 	return cmp.Or(better, first, r.endpoints.origin)
 }
 
-// bearsMore reports whether a parent bears clearly more than the first one of an order, which has a slowdown.
-func (r *Router) bearsMore(h, first *host, slowdown float64) bool {
-	if h.limit.max > muchLargerLimit*first.limit.max {
+// hasMuchMoreCapacity reports whether parent h can take much more load than first, the first parent of the
+// order, whose current slowdown is given.
+func (r *Router) hasMuchMoreCapacity(h, first *host, slowdown float64) bool {
+	if h.limit.max > muchLargerLimitMultiple*first.limit.max {
 		return true
 	}
 	congested := slowdown > congestion.CongestedSlowdown
 	return congested && r.congestion.Slowdown(r.now, &h.link) < slowdown*muchLowerShare
 }
 
-// observeFill learns from a result how healthy the source of a fill is, and what the links into the zone
-// bear. An origin that fails behind parents is ejected like any host: the fast failures of many routers,
-// which no limit bounds, would keep it down.
+// observeFill learns from a result how healthy the source of the fill is and how much load the links into the
+// zone can take. An origin that fails behind parents is ejected like any other host. Otherwise the fast
+// failures of many routers, which no limit bounds, would keep it down.
 func (r *Router) observeFill(q *request, a *attempt) verdict {
-	r.observeLinks(q, a) // first: what is late is blamed by what this result tells, too
+	r.observeLinks(q, a) // must run first: the blame for a late fill also depends on this result
 	note, outcome := a.result.Note, a.result.Outcome
-	if !a.filled() {
+	if !a.hasFillSource() {
 		if outcome == NotCached && !q.finished {
 			q.cacheMissed = true
 			return r.retries.enqueue(q)
@@ -110,14 +114,14 @@
 	return proceed
 }
 
-// informsAboutFills reports whether a result tells how fills come through. One that its client took back
-// early does not, nor one at one of many hosts that was silent.
+// informsAboutFills reports whether a result carries information about fills. A result does not if the client
+// canceled the request early, or if the attempt was canceled at an ejected host that belongs to a group.
 func (r *Router) informsAboutFills(q *request, a *attempt) bool {
 	note, outcome := a.result.Note, a.result.Outcome
 	if outcome == Canceled {
-		takenBackEarly := q.finished && a.result.Elapsed <= a.objective
+		canceledEarly := q.finished && a.result.Elapsed <= a.objective
 		silentHost := a.host.health.ejected && a.host.health.group != nil
-		if takenBackEarly || silentHost {
+		if canceledEarly || silentHost {
 			return false
 		}
 	}
@@ -135,7 +139,7 @@
 	return false
 }
 
-// observeFillInLimits counts the end of a fill into the limits that it tells of.
+// observeFillInLimits counts the end of a fill in the limits that it carries information about.
 func (r *Router) observeFillInLimits(a *attempt) {
 	limits := a.limits.fill
 	if a.sourceRejected {
@@ -145,12 +149,12 @@
 	case FilledByOrigin, OriginFailed:
 		limits = []*concurrencyLimit{&r.limits.origin}
 	case SourceFailed:
-		limits = a.limits.fill[:1] // tells of the source alone
+		limits = a.limits.fill[:1] // the result says something about the source only
 	}
 	late := a.result.Outcome != Succeeded ||
 		a.result.Elapsed > a.objective ||
-		a.result.IngressLoad > overloadedIngress
-	r.limits.observe(a, late, r.limits.blamed(a, late, limits))
+		a.result.IngressLoad > overloadedIngressLoad
+	r.limits.observe(a, late, r.limits.limitsToBlame(a, late, limits))
 }
 
 // observeSource learns how healthy the source of a fill is, and the origin behind it.
@@ -160,7 +164,7 @@
 	switch {
 	case succeeded && note != CacheHit && note != FillCoalesced && note != StaleHit:
 		source.returned.add(r.now, a.work)
-		source.health.heard(r.now)
+		source.health.recordContact(r.now)
 		if r.NoteDetail == FillNotes || a.isFill {
 			r.outliers.observeSuccess(source)
 		}
@@ -172,7 +176,7 @@
 		}
 	case note.blamesSource():
 		q.avoid(source)
-		source.health.heard(r.now)
+		source.health.recordContact(r.now)
 		if note == OriginFailed && origin != nil {
 			r.outliers.observeFault(origin, faultWeight)
 		}
@@ -182,25 +186,26 @@
 	}
 }
 
-// observeLinks learns from a result the object's size, and how congested the links of its host, its source
-// and into the zone are.
+// observeLinks learns the object's size from a result, and how congested the links of the host and of the
+// source and the ingress of the zone are.
 func (r *Router) observeLinks(q *request, a *attempt) {
 	result := a.result
-	if r.NoteDetail != FillNotes && a.filled() {
-		r.observeUnnotedFill(q, a)
+	if r.NoteDetail != FillNotes && a.hasFillSource() {
+		r.observeFillWithoutNote(q, a)
 	}
-	if result.Note == SourceRejected && a.filled() {
+	if result.Note == SourceRejected && a.hasFillSource() {
 		r.congestion.ObserveRejection(r.now, &a.source.link)
 	}
 	if a.isFill && result.Outcome == Canceled {
 		r.observeUnfinishedFill(q, a)
 	}
-	if result.SizeKB <= 0 || result.Outcome != Succeeded { // the bytes of an error are not the object's
+	if result.SizeKB <= 0 || result.Outcome != Succeeded { // the body of an error is not the object
 		return
 	}
 	r.costs.learnSize(q, result.SizeKB)
 	note := result.Note
-	// as far as is known: else no size would tell what time a request takes
+	// Without notes an attempt that is probably not a fill is taken for a hit. Otherwise no size could be
+	// related to the time that a request takes.
 	if r.NoteDetail == NoNotes && !a.isFill {
 		note = CacheHit
 	}
@@ -212,8 +217,9 @@
 	}
 }
 
-// observeUnfinishedFill learns from a fill that has not come yet; not where no note tells of those that came:
-// the links into the zone would look as congested as its latest fills.
+// observeUnfinishedFill learns from a fill that has not finished yet. It does nothing if results carry no
+// notes, as finished fills would then go unnoticed and the ingress would look as congested as its latest
+// fills.
 func (r *Router) observeUnfinishedFill(q *request, a *attempt) {
 	if r.NoteDetail == NoNotes {
 		return
@@ -221,19 +227,19 @@
 	r.congestion.ObserveUnfinishedFill(r.now, &a.host.link, &a.source.link, r.costs.sizeKB(q), r.now-a.sentAt)
 }
 
-// sourceHealth is what results without notes tell of a host as the source of fills.
+// sourceHealth is what results without notes show about a host as a source of fills.
 type sourceHealth struct {
-	rejectionRate float64 // decaying share of fills from it that were rejected
-	rejectedAt    []*host // the first caches at which they were
-	rejectedSince float64 // s; when the first of these did
-	lastFill      float64 // s; when a fill from it last succeeded
+	rejectionRate float64 // decaying share of the fills from this source that were rejected
+	rejectedAt    []*host // the first caches at which fills were rejected, up to minRejectingCaches
+	rejectedSince float64 // seconds; time of the first of these rejections
+	lastFill      float64 // seconds; time of the last fill that succeeded
 }
 
 // observeSuccess counts a fill that succeeded.
 func (s *sourceHealth) observeSuccess(now float64) {
 	s.lastFill = now
 	s.rejectionRate *= 1 - rejectionWeight
-	if s.rejectionRate < forgetRejectionsUnder {
+	if s.rejectionRate < forgetRejectionsBelow {
 		s.rejectedAt = nil
 	}
 }
@@ -249,21 +255,22 @@
 	}
 }
 
-// mostlyRejected reports whether several caches reject most fills from the source.
+// mostlyRejected reports whether most fills from the source are rejected, and by several caches.
 func (s *sourceHealth) mostlyRejected() bool {
 	return s.rejectionRate >= rejectionThreshold && len(s.rejectedAt) >= minRejectingCaches
 }
 
-// healthierThan reports whether this source gives while another one is rejected.
-func (s *sourceHealth) healthierThan(rejected *sourceHealth) bool {
+// servesInsteadOf reports whether this source has served fills since those of another source began to be
+// rejected, and has a much lower share of rejected fills.
+func (s *sourceHealth) servesInsteadOf(rejected *sourceHealth) bool {
 	return s.lastFill > rejected.rejectedSince && s.rejectionRate < rejected.rejectionRate*muchLowerShare
 }
 
-// observeUnnotedFill finds, where no note tells, whether a fill was rejected for its source: several caches
-// reject most fills from it, while another source gives. Guards against a source that is down before the list
-// says so, whose rejections would pass for congested links into the zone and stop all fills; caches that are
-// full reject fills whatever their source.
-func (r *Router) observeUnnotedFill(q *request, a *attempt) {
+// observeFillWithoutNote decides, for results without notes about fills, whether a fill was rejected because
+// of its source: most fills from it are rejected by several caches while another source serves. Guards
+// against a source that is down before the endpoint list says so: its rejections would look like a congested
+// ingress and stop all fills. Caches that are full reject fills from any source.
+func (r *Router) observeFillWithoutNote(q *request, a *attempt) {
 	source := a.source
 	switch outcome := a.result.Outcome; {
 	case outcome == Succeeded && a.isFill:
@@ -273,16 +280,16 @@
 		return
 	}
 	source.sourceHealth.observeRejection(r.now, a.host)
-	if source.sourceHealth.mostlyRejected() && r.anotherSourceGives(source) {
+	if source.sourceHealth.mostlyRejected() && r.anotherSourceServes(source) {
 		a.sourceRejected = true
 		q.avoid(source)
 		r.outliers.eject(source)
 	}
 }
 
-func (r *Router) anotherSourceGives(rejected *host) bool {
-	gives := func(h *host) bool {
-		return h != nil && h != rejected && h.sourceHealth.healthierThan(&rejected.sourceHealth)
+func (r *Router) anotherSourceServes(rejected *host) bool {
+	serves := func(h *host) bool {
+		return h != nil && h != rejected && h.sourceHealth.servesInsteadOf(&rejected.sourceHealth)
 	}
-	return gives(r.endpoints.origin) || slices.ContainsFunc(r.endpoints.parents, gives)
+	return serves(r.endpoints.origin) || slices.ContainsFunc(r.endpoints.parents, serves)
 }
--- a/core/routing/cache_fill_test.go
+++ b/core/routing/cache_fill_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestSourceFaults(t *testing.T) {
+// A retry avoids the source of a fill if the result blames the source, and otherwise the cache.
+func TestRetryAvoidsFaultySource(t *testing.T) {
 	for note, sourceFault := range map[Note]bool{SourceRejected: true, SourceFailed: true, FillsExhausted: false} {
 		r, rec := newCluster(nil)
 		submit(r, 1, 7, "a")
@@ -19,10 +20,12 @@
 	}
 }
 
-func TestTheFirstFillLimitIsAShareOfTheZone(t *testing.T) {
+// The initial fill limit applies to the whole zone. Guards against many routers that each start with all of
+// it and together overload the sources.
+func TestInitialFillLimitIsDividedAmongRouters(t *testing.T) {
 	for _, routers := range []int{1, 12} {
 		r, rec := newCluster(func(s *Settings) { s.DispatchersByZone = []int{routers} })
-		for i := range uint32(200) { // no result is back yet
+		for i := range uint32(200) { // no result has returned yet
 			submit(r, 1, i, fmt.Sprint("o", i))
 		}
 		assert.Positive(t, r.limits.fills.count)
@@ -31,8 +34,10 @@
 	}
 }
 
-func TestAtALimitAMissIsShedAtOnce(t *testing.T) {
-	for _, cachedOnly := range []bool{false, true} { // a lookup at the cache, or at the parent
+// At a limit, a request only looks up the object. If the lookup finds no copy, the request is shed
+// immediately rather than filled beyond the limit.
+func TestMissIsShedWhenLimitIsReached(t *testing.T) {
+	for _, cachedOnly := range []bool{false, true} { // a lookup in the cache, or one at the parent
 		r, rec := newCluster(nil)
 		limit := map[bool]*concurrencyLimit{false: &r.limits.fills, true: &r.limits.origin}[cachedOnly]
 		limit.max, limit.count = 0.1, 1
--- a/core/routing/concurrency_limit.go
+++ b/core/routing/concurrency_limit.go
@@ -7,69 +7,77 @@
 )
 
 const (
-	toleratedLateShare = 0.1 // share of a round's work that came late above which the limit is cut
-	// so much more must be late for the limit on all caches, as one may be congested
-	toleratedCacheLateShare = 0.15
-	// share of a round's work that came late after which its rest is not waited for
+	toleratedLateShare = 0.1 // a limit is cut if more than this share of a round's work is late
+	// extraCacheLateShare is added to toleratedLateShare for the limit on all caches, because one of them may
+	// be congested.
+	extraCacheLateShare = 0.15
+	// earlyCutShare is the late share of a round's work that ends the round early.
 	earlyCutShare = 0.25
-	// share of the limit that is cut when all of a round are late; less in proportion
+	// cutFactor is the share by which a limit is cut if all work of a round is late. The cut is proportional
+	// to the late share.
 	cutFactor    = 0.7
-	growthFactor = 1.25 // multiple of the limit after a round in time: doubled in about three rounds
-	// the same up to what was borne before the last cuts, less by this: faults pass
+	growthFactor = 1.25 // growth of a limit after a round in time; it doubles in about three rounds
+	// recoveryFactor is the growth of a limit after a round in time while the limit is below
+	// fastGrowthCeiling. Fast growth is safe there because that load was sustained before, and faults pass.
 	recoveryFactor = 2.0
-	// share of a limit that must be in flight for a round in time to say that it is too low
-	usedShare          = 0.5
-	minRequestsUnder   = 2.0 // requests of the largest service that a limit always leaves capacity for
-	minRequestsInRound = 2.0 // multiple of that which a round must see end, or chance would move the limit
-	// requests; fills in flight at first for each cache: fewer are rejected in calm, more are late
+	// minUsedShare is the share of a limit that must be in flight for a round in time to show that the limit
+	// is too low.
+	minUsedShare        = 0.5
+	minRequestsPerLimit = 2.0 // a limit always admits this many requests of the costliest service
+	minRequestsInRound  = 2.0 // multiple of that work that must end before a round is judged, to exclude chance
+	// initialFillsPerCache is the initial number of fills in flight for each cache. A smaller number rejects
+	// more requests under normal load; a larger one makes more fills late.
 	initialFillsPerCache = 16.0
-	// transfers into the zone over those that fit at full pace, at which a fill counts as late
-	overloadedIngress = 2.0
+	// overloadedIngressLoad is the reported ingress load above which a fill counts as late: transfers into
+	// the zone divided by the number that fits at full rate.
+	overloadedIngressLoad = 2.0
 )
 
-// concurrencyLimit bounds the work in flight somewhere, and adapts to what comes back in time. It is judged
-// round by round: a round is over once as much work has ended as was in flight at its start.
+// concurrencyLimit bounds the work in flight at one place and adapts to the share of work that ends in time.
+// It is evaluated in rounds: a round is over once as much work has ended as was in flight at its start.
 //
-// Invariants: work and count are those of the attempts that are in flight under it; max never falls under
-// what minRequestsUnder asks for.
+// Invariants: work and count are the totals of the attempts in flight under the limit; a cut never takes max
+// below limiter.minimum.
 type concurrencyLimit struct {
 	kind LimitKind
-	host uint32 // of a HostLimit
+	host uint32 // set for a HostLimit only
 
-	max           float64 // s; the limit
-	borne         float64 // s; half of what was in flight before the last cuts: up to it the limit recovers fast
-	toleratedMore float64 // share of late work that is tolerated beyond toleratedLateShare
+	max float64 // seconds of work; the limit
+	// fastGrowthCeiling is the limit, in seconds of work, up to which growth is fast: the load before the
+	// last cuts divided by recoveryFactor.
+	fastGrowthCeiling float64 // seconds
+	extraLateShare    float64 // share of late work that is tolerated in addition to toleratedLateShare
 
-	work  float64 // s; in flight
+	work  float64 // seconds; work in flight
 	count int     // attempts in flight
 
-	roundStart float64 // s; when the round began
-	roundWork  float64 // s; in flight at its start
-	roundPeak  float64 // s; the most that was in flight during it
-	roundFull  bool    // a request found no capacity during it
-	ended      float64 // s; work of this round that has ended
-	endedLate  float64 // s; and of that, what came late or not at all
+	roundStart     float64 // seconds; when the round began
+	roundWork      float64 // seconds; work in flight at the start of the round
+	roundPeak      float64 // seconds; maximum work in flight during the round
+	roundSaturated bool    // a request found no capacity during the round
+	endedWork      float64 // seconds; work that has ended in this round
+	endedLateWork  float64 // seconds; the part of endedWork that was late or failed
 
-	quota           int  // attempts that the cluster lets this router have in flight
-	hasQuota        bool // the cluster sets one
-	quotaRejections int  // requests that found the quota used up
+	quota           int  // maximum number of attempts in flight that the cluster allows this router
+	hasQuota        bool // whether the cluster has set a quota
+	quotaRejections int  // number of checks that found the quota used up
 }
 
-// acquire counts an attempt in.
+// acquire counts an attempt as in flight.
 func (l *concurrencyLimit) acquire(work float64) {
 	l.count++
 	l.work += work
 	l.roundPeak = math.Max(l.roundPeak, l.work)
 }
 
-// release counts an attempt out.
+// release stops counting an attempt as in flight.
 func (l *concurrencyLimit) release(work float64) {
 	l.count--
 	l.work -= work
 }
 
-// quotaAllows reports whether the cluster lets one more attempt go. Guards against routers that each stay
-// within their own limit and together overload the origin.
+// quotaAllows reports whether the cluster's quota allows one more attempt. Guards against routers that each
+// stay within their own limit and together overload the origin.
 func (l *concurrencyLimit) quotaAllows() bool {
 	if !l.hasQuota || l.count < l.quota {
 		return true
@@ -78,27 +86,27 @@
 	return false
 }
 
-// hasCapacity reports whether more work may go. Where nothing is in flight something always may, or nothing
-// would be learned.
+// hasCapacity reports whether more work may be sent. If nothing is in flight, the limit itself always allows
+// one attempt, because otherwise nothing could be learned; a quota still applies.
 func (l *concurrencyLimit) hasCapacity(work float64) bool {
 	fits := (l.count == 0 || l.work+work <= l.max) && l.quotaAllows()
-	l.roundFull = l.roundFull || !fits
+	l.roundSaturated = l.roundSaturated || !fits
 	return fits
 }
 
 func (l *concurrencyLimit) beginRound(now float64) {
 	l.roundStart, l.roundWork, l.roundPeak = now, l.work, l.work
-	l.ended, l.endedLate, l.roundFull = 0, 0, false
+	l.endedWork, l.endedLateWork, l.roundSaturated = 0, 0, false
 }
 
-// limiter has the limits that are not a single host's, and moves all limits.
+// limiter holds the limits that are not specific to one host, and adjusts all limits.
 type limiter struct {
 	*environment
 	costs      *costModel
 	congestion *congestion.Tracker
-	caches     concurrencyLimit // on all that is in flight to caches
-	fills      concurrencyLimit // on the fills in flight, as far as they are known
-	origin     concurrencyLimit // on the attempts that may need the origin
+	caches     concurrencyLimit // on all attempts in flight at caches
+	fills      concurrencyLimit // on all fills in flight, as far as the router can tell
+	origin     concurrencyLimit // on all attempts that may need the origin
 }
 
 func newLimiter(env *environment, costs *costModel, tracker *congestion.Tracker) limiter {
@@ -106,26 +114,26 @@
 		environment: env,
 		costs:       costs,
 		congestion:  tracker,
-		caches:      concurrencyLimit{kind: CacheLimit, max: math.Inf(1), toleratedMore: toleratedCacheLateShare},
+		caches:      concurrencyLimit{kind: CacheLimit, max: math.Inf(1), extraLateShare: extraCacheLateShare},
 		fills:       concurrencyLimit{kind: FillLimit, max: math.Inf(1)},
 		origin:      concurrencyLimit{kind: OriginLimit, max: math.Inf(1)},
 	}
 }
 
-// initialize sets the first limit on fills, once caches are known. Guards against a first second with no
-// limit, which the few answers that one router sees would close late.
+// initialize sets the first limit on fills once caches are known. Guards against a first second without any
+// limit: a single router sees so few answers that it would set a limit too late.
 func (l *limiter) initialize(caches int) {
 	if !math.IsInf(l.fills.max, 1) || caches == 0 || len(l.costs.services) == 0 {
 		return
 	}
-	longest := l.costs.services[0].Objective
+	maxObjective := l.costs.services[0].Objective
 	for _, s := range l.costs.services {
-		longest = math.Max(longest, s.Objective)
+		maxObjective = math.Max(maxObjective, s.Objective)
 	}
-	l.fills.max = initialFillsPerCache * float64(caches) / l.senders(l.Zone) * longest * unknownSendingTime
+	l.fills.max = initialFillsPerCache * float64(caches) / l.senders(l.Zone) * maxObjective * assumedSendingTimeShare
 }
 
-// byKind is a limit that is not a single host's; nil for other kinds.
+// byKind returns the limit of a kind that is not specific to one host, or nil for other kinds.
 func (l *limiter) byKind(kind LimitKind) *concurrencyLimit {
 	switch kind {
 	case CacheLimit:
@@ -138,8 +146,9 @@
 	return nil
 }
 
-// observe counts the end of an attempt into limits, in time or late, unless it was judged by them before.
-// Guards against congestion collapse whatever its cause; it may reject where fewer requests are not faster.
+// observe counts the end of an attempt, in time or late, in the given limits, unless they have counted it
+// before. Guards against congestion collapse from any cause. It may also reject requests when sending fewer
+// of them does not make the rest faster.
 func (l *limiter) observe(a *attempt, late bool, limits []*concurrencyLimit) {
 	if a.limits.judgedBy == limits[0] {
 		return
@@ -152,66 +161,66 @@
 	}
 }
 
-// observeEnd counts work that has ended into a limit, and moves the limit at the end of a round.
+// observeEnd counts work that has ended in a limit, and adjusts the limit at the end of a round.
 func (l *limiter) observeEnd(limit *concurrencyLimit, work float64, late bool) {
-	limit.ended += work
+	limit.endedWork += work
 	if late {
-		limit.endedLate += work
+		limit.endedLateWork += work
 	}
-	fewest, round := minRequestsInRound*l.minimum(), math.Min(limit.max, limit.roundWork)
-	roundOver := limit.ended >= math.Max(fewest, round)
-	clearlyLate := limit.endedLate >= math.Max(fewest, round*earlyCutShare)
+	minEnded, roundSize := minRequestsInRound*l.minimum(), math.Min(limit.max, limit.roundWork)
+	roundOver := limit.endedWork >= math.Max(minEnded, roundSize)
+	clearlyLate := limit.endedLateWork >= math.Max(minEnded, roundSize*earlyCutShare)
 	if !roundOver && !clearlyLate {
 		return
 	}
-	share := limit.endedLate / limit.ended
-	if share > toleratedLateShare+limit.toleratedMore {
+	share := limit.endedLateWork / limit.endedWork
+	if share > toleratedLateShare+limit.extraLateShare {
 		l.cut(limit, share)
 		l.publish(PeerUpdate{Host: limit.host, Limit: limit.kind, LateShare: share})
 		return
 	}
-	halfUsed := limit.work > limit.max*usedShare
-	minimal := limit.roundFull && limit.max <= fewest // a limit at its minimum is never half used
-	if halfUsed || minimal {
+	halfUsed := limit.work > limit.max*minUsedShare
+	atMinimum := limit.roundSaturated && limit.max <= minEnded // a limit at its minimum may never be half used
+	if halfUsed || atMinimum {
 		limit.grow()
 	}
 	limit.beginRound(l.now)
 }
 
-// grow raises the limit: fast up to what was borne before cuts, with care above it.
+// grow raises the limit: fast up to fastGrowthCeiling, slowly above it.
 func (l *concurrencyLimit) grow() {
 	l.max *= growthFactor
-	if l.borne == 0 || l.max < l.borne { // never cut, or borne before
+	if l.fastGrowthCeiling == 0 || l.max < l.fastGrowthCeiling { // never cut, or below the load sustained before
 		l.max *= recoveryFactor / growthFactor
 	}
 }
 
-// cut lowers a limit by the share that came late, and begins a round.
+// cut lowers a limit in proportion to the share of work that was late, and begins a new round.
 func (l *limiter) cut(limit *concurrencyLimit, lateShare float64) {
-	limit.borne = math.Max(limit.borne/growthFactor, math.Min(limit.max, limit.roundPeak)/recoveryFactor)
+	limit.fastGrowthCeiling = math.Max(limit.fastGrowthCeiling/growthFactor, math.Min(limit.max, limit.roundPeak)/recoveryFactor)
 	limit.max = math.Max(l.minimum(), math.Min(limit.max, limit.roundPeak)*(1-cutFactor*lateShare))
 	limit.beginRound(l.now)
 }
 
-// minimum is the work that a limit always leaves capacity for, in seconds.
+// minimum returns the work, in seconds, that a limit always allows.
 func (l *limiter) minimum() (work float64) {
 	for _, s := range l.costs.services {
-		work = math.Max(work, minRequestsUnder*s.sendingTime.mean)
+		work = math.Max(work, minRequestsPerLimit*s.sendingTime.mean)
 	}
 	return work
 }
 
-// blamed returns the limits that the end of a fill counts against, of those given: that of its source alone,
-// if that is known to be slow, or that on all fills, if all sources look slow. The latter is cut at once, as
-// its rounds take longer than a burst.
-func (l *limiter) blamed(a *attempt, late bool, limits []*concurrencyLimit) []*concurrencyLimit {
+// limitsToBlame returns those of the given limits that the end of a fill counts against: only the limit of
+// its source if that source is known to be slow, or only the limit on all fills if all sources look slow. The
+// latter is cut immediately, because one of its rounds takes longer than a burst.
+func (l *limiter) limitsToBlame(a *attempt, late bool, limits []*concurrencyLimit) []*concurrencyLimit {
 	if !a.isFill {
 		return limits
 	}
 	cause := l.congestion.LateCause(l.now, &a.source.link)
-	// it recovers as it was cut, with each fill
-	if !late && l.fills.roundFull && l.congestion.IngressHasSpare(l.now) {
-		l.fills.max += a.work * math.Min(1, l.fills.borne/l.fills.max)
+	// The limit on all fills also grows with each fill, as it is cut with each fill.
+	if !late && l.fills.roundSaturated && l.congestion.IngressHasSpare(l.now) {
+		l.fills.max += a.work * math.Min(1, l.fills.fastGrowthCeiling/l.fills.max)
 		return limits
 	}
 	switch cause {
@@ -226,7 +235,7 @@
 	return limits
 }
 
-// mayNeedOrigin reports whether an attempt may need the origin, where the cluster sets a quota for that.
+// mayNeedOrigin reports whether an attempt may need the origin and the cluster sets a quota for that.
 func (l *limiter) mayNeedOrigin(a *attempt, origin *host) bool {
 	return l.origin.hasQuota && (a.host == origin || a.isFill && !a.cachedOnly)
 }
--- a/core/routing/concurrency_limit_test.go
+++ b/core/routing/concurrency_limit_test.go
@@ -10,7 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestALimitRecoversFastToWhatWasBorne(t *testing.T) {
+// After cuts, a limit doubles in each round while it is below fastGrowthCeiling, which depends on the load
+// before the cuts. Above it the limit grows slowly.
+func TestLimitRecoversFastUpToEarlierLoad(t *testing.T) {
 	r, _ := newCluster(nil)
 	l := &concurrencyLimit{max: 8, roundPeak: 8, work: 8}
 	for range 4 {
@@ -21,12 +23,14 @@
 	l.work = 8
 	r.limits.observeEnd(l, 8, false)
 	assert.InDelta(t, 2*low, l.max, 1e-9, "doubled below the load that was borne")
-	l.max, l.borne = 6, 2
+	l.max, l.fastGrowthCeiling = 6, 2
 	r.limits.observeEnd(l, 8, false)
 	assert.InDelta(t, 6*growthFactor, l.max, 1e-9, "grown slowly above it")
 }
 
-func TestALimitIsCutOnceEnoughCameLate(t *testing.T) {
+// A limit is cut before the end of a round once enough of its work is late, but not if only a few requests
+// ended.
+func TestLimitIsCutOnceEnoughWorkIsLate(t *testing.T) {
 	for late, cut := range map[float64]bool{1.5: false, 2.5: true} {
 		r, _ := newCluster(nil)
 		l := &concurrencyLimit{max: 8, roundWork: 8, roundPeak: 8, work: 8}
@@ -42,13 +46,15 @@
 	assert.Equal(t, 8.0, l.max, "too few requests to judge: no cut")
 }
 
-func TestLimitsAreCutByWhatIsLate(t *testing.T) {
+// Late or rejected fills cut the fill limit, and late hits cut the limit on all caches. Fills in time cut
+// neither.
+func TestLateAttemptsCutTheirLimits(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
 		elapsed float64
 		outcome Outcome
 		note    Note
-		lookups bool // requests are sent as lookups, with no fill
+		lookups bool // whether requests are sent as lookups without a fill
 	}{
 		{"fills in time do not cut the fill limit", 0.1, Succeeded, Filled, false},
 		{"late fills cut it", 2, Succeeded, Filled, true},
@@ -76,8 +82,9 @@
 	}
 }
 
-// The cluster's quota binds also where the router's own limit has capacity, and at 0; without one nothing changes.
-func TestTheClustersQuota(t *testing.T) {
+// The cluster's quota applies even if the router's own limit has capacity, and also if it is 0. Without a
+// quota only the router's own limit applies.
+func TestClusterQuotaBoundsAttempts(t *testing.T) {
 	for _, tt := range []struct {
 		hasQuota            bool
 		quota, inFlight     int
@@ -94,7 +101,7 @@
 		r.limits.origin.count = tt.inFlight
 		if tt.hasQuota {
 			r.SetQuota(0, tt.quota)
-			r.SetQuota(7, tt.quota) // a host that is not known
+			r.SetQuota(7, tt.quota) // an unknown host
 		}
 		assert.Equal(t, tt.capacity, r.limits.origin.hasCapacity(1), "%+v", tt)
 		inFlight, rejections := r.QuotaUsage(0)
--- a/core/routing/congestion_test.go
+++ b/core/routing/congestion_test.go
@@ -9,19 +9,19 @@
 
 const (
 	objectKB     = 3.0
-	secondsPerKB = 0.1 // s/KB; the usual transfer time
+	secondsPerKB = 0.1 // seconds per KB; the usual transfer time
 )
 
-// usualTime is how long the transfer of an object usually takes, in seconds.
-const usualTime = objectKB * secondsPerKB
+// usualTransferTime is how long the transfer of an object usually takes, in seconds.
+const usualTransferTime = objectKB * secondsPerKB
 
-// sparseRouter is one router of 300: it sees few requests, and their results tell their sizes.
+// sparseRouter is one of 300 routers. It sees few requests, and their results report the size of the answer.
 type sparseRouter struct {
 	*Router
 	rec      *recorder
 	now      float64
 	id       uint32
-	slowdown func(a Attempt) float64                // how many times the usual time an attempt takes; nil for 1
+	slowdown func(a Attempt) float64                // multiple of the usual time that an attempt takes; nil means 1
 	adjust   func(a Attempt, result *AttemptResult) // changes the result of an attempt; nil for no change
 }
 
@@ -33,7 +33,8 @@
 	return sparse
 }
 
-// run runs requests one after another, half a second apart, and returns how many were shed.
+// run runs requests one after another, half a second apart, and returns how many were shed. With hits, their
+// caches have the objects.
 func (s *sparseRouter) run(name string, requests int, hits bool) int {
 	shed := len(s.rec.shed)
 	for i := range requests {
@@ -42,7 +43,8 @@
 	return len(s.rec.shed) - shed
 }
 
-// request runs one request to its end and returns its last attempt. With hits, its cache has the object.
+// request runs one request until it is finished, and returns its last attempt. With hits, its cache has the
+// object.
 func (s *sparseRouter) request(object string, hits bool) Attempt {
 	s.now, s.id = s.now+0.5, s.id+1
 	first := len(s.rec.attempts)
@@ -57,11 +59,11 @@
 	return s.rec.last()
 }
 
-// result is how an attempt ends.
+// result returns how an attempt ends.
 func (s *sparseRouter) result(a Attempt, number int, hits bool) AttemptResult {
 	result := AttemptResult{
 		RequestID: a.RequestID, Attempt: number, Outcome: Succeeded, Note: CacheHit,
-		Elapsed: usualTime, SizeKB: objectKB, Final: true,
+		Elapsed: usualTransferTime, SizeKB: objectKB, Final: true,
 	}
 	if s.slowdown != nil {
 		result.Elapsed *= s.slowdown(a)
@@ -78,9 +80,9 @@
 	return result
 }
 
-// Guards against an ingress that 300 routers keep congested with fills that are all late, each router within its own
-// smallest limit.
-func TestFewMissesFillWhileTheIngressIsCongested(t *testing.T) {
+// Guards against 300 routers that keep the ingress congested with fills that are all late, although each
+// router stays within the minimum of its own limit.
+func TestMissesAreShedWhileIngressIsCongested(t *testing.T) {
 	sparse := newSparseRouter()
 	sparse.slowdown = func(a Attempt) float64 {
 		if a.Source != a.Host {
@@ -98,42 +100,42 @@
 	assert.Zero(t, sparse.run("after", 20, false), "the fill limit recovers by itself")
 }
 
-// Guards against a host or a parent whose link is congested by other routers: one router of 300 hears of it once in seconds,
-// and never has so much in flight there that a limit of its own could be cut. What is learned fades, or the host would stay
-// unused.
-func TestACongestedHostIsAvoided(t *testing.T) {
+// Guards against sending more requests to a cache or a parent whose link other routers congest. One router of
+// 300 only has a result from it every few seconds, and never has enough in flight there to cut a limit of its
+// own. What was learned must also fade, because the host would otherwise stay unused.
+func TestCongestedHostIsAvoided(t *testing.T) {
 	for name, tt := range map[string]struct {
-		hits bool
-		of   func(a Attempt) uint32 // the host that may be congested
+		hits   bool
+		hostOf func(a Attempt) uint32 // returns the host that may be congested
 	}{
 		"a cache":  {true, func(a Attempt) uint32 { return a.Host }},
 		"a parent": {false, func(a Attempt) uint32 { return a.Source }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			sparse := newSparseRouter()
-			congested := tt.of(sparse.request("object", tt.hits))
+			congested := tt.hostOf(sparse.request("object", tt.hits))
 			sparse.slowdown = func(a Attempt) float64 {
-				if tt.of(a) == congested {
+				if tt.hostOf(a) == congested {
 					return 9
 				}
 				return 1
 			}
 			sparse.request("object", tt.hits)
 			sparse.request("object", tt.hits)
-			other := tt.of(sparse.request("object", tt.hits))
+			other := tt.hostOf(sparse.request("object", tt.hits))
 			assert.NotEqual(t, congested, other)
 			assert.NotEqual(t, uint32(origin), other)
 			assert.Zero(t, sparse.run("other", 10, tt.hits), "no request is shed because of it")
 			sparse.slowdown = nil
 			sparse.now += 60
-			assert.Equal(t, congested, tt.of(sparse.request("object", tt.hits)), "the host is used again")
+			assert.Equal(t, congested, tt.hostOf(sparse.request("object", tt.hits)), "the host is used again")
 		})
 	}
 }
 
-// A source that rejects fills tells only of itself, and an error tells of nothing: the limit on all fills is not cut, and the
-// bytes of an error do not count as an object's size.
-func TestRejectionsAndErrorsTellOfNothingElse(t *testing.T) {
+// A source that rejects fills shows nothing about other sources, so the limit on all fills is not cut. The
+// body of an error does not count as the size of the object.
+func TestSourceRejectionsAndErrorsKeepFillLimitAndMeanSize(t *testing.T) {
 	for name, fail := range map[string]func(result *AttemptResult){
 		"rejections": func(result *AttemptResult) {
 			result.Outcome, result.Note, result.SizeKB = Rejected, SourceRejected, 0
@@ -158,9 +160,10 @@
 	}
 }
 
-// Guards against rounds that end only after a burst is over: the fill limit is cut by each fill that shows a congested
-// ingress, and grows with each that is in time, though one round takes far more fills than this router sees.
-func TestTheFillLimitMovesBySingleFills(t *testing.T) {
+// Guards against rounds that end only after a burst is over. Each fill that shows a congested ingress cuts
+// the fill limit, and each fill in time raises it, although one round takes far more fills than this router
+// sees.
+func TestFillLimitAdaptsToSingleFills(t *testing.T) {
 	sparse := newSparseRouter()
 	sparse.limits.fills.max, sparse.limits.fills.roundWork = 20, 20
 	sparse.slowdown = func(Attempt) float64 { return 8 }
@@ -170,18 +173,18 @@
 	sparse.now += 30
 	for i := range 3 {
 		before := sparse.limits.fills.max
-		sparse.limits.fills.roundFull = true // it has rejected requests
+		sparse.limits.fills.roundSaturated = true // as if it had rejected requests
 		sparse.run(fmt.Sprint("then", i), 1, false)
 		assert.Greater(t, sparse.limits.fills.max, before, "grown by a fill in time")
 	}
 }
 
-// Where no note tells of fills, an attempt that never reached its host, or was late for its size alone, says nothing of the
-// ingress. Guards against a fill limit that such results cut in quiet times, so that a burst, or hosts in slow start, find it
-// too low.
-func TestTheFillLimitStandsWhereNothingTellsOfFills(t *testing.T) {
+// If results carry no notes about fills, an attempt that never reached its host, or was late only because of
+// its size, shows nothing about the ingress. Guards against such results cutting the fill limit in quiet
+// times, so that it is too low for a burst or for hosts in slow start.
+func TestFillLimitIgnoresResultsUnrelatedToFills(t *testing.T) {
 	for name, tt := range map[string]struct {
-		adjust func(a Attempt, result *AttemptResult)
+		adjust func(a Attempt, result *AttemptResult) // changes the result of an attempt; nil for no change
 		cut    bool
 	}{
 		"connections that are not established": {adjust: failEveryFourth(Unreachable, 0.4)},
@@ -197,13 +200,13 @@
 				tt.adjust(a, result)
 			}
 			sparse.runRepeated(6)
-			assert.Equal(t, tt.cut, r.limits.fills.borne > 0, "the fill limit was cut")
+			assert.Equal(t, tt.cut, r.limits.fills.fastGrowthCeiling > 0, "the fill limit was cut")
 		})
 	}
 }
 
-// runRepeated runs rounds of three requests for each of four objects, half a minute apart. As far as the router knows, the
-// first of the three may be a fill.
+// runRepeated runs rounds of three requests for each of four objects, half a minute apart. The router can't
+// tell whether the first of the three is a fill.
 func (s *sparseRouter) runRepeated(rounds int) {
 	for range rounds {
 		for i := range 4 {
@@ -215,7 +218,7 @@
 	}
 }
 
-// failEveryFourth fails the first attempt of every fourth request.
+// failEveryFourth returns an adjustment that fails the first attempt of every fourth request.
 func failEveryFourth(outcome Outcome, elapsed float64) func(a Attempt, result *AttemptResult) {
 	return func(a Attempt, result *AttemptResult) {
 		if a.RequestID%4 == 0 && result.Attempt == 0 {
@@ -224,17 +227,18 @@
 	}
 }
 
-// enlargeLastObject makes the last of the four objects of runRepeated a large one, fast at first, while no size is known.
+// enlargeLastObject makes the last of the four objects of runRepeated a large one. Its transfers are fast in
+// the first rounds, while its size is still unknown.
 func enlargeLastObject(a Attempt, result *AttemptResult) {
 	if (a.RequestID-1)%12 > 8 {
-		result.SizeKB, result.Elapsed = 8*objectKB, 8*usualTime
+		result.SizeKB, result.Elapsed = 8*objectKB, 8*usualTransferTime
 		if a.RequestID <= 24 {
 			result.Elapsed *= 0.3
 		}
 	}
 }
 
-// slowDownFills has fills take eight times as long.
+// slowDownFills makes fills take eight times as long.
 func slowDownFills(a Attempt, result *AttemptResult) {
 	if a.Source != a.Host {
 		result.Elapsed *= 8
--- a/core/routing/cost_model_test.go
+++ b/core/routing/cost_model_test.go
@@ -6,7 +6,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestCongestionDoesNotPassForSize(t *testing.T) {
+// Guards against congestion being mistaken for large objects: slow answers would raise the latency objective,
+// and nothing would count as late.
+func TestCongestionDoesNotRaiseObjective(t *testing.T) {
 	r, _ := newCluster(nil)
 	for i := range uint32(50) {
 		submit(r, 1, i, "hot")
--- a/core/routing/deadline_test.go
+++ b/core/routing/deadline_test.go
@@ -6,7 +6,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestARequestWithLittleTimeKeepsMostOfIt(t *testing.T) {
+// A request is given up a margin before its deadline. Guards against a fixed margin that would use up most of
+// the time of a request with a short deadline.
+func TestAnswerMarginShrinksForShortDeadlines(t *testing.T) {
 	for timeLeft, shedAfter := range map[float64]float64{5: 4.95, 0.2: 0.15, 0.1: 0.075} {
 		r, rec := newCluster(nil)
 		r.HandleRequest(1, Request{ID: 7, Object: "a", Deadline: 1 + timeLeft})
--- a/core/routing/demand_test.go
+++ b/core/routing/demand_test.go
@@ -7,11 +7,12 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// The number of caches that an object is spread over follows its share of the byte rate in the window.
 func TestCopiesFollowDemand(t *testing.T) {
 	for _, tt := range []struct {
 		name string
-		hot  int     // of ten requests, how many are for the one object
-		idle float64 // s; before the copies are counted
+		hot  int     // how many of each ten requests are for the same object
+		idle float64 // seconds without requests before the copies are counted
 		want int     // copies
 	}{
 		{"a fifth of the requests: one cache of three", 2, 0, 1},
--- a/core/routing/endpoint_table.go
+++ b/core/routing/endpoint_table.go
@@ -10,42 +10,42 @@
 	"elderwall/core/routing/rendezvous"
 )
 
-// host is a listed endpoint with what is learned of it.
+// host is a listed endpoint with what the router has learned about it.
 type host struct {
 	Endpoint
-	inFlight      int // attempts that were sent to it and are not back
-	fillsInFlight int // attempts that name it as their source and are not back
+	inFlight      int // attempts sent to it that have not returned
+	fillsInFlight int // attempts that name it as their source and have not returned
 	serving       servingTime
 	health        health
 	sourceHealth  sourceHealth
 	warmUp        warmUp
-	link          congestion.Link
-	returned      windowedSum // s; sending time that it returned, or that was filled from it
+	link          congestion.Link // congestion of its link
+	returned      windowedSum     // seconds of sending time that it answered or that was filled from it
 	limit         concurrencyLimit
-	generation    int // the last version of the list that had it as a cache
+	generation    int // last version of the cache list that contained it
 }
 
-// busy reports whether any attempt is in flight at the host or fills from it.
+// busy reports whether any attempt is in flight at the host, or any fill from it.
 func (h *host) busy() bool { return h.inFlight+h.fillsInFlight > 0 }
 
-// endpointTable keeps the listed hosts, and which of them may be used: the caches of the own zone, all
-// parents, a ready origin. A removed host is forgotten once nothing is in flight there.
+// endpointTable holds the listed hosts and determines which of them may be used: the caches of the router's
+// own zone, all parents, and a ready origin. A removed host is forgotten once nothing is in flight there.
 type endpointTable struct {
 	*environment
 	groups      *grouphealth.Tracker
 	byID        map[uint32]*host
-	sorted      []*host // all of byID by id, but for added
-	added       []*host // those that are not in sorted yet
-	caches      []*host // of the own zone, by id
-	parents     []*host // all that are listed, by id
-	origin      *host   // nil where none is ready
+	sorted      []*host // the hosts of byID in order of ID, except those in added
+	added       []*host // hosts that are not in sorted yet
+	caches      []*host // caches of the router's own zone, in order of ID
+	parents     []*host // all listed parents, in order of ID
+	origin      *host   // nil if none is ready
 	readyCaches int
-	generation  int // of the list of caches
+	generation  int // version of the list of caches
 
-	cacheOrder, parentOrder rendezvous.Index[*host] // the orders that all routers share
+	cacheOrder, parentOrder rendezvous.Index[*host] // rendezvous orders, which are the same in all routers
 }
 
-// update takes in a complete list or changes to it.
+// update applies a complete list, or changes to the list.
 func (t *endpointTable) update(kind ListKind, entries []Endpoint) {
 	if kind != ListChanges {
 		for _, h := range t.byID {
@@ -58,7 +58,7 @@
 	t.classify()
 }
 
-// put takes in one entry of a list.
+// put applies one entry of a list.
 func (t *endpointTable) put(e Endpoint) {
 	h := t.byID[e.ID]
 	if h == nil {
@@ -74,7 +74,7 @@
 		h.OnlineSince = onlineSince
 		return
 	}
-	h.restarted()
+	h.resetAfterRestart()
 }
 
 func (t *endpointTable) add(id uint32) *host {
@@ -82,22 +82,22 @@
 		Endpoint: Endpoint{ID: id, OnlineSince: math.Inf(-1)},
 		limit:    concurrencyLimit{kind: HostLimit, host: id, max: math.Inf(1)},
 	}
-	h.health.lastHeard = t.now
+	h.health.lastContact = t.now
 	t.byID[id] = h
 	t.added = append(t.added, h)
 	return h
 }
 
-// restarted forgets what was learned of a host before it started anew, with cold caches.
-func (h *host) restarted() {
+// resetAfterRestart discards what was learned about a host before it restarted. Its cache is cold now.
+func (h *host) resetAfterRestart() {
 	h.warmUp = warmUp{active: true}
 	h.health.reset()
 	h.serving.makespan = 0
 }
 
-// classify finds which of the listed hosts may be used.
+// classify determines which of the listed hosts may be used, and as what.
 func (t *endpointTable) classify() {
-	before := t.caches
+	previous := t.caches
 	t.caches, t.parents, t.origin, t.readyCaches = nil, nil, nil, 0
 	for _, h := range t.listed() {
 		switch {
@@ -113,11 +113,11 @@
 		}
 	}
 	t.parentOrder.Set(hostIDs(t.parents), t.parents)
-	t.reorderCaches(before)
+	t.updateCacheOrder(previous)
 }
 
-// listed returns the hosts that the list has not removed, by id, and forgets removed ones once nothing is in
-// flight there.
+// listed returns the hosts that the list has not removed, in order of ID. It forgets removed hosts that have
+// nothing in flight.
 func (t *endpointTable) listed() []*host {
 	if len(t.added) > 0 {
 		byID := func(a, b *host) int { return cmp.Compare(a.ID, b.ID) }
@@ -139,12 +139,12 @@
 	return hosts
 }
 
-// reorderCaches takes the caches into their shared order and into their groups. With many hosts, only those
-// that were added, were removed or changed their group cost anything.
-func (t *endpointTable) reorderCaches(before []*host) {
+// updateCacheOrder updates the rendezvous order of caches and the group of each cache. With many hosts, only
+// those that were added, removed, or moved to another group cause work beyond one pass over the list.
+func (t *endpointTable) updateCacheOrder(previous []*host) {
 	t.generation++
 	added := t.regroup()
-	removed := t.dropGone(before, len(added))
+	removed := t.ungroupRemoved(previous, len(added))
 	if len(added)+len(removed) > len(t.caches)/4 {
 		t.cacheOrder.Set(hostIDs(t.caches), t.caches)
 		return
@@ -157,7 +157,8 @@
 	}
 }
 
-// regroup has all caches in the groups of this generation, and returns those that the last one did not have.
+// regroup assigns each cache to its group and to the current generation. It returns the caches that were not
+// in the previous generation.
 func (t *endpointTable) regroup() (added []*host) {
 	grouped := len(t.caches) >= grouphealth.MinHosts
 	for _, h := range t.caches {
@@ -172,12 +173,12 @@
 	return added
 }
 
-// dropGone takes those out of their groups that were caches before and are not any more, and returns them.
-func (t *endpointTable) dropGone(before []*host, added int) (removed []*host) {
-	if added == 0 && len(before) == len(t.caches) {
+// ungroupRemoved takes the caches that are no longer listed out of their groups and returns them.
+func (t *endpointTable) ungroupRemoved(previous []*host, addedCount int) (removed []*host) {
+	if addedCount == 0 && len(previous) == len(t.caches) {
 		return nil
 	}
-	for _, h := range before {
+	for _, h := range previous {
 		if h.generation != t.generation {
 			removed = append(removed, h)
 			t.setGroup(h, false)
@@ -186,7 +187,7 @@
 	return removed
 }
 
-// setGroup has a cache in the group where it belongs now, if hosts are grouped at all.
+// setGroup assigns a cache to the group of its kind, zone and cell, or to no group if hosts are not grouped.
 func (t *endpointTable) setGroup(h *host, grouped bool) {
 	group := grouphealth.Group{Kind: h.Kind, Zone: h.Zone, Cell: h.Cell}
 	if grouped && h.health.group.In(group) {
@@ -199,7 +200,7 @@
 	}
 }
 
-// bandwidthKB is the KB per second that the host's link is known to carry; 0 where that is not known.
+// bandwidthKB returns the known bandwidth of the host's link in KB per second, or 0 if it is unknown.
 func (t *endpointTable) bandwidthKB(h *host) float64 {
 	if !t.WeightsKnown {
 		return 0
@@ -214,7 +215,7 @@
 	return ids
 }
 
-// mergeSorted merges two sorted lists.
+// mergeSorted merges two sorted slices into a new sorted slice.
 func mergeSorted[T any](a, b []T, compare func(x, y T) int) []T {
 	merged := make([]T, 0, len(a)+len(b))
 	for len(a) > 0 && len(b) > 0 {
--- a/core/routing/endpoint_table_test.go
+++ b/core/routing/endpoint_table_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestDrainingHostsGetNothing(t *testing.T) {
+// Hosts that are draining, removed or missing in a complete list get no new attempts and serve no fills.
+func TestDrainingAndRemovedHostsGetNoAttempts(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
 		kind    ListKind
@@ -50,6 +51,8 @@
 	}
 }
 
+// Guards against a table that grows with each replaced host: a removed host is kept only while an attempt is
+// in flight there.
 func TestRemovedHostsAreForgotten(t *testing.T) {
 	r, rec := newCluster(nil)
 	submit(r, 1, 7, "a")
--- a/core/routing/golden_fleet_test.go
+++ b/core/routing/golden_fleet_test.go
@@ -13,41 +13,42 @@
 	"elderwall/core/routing"
 )
 
-// The kinds of host of the scripted fleet.
+// These are the kinds of hosts in the scripted fleet.
 const (
 	cacheKind = iota
 	parentKind
 	originKind
 )
 
-// The first identifiers of the hosts, by kind.
+// These are the first host IDs of each kind.
 const (
 	firstCacheID  = 1000
 	firstParentID = 100_000
 	originID      = 200_000
 )
 
-// Constants of the scripted hosts.
+// These are properties of the scripted hosts and clients.
 const (
-	networkDelay      = 0.001 // s; one way
-	transferRateKB    = 1000  // KB a second of one transfer at full pace
-	tinyObjectShare   = 0.05  // share of the objects that are too small for their time to tell a pace
-	checkpointSpan    = 2.0   // s between two checkpoints of a run
-	impatientShare    = 0.03  // share of the requests with a short deadline
-	impatientFor      = 0.15  // s; that
-	goneEarlyShare    = 0.02  // share of the clients that leave before their answer
-	streamingShare    = 0.2   // share of the successful answers whose first byte is announced
-	pauseShare        = 0.05  // share of the transfers that pause on the way
-	longestPause      = 0.020 // s
-	stallTime         = 0.5   // s; longer than the latency objectives
-	staleShare        = 0.02  // share of the hits that are stale
-	withdrawnShare    = 0.003 // share of the attempts that are withdrawn before a byte went out
-	arrivedLateShare  = 0.003 // share of the attempts that reach their host after SendBy
-	listFailedShare   = 0.3   // share of the polls of the endpoint list that fail
-	maxAgeLookupShare = 0.1   // share of the requests whose MaxAge is asked for and hashed
+	networkDelay      = 0.001 // seconds; one way
+	transferRateKB    = 1000  // KB per second of one transfer at full rate
+	tinyObjectShare   = 0.05  // share of objects that are too small for their transfer time to show a rate
+	checkpointSpan    = 2.0   // seconds between two checkpoints of a run
+	impatientShare    = 0.03  // share of requests with a short deadline
+	impatientTimeout  = 0.15  // seconds; the time until a short deadline
+	goneEarlyShare    = 0.02  // share of clients that may leave before their answer
+	streamingShare    = 0.2   // share of successful answers whose first byte is reported
+	pauseShare        = 0.05  // share of transfers that are interrupted by a pause
+	maxPause          = 0.020 // seconds
+	stallTime         = 0.5   // seconds; longer than the latency objectives
+	staleShare        = 0.02  // share of hits that are stale
+	withdrawnShare    = 0.003 // share of attempts that are withdrawn before any byte was sent
+	arrivedLateShare  = 0.003 // share of attempts that reach their host after SendBy
+	listFailedShare   = 0.3   // share of polls of the endpoint list that fail
+	maxAgeLookupShare = 0.1   // share of requests whose MaxAge is queried and hashed
 )
 
-// event is something that is due in a simulated run; equal times keep the order in which they were scheduled.
+// event is something that happens at a set time in a simulated run. Events at the same time happen in the
+// order in which they were scheduled.
 type event struct {
 	at     float64
 	number int
@@ -75,23 +76,23 @@
 	return last
 }
 
-// scriptedHost is one host of the fleet. Its fields are what a script changes during a run.
+// scriptedHost is one host of the fleet. A script changes its fields during a run.
 type scriptedHost struct {
 	endpoint    routing.Endpoint
-	slots       int     // transfers at full pace; more share them
-	queue       int     // attempts it takes; more are rejected
+	slots       int     // number of transfers at full rate; further transfers share these slots
+	queue       int     // number of attempts that it accepts; further ones are rejected
 	slowness    float64 // multiple of the usual time
-	silent      bool    // accepts connections and says nothing
+	silent      bool    // accepts connections but never responds
 	unreachable bool
-	failShare   float64            // of the answers that are errors
-	lostShare   float64            // of the answers whose connection breaks
-	stallShare  float64            // of the transfers that stall for stallTime
-	stored      map[string]float64 // objects with the time at which each was stored
-	filling     map[string]int     // fills under way by object
-	active      int                // attempts under way, and fills from it
+	failShare   float64            // share of answers that are errors
+	lostShare   float64            // share of answers whose connection breaks
+	stallShare  float64            // share of transfers that stall for stallTime
+	stored      map[string]float64 // time at which each object was stored
+	filling     map[string]int     // number of fills in progress, by object
+	active      int                // attempts in progress at the host, including fills from it
 }
 
-// scriptedFleet plays routers against scripted hosts and clients, on one clock and one seed.
+// scriptedFleet runs routers against scripted hosts and clients, with one clock and one seed.
 type scriptedFleet struct {
 	goldenCase
 	now      float64
@@ -99,7 +100,7 @@
 	queue    eventQueue
 	random   *rand.Rand
 	hosts    map[uint32]*scriptedHost
-	ids      []uint32 // of the hosts, in the order in which they came
+	ids      []uint32 // IDs of the hosts in the order in which they were added
 	shards   []*scriptedShard
 	services []routing.DeliveryService
 	lastID   uint32
@@ -110,7 +111,7 @@
 	probes   map[uint32]probeClaim
 }
 
-// scriptedRequest is a request of a client, as the adapter of a router knows it.
+// scriptedRequest is a client's request as the caller of a router tracks it.
 type scriptedRequest struct {
 	routing.Request
 	attempts []*scriptedAttempt
@@ -123,8 +124,8 @@
 	number    int
 	sentAt    float64
 	completed bool
-	active    []*scriptedHost // that it is under way at
-	fills     *scriptedHost   // whose fill it is
+	active    []*scriptedHost // hosts at which it is in progress
+	fills     *scriptedHost   // host that it fills; nil if it is not a fill
 }
 
 func newScriptedFleet(c goldenCase) *scriptedFleet {
@@ -143,7 +144,8 @@
 	for i := range f.caches {
 		f.addHost(routing.Endpoint{ID: firstCacheID + uint32(i)*7, Zone: 1, Cell: i * f.cells / f.caches, Weight: float64(8 + i%3)})
 	}
-	for i := range 3 { // of another zone: no request may go there
+	// Caches of another zone: no request may be sent there.
+	for i := range 3 {
 		f.addHost(routing.Endpoint{ID: firstCacheID - 1 - uint32(i), Zone: 0, Cell: i, Weight: 8})
 	}
 	for i := range f.parents {
@@ -186,7 +188,7 @@
 	return list
 }
 
-// run plays the whole case and gives its record.
+// run runs the whole case and returns its record.
 func (f *scriptedFleet) run() goldenRecord {
 	for _, step := range f.script {
 		f.schedule(step.at, func() { step.do(f) })
@@ -225,8 +227,8 @@
 	f.schedule(f.now+checkpointSpan, func() {
 		for _, s := range f.shards {
 			for _, id := range []uint32{0, firstCacheID, firstParentID, originID} {
-				held, refused := s.router.QuotaUsage(id)
-				s.hash('Q', id, held, refused)
+				inFlight, rejections := s.router.QuotaUsage(id)
+				s.hash('Q', id, inFlight, rejections)
 			}
 		}
 		f.record.Checkpoints = append(f.record.Checkpoints, hex.EncodeToString(f.actions.Sum(nil)[:4]))
@@ -234,10 +236,10 @@
 	})
 }
 
-// chance is true in a share of the cases.
+// chance returns true with the given probability.
 func (f *scriptedFleet) chance(share float64) bool { return f.random.Float64() < share }
 
-// object draws a name: few are popular, and most of a large catalog are seen once.
+// object draws an object name. A few names are popular, and most names of a large catalog occur once.
 func (f *scriptedFleet) object() string {
 	if f.chance(f.hotShare) {
 		return "hot"
@@ -245,7 +247,7 @@
 	return fmt.Sprint("object-", int(float64(f.objects)*math.Pow(f.random.Float64(), f.skew)))
 }
 
-// size is that of an object in KB.
+// size returns the size of an object in KB, which is drawn when the object first occurs.
 func (f *scriptedFleet) size(object string) float64 {
 	kb, known := f.sizes[object]
 	if !known {
@@ -258,19 +260,19 @@
 	return kb
 }
 
-// request has a client ask one of the shards.
+// request submits a client's request to one of the shards.
 func (f *scriptedFleet) request() {
 	f.lastID++
 	object, service := f.object(), f.random.IntN(len(f.services))
 	s := f.shards[f.random.IntN(len(f.shards))]
 	deadline := f.now + f.services[service].ViewerTimeout
 	if f.chance(impatientShare) {
-		deadline = f.now + impatientFor
+		deadline = f.now + impatientTimeout
 	}
 	r := &scriptedRequest{Request: routing.Request{
 		ID: f.lastID, Service: service, Object: object, Group: len(object) % 3, Part: f.random.IntN(2), Deadline: deadline,
 	}}
-	if f.sized {
+	if f.requestsTellSize {
 		r.SizeKB = f.size(object)
 	}
 	s.requests[r.ID] = r
@@ -285,8 +287,8 @@
 	f.schedule(gone, func() { s.clientGone(r) })
 }
 
-// change tells all shards of changes to some hosts.
-func (f *scriptedFleet) changeEndpoints(ids []uint32, change func(h *scriptedHost)) {
+// announceChanges changes some hosts and sends their new list entries to all shards.
+func (f *scriptedFleet) announceChanges(ids []uint32, change func(h *scriptedHost)) {
 	var list []routing.Endpoint
 	for _, id := range ids {
 		change(f.hosts[id])
@@ -297,7 +299,7 @@
 	}
 }
 
-// cacheIDs is those of the caches of the routers' zone from one number to before another.
+// cacheIDs returns the IDs of the caches in the routers' zone with positions in [from, to), in order of ID.
 func (f *scriptedFleet) cacheIDs(from, to int) []uint32 {
 	var ids []uint32
 	for _, id := range f.ids {
--- a/core/routing/golden_shard_test.go
+++ b/core/routing/golden_shard_test.go
@@ -8,7 +8,7 @@
 	"elderwall/core/routing"
 )
 
-// scriptedShard is one router with the adapter that records its actions and carries them out.
+// scriptedShard is one router together with the Actions that record and carry out its decisions.
 type scriptedShard struct {
 	*scriptedFleet
 	index      int
@@ -19,9 +19,9 @@
 
 var _ routing.Actions = (*scriptedShard)(nil)
 
-// call makes one call on the router and serves its retries after it.
-func (s *scriptedShard) call(what func(now float64)) {
-	what(s.now)
+// call makes one call on the router and then runs its retries.
+func (s *scriptedShard) call(method func(now float64)) {
+	method(s.now)
 	s.router.RunRetries(s.now)
 }
 
@@ -42,7 +42,7 @@
 	delete(s.requests, r.ID)
 }
 
-// complete passes the end of an attempt to the router.
+// complete passes the result of an attempt to the router.
 func (s *scriptedShard) complete(a *scriptedAttempt, result routing.AttemptResult) {
 	if a.completed {
 		return
@@ -68,14 +68,14 @@
 	if !s.answersTellSize {
 		result.FillWait = 0
 	}
-	result.Note = s.visible(result.Note)
+	result.Note = s.visibleNote(result.Note)
 	known := false
 	s.call(func(now float64) { known = s.router.HandleResult(now, result) })
 	s.hash('K', known)
 }
 
-// visible is what a note tells at the router's level of detail.
-func (s *scriptedShard) visible(note routing.Note) routing.Note {
+// visibleNote returns the note that a result carries at the router's level of detail.
+func (s *scriptedShard) visibleNote(note routing.Note) routing.Note {
 	switch {
 	case s.noteDetail == routing.FillNotes:
 		return note
@@ -95,7 +95,7 @@
 	s.serve(attempt)
 }
 
-// Cancel records that an attempt is given up, and has its host drop it.
+// Cancel records that an attempt is canceled, and ends it.
 func (s *scriptedShard) Cancel(requestID uint32, attempt int) {
 	s.record.Cancels++
 	s.hash('C', requestID, attempt)
@@ -103,27 +103,27 @@
 	s.schedule(s.now+networkDelay, func() { s.complete(a, routing.AttemptResult{Outcome: routing.Canceled}) })
 }
 
-// Shed records that a request is answered with a time to come back after.
+// Shed records that a request is rejected, with its retry time.
 func (s *scriptedShard) Shed(requestID uint32, retryAfter float64) {
 	s.record.Sheds++
 	s.hash('S', requestID, retryAfter)
 	s.requests[requestID].done = true
 }
 
-// Fail records that a request is answered with an error.
+// Fail records that a request is answered as failed.
 func (s *scriptedShard) Fail(requestID uint32) {
 	s.record.Fails++
 	s.hash('E', requestID)
 	s.requests[requestID].done = true
 }
 
-// Schedule records a timer and sets it.
+// Schedule records a timer and starts it.
 func (s *scriptedShard) Schedule(delay float64, cookie string) {
 	s.hash('T', delay, len(cookie))
 	s.schedule(s.now+delay, func() { s.call(s.router.HandleTimer) })
 }
 
-// PollEndpoints records that the endpoint list is asked for, and gives it after a while, or fails.
+// PollEndpoints records a poll of the endpoint list, and later delivers the list or a failure.
 func (s *scriptedShard) PollEndpoints() {
 	s.record.Polls++
 	s.hash('P')
@@ -137,13 +137,13 @@
 	})
 }
 
-// HostEjected reports that a host is left.
+// HostEjected does nothing, because reports are not part of the golden hash.
 func (s *scriptedShard) HostEjected(uint32) {}
 
-// HostRecovered reports that a host is trusted again.
+// HostRecovered does nothing, because reports are not part of the golden hash.
 func (s *scriptedShard) HostRecovered(uint32) {}
 
-// hash adds an action of the shard, with all bits of its arguments.
+// hash adds an action of the shard to the golden hash, with all bits of its arguments.
 func (s *scriptedShard) hash(action byte, arguments ...any) {
 	var buffer [8]byte
 	write := func(bits uint64) {
@@ -163,12 +163,12 @@
 		case bool:
 			write(map[bool]uint64{false: 0, true: 1}[x])
 		default:
-			panic(fmt.Sprintf("no way to hash a %T", x))
+			panic(fmt.Sprintf("can't hash a value of type %T", x))
 		}
 	}
 }
 
-// serve schedules how a host answers an attempt.
+// serve schedules the result of an attempt at its host.
 func (s *scriptedShard) serve(a *scriptedAttempt) {
 	h := s.hosts[a.Host]
 	fail := func(after float64, outcome routing.Outcome) {
@@ -179,7 +179,7 @@
 		fail(0.001, routing.Withdrawn)
 	case h.unreachable || h.endpoint.Phase == routing.Removed:
 		fail(0.05+0.1*s.random.Float64(), routing.Unreachable)
-	case h.silent: // it ends when the client leaves, or by a cancel
+	case h.silent: // the attempt ends when the client leaves or when it is canceled
 	case s.chance(arrivedLateShare):
 		fail(networkDelay, routing.ArrivedLate)
 	case h.active >= h.queue:
@@ -189,52 +189,53 @@
 	case s.chance(h.lostShare):
 		fail(s.transferTime(h, a)/2, routing.ConnectionLost)
 	default:
-		s.hold(a, h)
+		s.occupy(a, h)
 		s.serveCopy(a, h)
 	}
 }
 
-// hold books an attempt as active at a host until it completes.
-func (s *scriptedShard) hold(a *scriptedAttempt, h *scriptedHost) {
+// occupy counts an attempt as active at a host until it completes.
+func (s *scriptedShard) occupy(a *scriptedAttempt, h *scriptedHost) {
 	h.active++
 	a.active = append(a.active, h)
 }
 
-// transferTime is how long a host takes for the object of an attempt, as crowded as it is.
+// transferTime returns how long a host takes to send the object of an attempt, in seconds, given its current
+// load.
 func (s *scriptedShard) transferTime(h *scriptedHost, a *scriptedAttempt) float64 {
-	crowding := math.Max(1, float64(h.active)/float64(h.slots))
+	congestion := math.Max(1, float64(h.active)/float64(h.slots))
 	noise := 0.8 + 0.4*s.random.Float64()
 	pause := 0.0
 	if s.chance(pauseShare) {
-		pause = longestPause * s.random.Float64()
+		pause = maxPause * s.random.Float64()
 	}
 	if h.stallShare > 0 && s.chance(h.stallShare) {
 		pause += stallTime
 	}
-	return 2*networkDelay + pause + s.size(a.request.Object)/transferRateKB*crowding*h.slowness*noise
+	return 2*networkDelay + pause + s.size(a.request.Object)/transferRateKB*congestion*h.slowness*noise
 }
 
-// holds tells whether a host has a copy that is young enough for an attempt.
-func (s *scriptedShard) holds(h *scriptedHost, a *scriptedAttempt) bool {
+// hasFreshCopy reports whether a host has a copy that is young enough for an attempt.
+func (s *scriptedShard) hasFreshCopy(h *scriptedHost, a *scriptedAttempt) bool {
 	at, stored := h.stored[a.request.Object]
 	return stored && (a.MaxAge == 0 || s.now-at <= a.MaxAge)
 }
 
-// serveCopy answers out of what a host stores, or has it filled.
+// serveCopy answers an attempt from a stored copy of the host, or has the host fill it.
 func (s *scriptedShard) serveCopy(a *scriptedAttempt, h *scriptedHost) {
 	took := s.transferTime(h, a)
 	result := routing.AttemptResult{Outcome: routing.Succeeded, Note: routing.CacheHit}
 	switch {
 	case h.endpoint.Kind == originKind:
 		result.Note = routing.FilledByOrigin
-	case s.holds(h, a):
+	case s.hasFreshCopy(h, a):
 		if s.chance(staleShare) {
 			result.Note = routing.StaleHit
 		}
-	case h.endpoint.Kind == parentKind: // it fills itself
+	case h.endpoint.Kind == parentKind: // a parent fills itself from the origin
 		took += s.transferTime(s.hosts[originID], a)
 		result.Note = routing.FilledByOrigin
-	case a.Source == a.Host: // it is asked for a stored copy alone
+	case a.Source == a.Host: // the attempt asks for a stored copy only
 		result.Outcome, result.Note, took = routing.NotCached, routing.NoNote, 2*networkDelay
 	default:
 		s.fill(a, h, took)
@@ -243,15 +244,15 @@
 	s.finish(a, h, took, result)
 }
 
-// fill has a cache fetch the object of an attempt from the source that it names.
+// fill has a cache fetch the object of an attempt from the source that the attempt names.
 func (s *scriptedShard) fill(a *scriptedAttempt, h *scriptedHost, took float64) {
 	source, origin := s.hosts[a.Source], s.hosts[originID]
 	result := routing.AttemptResult{Outcome: routing.Succeeded, Note: routing.Filled}
-	fromOrigin := a.Source == originID || !s.holds(source, a)
+	fromOrigin := a.Source == originID || !s.hasFreshCopy(source, a)
 	switch {
 	case h.filling[a.request.Object] > 0 && a.Coalesce:
 		result.Note = routing.FillCoalesced
-	case source.silent: // nothing comes
+	case source.silent: // the source never responds
 		return
 	case source.unreachable || s.chance(source.failShare):
 		result.Outcome, result.Note = routing.HostFailed, routing.SourceFailed
@@ -268,11 +269,11 @@
 	default:
 		result.FillWait = 2 * networkDelay
 	}
-	if result.Outcome == routing.Succeeded { // bytes are passed on as they come
+	if result.Outcome == routing.Succeeded { // bytes are forwarded as they arrive
 		took = math.Max(took, s.transferTime(source, a)*s.ingressSlowness) + result.FillWait
-		s.hold(a, source)
+		s.occupy(a, source)
 		if fromOrigin {
-			s.hold(a, origin)
+			s.occupy(a, origin)
 		}
 		h.filling[a.request.Object]++
 		a.fills = h
@@ -280,7 +281,7 @@
 	s.finish(a, h, took, result)
 }
 
-// finish schedules the end of an attempt; copies are stored as it ends.
+// finish schedules the end of an attempt. Copies are stored when it ends.
 func (s *scriptedShard) finish(a *scriptedAttempt, h *scriptedHost, took float64, result routing.AttemptResult) {
 	if result.Outcome == routing.Succeeded && s.chance(streamingShare) {
 		s.schedule(s.now+took/2, func() {
@@ -301,10 +302,10 @@
 	})
 }
 
-// creditPool is the credit that all shards have together for a host in slow start.
+// creditPool is the shared credit of all shards for a host in slow start.
 type creditPool struct{ credit, since float64 }
 
-// probeClaim is the shard that probes an ejected host, and until when.
+// probeClaim tells which shard may probe an ejected host, and until when.
 type probeClaim struct {
 	shard int
 	until float64
@@ -312,19 +313,19 @@
 
 var _ routing.ShardPeers = (*scriptedShard)(nil)
 
-// AccrueCredit adds to the credit of a host.
-func (s *scriptedShard) AccrueCredit(host uint32, since, first, add, most float64) float64 {
-	s.hash('A', host, since, first, add, most)
+// AccrueCredit adds to the shared credit for a host, up to maxCredit.
+func (s *scriptedShard) AccrueCredit(host uint32, since, initial, earned, maxCredit float64) float64 {
+	s.hash('A', host, since, initial, earned, maxCredit)
 	p := s.pools[host]
 	if p == nil || p.since != since {
-		p = &creditPool{first, since}
+		p = &creditPool{initial, since}
 		s.pools[host] = p
 	}
-	p.credit = math.Min(p.credit+add, math.Max(most, p.credit))
+	p.credit = math.Min(p.credit+earned, math.Max(maxCredit, p.credit))
 	return p.credit
 }
 
-// SpendCredit takes work out of the credit of a host.
+// SpendCredit takes work from the shared credit for a host, if there is enough.
 func (s *scriptedShard) SpendCredit(host uint32, work float64) bool {
 	s.hash('W', host, work)
 	p := s.pools[host]
@@ -335,7 +336,7 @@
 	return true
 }
 
-// ClaimProbe lets one shard at a time probe a host.
+// ClaimProbe allows only one shard at a time to probe a host.
 func (s *scriptedShard) ClaimProbe(now float64, host uint32) bool {
 	claim, claimed := s.probes[host]
 	if claimed && claim.shard != s.index && now < claim.until {
@@ -345,7 +346,7 @@
 	return true
 }
 
-// Publish records an update and passes it to the other shards.
+// Publish records an update and sends it to the other shards.
 func (s *scriptedShard) Publish(u routing.PeerUpdate) {
 	s.record.PeerUpdates++
 	s.hash('U', u.Host, int(u.Limit), u.LateShare, u.Ejected, u.Until, u.Backoff)
--- a/core/routing/golden_test.go
+++ b/core/routing/golden_test.go
@@ -1,12 +1,14 @@
-// The golden test plays routers against a scripted fleet (golden_fleet_test.go, golden_shard_test.go) with fixed seeds, hashes all actions of the
-// routers with all bits of their numbers, and compares the hashes with testdata/decisions.golden.json: a change that is to
-// leave decisions as they are must leave the file as it is. What only reports (HostEjected, HostRecovered) is not hashed.
-// A change of decisions makes the file anew by
+// The golden test runs routers against a scripted fleet (golden_fleet_test.go, golden_shard_test.go) with fixed
+// seeds. It hashes all actions of the routers, with all bits of their numbers, and compares the hashes with
+// testdata/decisions.golden.json. A change that must not affect decisions must leave that file as it is.
+// HostEjected and HostRecovered only report and are not hashed.
+//
+// A change that is meant to affect decisions recreates the file with
 //
 //	go test ./core/routing -run TestGoldenDecisions -update
 //
-// and says in its commit why decisions differ. The values hold for amd64; compilers for other processors fuse
-// multiplications with additions, which changes last bits.
+// and its commit message states why decisions differ. The values are valid for amd64 only: compilers for other
+// processors fuse multiplications with additions, which changes the last bits of results.
 package routing_test
 
 import (
@@ -27,11 +29,11 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// goldenRecord is what a run of a case must come to.
+// goldenRecord is the expected outcome of a case.
 type goldenRecord struct {
 	Forwards, Cancels, Sheds, Fails, Polls, PeerUpdates int
 
-	Checkpoints []string // the beginnings of the hash at every checkpointSpan: the first that differs tells when
+	Checkpoints []string // prefixes of the hash at each checkpoint; the first difference shows when decisions diverged
 	Hash        string   // of all actions
 }
 
@@ -40,28 +42,28 @@
 	name string
 	seed uint64
 
-	seconds, rate   float64 // of the run, and requests a second
+	seconds, rate   float64 // duration of the run in seconds, and requests per second
 	objects         int
-	skew            float64 // exponent by which low object numbers are preferred
-	hotShare        float64 // share of the requests that are for one object
-	caches, cells   int     // in the zone of the routers
+	skew            float64 // exponent of the popularity; higher values prefer low object numbers more
+	hotShare        float64 // share of requests that are for one object
+	caches, cells   int     // in the routers' zone
 	parents, shards int
 
-	sized, answersTellSize bool    // whether requests and answers tell sizes
-	ingressLoad            float64 // the highest that answers report; 0 for none
-	ingressSlowness        float64 // multiple of the usual time of fills
+	requestsTellSize, answersTellSize bool    // whether requests and answers carry sizes
+	ingressLoad                       float64 // maximum that answers report; 0 for none
+	ingressSlowness                   float64 // multiple of the usual fill time
 
 	change func(s *routing.Settings)
 	script []scriptStep
 }
 
-// scriptStep is something that happens to the fleet.
+// scriptStep is a change of the fleet at a time in seconds.
 type scriptStep struct {
 	at float64
 	do func(f *scriptedFleet)
 }
 
-// goldenSettings is what the routers of a case are told, unless it changes them.
+// goldenSettings returns the settings that the routers of a case start from.
 func goldenSettings(seed uint64) routing.Settings {
 	return routing.Settings{
 		Dispatchers: 3, Seed: seed, Zone: 1, DispatchersByZone: []int{1, 2},
@@ -83,14 +85,14 @@
 	}
 }
 
-// baseCase is a fleet of moderate size in which each kind of fault happens; cases change some of it.
+// baseCase returns a fleet of moderate size in which every kind of fault occurs. Cases change parts of it.
 func baseCase(name string, seed uint64, change func(c *goldenCase)) goldenCase {
 	c := goldenCase{
 		name: name, seed: seed, seconds: 24, rate: 250, objects: 3000, skew: 3, hotShare: 0.1,
-		caches: 16, cells: 4, parents: 3, shards: 1, sized: true, answersTellSize: true, ingressSlowness: 1,
+		caches: 16, cells: 4, parents: 3, shards: 1, requestsTellSize: true, answersTellSize: true, ingressSlowness: 1,
 		script: []scriptStep{
 			{0.5, setHosts(0, 16, func(h *scriptedHost) { h.failShare, h.lostShare = 0.01, 0.01 })},
-			{1, setHosts(10, 11, func(h *scriptedHost) { h.unreachable = true })}, // for so long that its backoff is the longest
+			{1, setHosts(10, 11, func(h *scriptedHost) { h.unreachable = true })}, // its backoff reaches the maximum
 			{3, setHosts(0, 1, func(h *scriptedHost) { h.silent = true })},
 			{4, setHosts(1, 3, func(h *scriptedHost) { h.failShare = 0.8 })},
 			{5, setHosts(3, 4, func(h *scriptedHost) { h.unreachable = true })},
@@ -117,7 +119,7 @@
 	return c
 }
 
-// setHosts changes the behavior of some caches; the list does not tell.
+// setHosts changes the behavior of some caches, which the endpoint list does not show.
 func setHosts(from, to int, change func(h *scriptedHost)) func(f *scriptedFleet) {
 	return func(f *scriptedFleet) {
 		for _, id := range f.cacheIDs(from, to) {
@@ -138,9 +140,9 @@
 	return func(f *scriptedFleet) { change(f.hosts[originID]) }
 }
 
-// restart empties a host, which has been online since now.
+// restart clears the cache of hosts and announces that they have just come online.
 func restart(f *scriptedFleet, ids []uint32) {
-	f.changeEndpoints(ids, func(h *scriptedHost) {
+	f.announceChanges(ids, func(h *scriptedHost) {
 		clear(h.stored)
 		h.endpoint.OnlineSince, h.endpoint.OnlineSinceKnown = f.now, true
 	})
@@ -158,13 +160,14 @@
 	}
 }
 
-// drainCaches has some caches drain, and a second later go; as many new ones come in their place.
+// drainCaches makes some caches drain and removes them a second later, when the same number of new caches is
+// added.
 func drainCaches(from, to int) func(f *scriptedFleet) {
 	return func(f *scriptedFleet) {
 		ids := f.cacheIDs(from, to)
-		f.changeEndpoints(ids, func(h *scriptedHost) { h.endpoint.Phase = routing.Draining })
+		f.announceChanges(ids, func(h *scriptedHost) { h.endpoint.Phase = routing.Draining })
 		f.schedule(f.now+1, func() {
-			f.changeEndpoints(ids, func(h *scriptedHost) { h.endpoint.Phase = routing.Removed })
+			f.announceChanges(ids, func(h *scriptedHost) { h.endpoint.Phase = routing.Removed })
 			var added []uint32
 			for _, id := range ids {
 				e := f.hosts[id].endpoint
@@ -177,7 +180,7 @@
 	}
 }
 
-// purge tells all shards of a purge so many seconds after it, and has clients ask at the same moment.
+// purge sends all shards a purge that was issued age seconds ago, and submits requests at the same moment.
 func purge(object string, group int, age float64) func(f *scriptedFleet) {
 	return func(f *scriptedFleet) {
 		for _, s := range f.shards {
@@ -189,16 +192,17 @@
 	}
 }
 
-// setQuota shares out a bound on the attempts at a host; host 0 is what may need the origin.
-func setQuota(host uint32, most int) func(f *scriptedFleet) {
+// setQuota sets a quota for the attempts at a host in all shards. With host 0 it applies to attempts that may
+// need the origin.
+func setQuota(host uint32, quota int) func(f *scriptedFleet) {
 	return func(f *scriptedFleet) {
 		for _, s := range f.shards {
-			s.call(func(float64) { s.router.SetQuota(host, most) })
+			s.call(func(float64) { s.router.SetQuota(host, quota) })
 		}
 	}
 }
 
-// manyHosts is a fleet of 300 caches in racks.
+// manyHosts changes a case to a fleet of 300 caches in racks.
 func manyHosts(c *goldenCase) {
 	c.caches, c.cells, c.rate, c.hotShare = 300, 15, 400, 0.4
 	c.script = []scriptStep{
@@ -215,7 +219,7 @@
 	}
 }
 
-// service changes both delivery services of a case.
+// service returns a change of settings that applies to both delivery services of a case.
 func service(change func(d *routing.DeliveryService)) func(s *routing.Settings) {
 	return func(s *routing.Settings) {
 		for i := range s.Services {
@@ -228,7 +232,7 @@
 	return slices.Concat(fleetCases(), settingsCases(), loadCases())
 }
 
-// fleetCases is fleets of several sizes and seeds.
+// fleetCases returns fleets of several sizes, with several seeds.
 func fleetCases() []goldenCase {
 	return []goldenCase{
 		baseCase("one module", 1, nil),
@@ -242,7 +246,7 @@
 		baseCase("300 hosts in racks", 21, manyHosts),
 		baseCase("300 hosts in racks, two shards", 22, func(c *goldenCase) {
 			manyHosts(c)
-			c.shards, c.sized = 2, false
+			c.shards, c.requestsTellSize = 2, false
 		}),
 		baseCase("as few hosts as speak for their racks", 29, func(c *goldenCase) {
 			manyHosts(c)
@@ -268,7 +272,7 @@
 	}
 }
 
-// settingsCases is the base fleet under other settings of the routers.
+// settingsCases returns the base fleet with other settings of the routers.
 func settingsCases() []goldenCase {
 	settings := func(change func(s *routing.Settings)) func(c *goldenCase) {
 		return func(c *goldenCase) { c.change = change }
@@ -305,11 +309,11 @@
 	}
 }
 
-// loadCases is what is asked for, what answers tell, and too much of it.
+// loadCases returns cases that vary the load, the object sizes and what results report.
 func loadCases() []goldenCase {
 	return []goldenCase{
-		baseCase("sizes not told", 15, func(c *goldenCase) { c.sized, c.answersTellSize = false, false }),
-		baseCase("sizes told by answers alone", 16, func(c *goldenCase) { c.sized = false }),
+		baseCase("sizes not told", 15, func(c *goldenCase) { c.requestsTellSize, c.answersTellSize = false, false }),
+		baseCase("sizes told by answers alone", 16, func(c *goldenCase) { c.requestsTellSize = false }),
 		baseCase("ingress reported crowded", 17, func(c *goldenCase) { c.ingressLoad = 2.2 }),
 		baseCase("ingress slow", 27, func(c *goldenCase) { c.ingressSlowness = 6 }),
 		baseCase("a slow origin from the start", 28, func(c *goldenCase) {
@@ -326,7 +330,7 @@
 			c.script = append(c.script, scriptStep{2, setHosts(0, 6, func(h *scriptedHost) { h.slots, h.queue, h.slowness = 2, 12, 2 })})
 		}),
 		baseCase("some caches crowded", 26, func(c *goldenCase) {
-			c.rate, c.objects, c.skew, c.sized = 500, 500, 4, false
+			c.rate, c.objects, c.skew, c.requestsTellSize = 500, 500, 4, false
 			for i := range 10 {
 				slowness := float64(8 + 4*i)
 				c.script = append(c.script, scriptStep{float64(i) + 2, setHosts(6, 10, func(h *scriptedHost) { h.slowness = slowness })})
@@ -347,9 +351,10 @@
 	}
 }
 
+// Guards against unintended changes of decisions: each case must produce the recorded hash of all actions.
 func TestGoldenDecisions(t *testing.T) {
 	if runtime.GOARCH != "amd64" {
-		t.Skip("the golden values are those of amd64")
+		t.Skip("the golden values are valid for amd64 only")
 	}
 	path := filepath.Join("testdata", "decisions.golden.json")
 	got := map[string]goldenRecord{}
@@ -363,7 +368,7 @@
 		return
 	}
 	raw, err := os.ReadFile(path)
-	require.NoError(t, err, "it is made by -update")
+	require.NoError(t, err, "the golden file is created with -update")
 	want := map[string]goldenRecord{}
 	require.NoError(t, json.Unmarshal(raw, &want))
 	require.Len(t, got, len(want), "cases")
--- a/core/routing/harness_test.go
+++ b/core/routing/harness_test.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// Identifiers of the hosts in newCluster.
+// These are the IDs of the hosts in newCluster.
 const cacheA, cacheB, cacheC, parentA, parentB, origin = 11, 12, 13, 21, 22, 31
 
-// recorder is an Actions that records what the router decided.
+// recorder is an Actions that records the decisions of a router.
 type recorder struct {
 	attempts          []Attempt
-	shed, failed      []uint32 // request identifiers
-	retryAfter        float64  // s; of the request that was shed last
+	shed, failed      []uint32 // request IDs
+	retryAfter        float64  // seconds; of the request that was shed last
 	cancelled, events []string
 }
 
@@ -38,10 +38,10 @@
 // last returns the attempt that was sent last.
 func (rec *recorder) last() Attempt { return rec.attempts[len(rec.attempts)-1] }
 
-// ejectedEvent is what a recorder records of a host that was ejected.
+// ejectedEvent returns the event that a recorder records when a host is ejected.
 func ejectedEvent(host uint32) string { return fmt.Sprintf("host %d ejected", host) }
 
-// recoveredEvent is what a recorder records of a host that has recovered.
+// recoveredEvent returns the event that a recorder records when a host has recovered.
 func recoveredEvent(host uint32) string { return fmt.Sprintf("host %d recovered", host) }
 
 // testSettings returns the settings that tests start from.
@@ -80,7 +80,8 @@
 	return Endpoint{ID: id, Kind: kind, Cell: int(id), Phase: phase, Weight: 1}
 }
 
-// newCluster starts a router that knows three caches, two parents and the origin.
+// newCluster starts a router that knows three caches, two parents and the origin. change may adjust its
+// settings.
 func newCluster(change func(*Settings)) (*Router, *recorder) {
 	settings := testSettings()
 	if change != nil {
@@ -95,13 +96,13 @@
 	return r, rec
 }
 
-// submit has the router handle a request and the retries that are due.
+// submit submits a request to the router and then runs retries.
 func submit(r *Router, now float64, id uint32, object string) {
 	r.HandleRequest(now, Request{ID: id, Object: object, Deadline: now + 5})
 	r.RunRetries(now)
 }
 
-// respond has the router handle the result of an attempt and the retries that are due.
+// respond passes the result of an attempt to the router and then runs retries.
 func respond(r *Router, now float64, id uint32, attempt int, outcome Outcome, note Note) {
 	r.HandleResult(now, AttemptResult{
 		RequestID: id, Attempt: attempt, Outcome: outcome, Note: note, Elapsed: 0.1, Final: outcome == Succeeded,
@@ -109,13 +110,13 @@
 	r.RunRetries(now)
 }
 
-// runTimer has the router handle its periodic timer and the retries that are due.
+// runTimer triggers the router's periodic timer and then runs retries.
 func runTimer(r *Router, now float64) {
 	r.HandleTimer(now)
 	r.RunRetries(now)
 }
 
-// runTimers runs the periodic timer from one time to another.
+// runTimers triggers the periodic timer every 10 ms from one time to another, in seconds.
 func runTimers(r *Router, from, to float64) {
 	for now := from; now <= to; now += 0.01 {
 		runTimer(r, now)
@@ -125,20 +126,20 @@
 // noResponse is the outcome of an attempt that the host never answers.
 const noResponse = Outcome(-1)
 
-// hostBehavior gives the result of an attempt for the request of a position, from 0.
+// hostBehavior returns the result of an attempt for the request at a position in the traffic, counted from 0.
 type hostBehavior func(position uint32, a Attempt) (Outcome, Note)
 
 func alwaysHit(uint32, Attempt) (Outcome, Note) { return Succeeded, CacheHit }
 
-// traffic is requests at a steady rate.
+// traffic is a series of requests at a constant rate.
 type traffic struct {
-	from, to float64 // s
-	interval float64 // s; between two requests
+	from, to float64 // seconds
+	interval float64 // seconds between two requests
 	firstID  uint32
 	respond  hostBehavior
 }
 
-// run submits the requests and responds to all attempts. Attempts with no response are canceled in the end.
+// run submits the requests and responds to all attempts. Attempts without a response are canceled at the end.
 func (t traffic) run(r *Router, rec *recorder) {
 	handled, attempts := len(rec.attempts), map[uint32]int{}
 	var unanswered []AttemptResult
--- a/core/routing/host_result.go
+++ b/core/routing/host_result.go
@@ -1,6 +1,6 @@
 package routing
 
-// maxRejections is the number of rejections after which a request finds all hosts full.
+// maxRejections is the number of rejections above which a request is given up, as all hosts seem to be full.
 const maxRejections = 1
 
 // observeHost learns from a result how fast and how healthy its host is.
@@ -11,7 +11,7 @@
 	case HostFailed, ConnectionLost, Unreachable, TimedOut:
 		r.observeFailure(q, a)
 	case Rejected, NotCached:
-		sourceMissed := a.result.Outcome == NotCached && a.filled()
+		sourceMissed := a.result.Outcome == NotCached && a.hasFillSource()
 		if !a.result.Note.blamesSource() && !sourceMissed {
 			q.avoid(a.host)
 		}
@@ -31,10 +31,10 @@
 	r.costs.learnResponse(q, a)
 	q.object.cachedAt, q.object.cachedUntil = h, r.now+windowSpan
 	if a.result.Note == CacheHit || r.NoteDetail == NoNotes && !a.isFill {
-		r.limits.observe(a, a.result.Elapsed > a.objective, a.limits.counted[:2])
+		r.limits.observe(a, a.result.Elapsed > a.objective, a.limits.acquired[:2])
 	}
 	r.outliers.observeSuccess(h)
-	for _, accused := range q.accused {
+	for _, accused := range q.failedHosts {
 		r.outliers.observeFault(accused, faultWeight)
 	}
 }
@@ -44,15 +44,17 @@
 	idempotent := q.service.Idempotency == Idempotent
 	switch {
 	case a.result.Note.blamesSource() || outcome == TimedOut && !h.health.silentSince(a.sentAt):
-	case outcome == HostFailed && idempotent: // no host can use some requests: others tell
-		q.accused = append(q.accused, h)
-	case outcome == HostFailed || outcome == ConnectionLost: // connections break at healthy hosts too
+	// Some requests fail at every host, so only an answer from another host proves the fault.
+	case outcome == HostFailed && idempotent:
+		q.failedHosts = append(q.failedHosts, h)
+	// Connections also break at healthy hosts, so this counts less than an unreachable host.
+	case outcome == HostFailed || outcome == ConnectionLost:
 		r.outliers.observeFault(h, faultWeight)
 	default:
 		r.outliers.observeUnreachable(h)
 	}
-	mayStillHold := outcome == ConnectionLost && idempotent && q.attemptsAt(h) <= 1
-	if !mayStillHold {
+	retrySameHost := outcome == ConnectionLost && idempotent && q.attemptsAt(h) <= 1
+	if !retrySameHost {
 		q.avoid(h)
 	}
 }
--- a/core/routing/large_cluster_test.go
+++ b/core/routing/large_cluster_test.go
@@ -10,9 +10,9 @@
 	"elderwall/core/routing/grouphealth"
 )
 
-// scheduledResult is the result of an attempt at a time.
+// scheduledResult is the result of an attempt that is due at a time.
 type scheduledResult struct {
-	at     float64 // s
+	at     float64 // seconds
 	result AttemptResult
 }
 
@@ -24,9 +24,9 @@
 	now            float64
 	lastID         uint32
 	hosts          []Endpoint
-	unreachable    map[uint32]bool // hosts
-	failedAttempts int             // at unreachable hosts
-	attempts       map[uint32]int  // sent so far, by request
+	unreachable    map[uint32]bool // by host ID
+	failedAttempts int             // attempts at unreachable hosts
+	attempts       map[uint32]int  // number sent so far, by request ID
 	pending        []scheduledResult
 }
 
@@ -45,7 +45,7 @@
 	return c
 }
 
-// rack returns the caches of a rack.
+// rack returns the IDs of the caches in a rack.
 func (c *largeCluster) rack(cell int) (ids []uint32) {
 	for _, h := range c.hosts {
 		if h.Kind == 0 && h.Cell == cell {
@@ -55,8 +55,8 @@
 	return ids
 }
 
-// run submits requests, one each millisecond, and returns how many attempts succeeded. That a host is unreachable is known
-// after a tenth of a second.
+// run submits one request per millisecond, and returns how many attempts succeeded. An attempt at an
+// unreachable host fails after 0.1 s.
 func (c *largeCluster) run(requests int) (succeeded int) {
 	for range requests {
 		c.now += 0.001
@@ -71,7 +71,7 @@
 	return succeeded
 }
 
-// serve has hosts take the attempts that were sent, and returns how many succeeded.
+// serve has hosts serve the attempts that were sent, and returns how many succeeded.
 func (c *largeCluster) serve() (succeeded int) {
 	for len(c.rec.attempts) > 0 {
 		a, number := c.nextAttempt()
@@ -87,7 +87,7 @@
 	return succeeded
 }
 
-// nextAttempt takes the next attempt that was sent, with its number.
+// nextAttempt removes and returns the next attempt that was sent, with its number.
 func (c *largeCluster) nextAttempt() (a Attempt, number int) {
 	a, c.rec.attempts = c.rec.attempts[0], c.rec.attempts[1:]
 	number = c.attempts[a.RequestID]
@@ -95,7 +95,7 @@
 	return a, number
 }
 
-// returnPending returns the results that are due. Results are pending in the order of their times.
+// returnPending returns the results that are due. It requires that results are pending in order of time.
 func (c *largeCluster) returnPending() {
 	for len(c.pending) > 0 && c.pending[0].at <= c.now {
 		c.router.HandleResult(c.now, c.pending[0].result)
@@ -104,9 +104,9 @@
 	}
 }
 
-// A rack that vanishes is detected as a group: its hosts get only trial requests, as few as the budget allows, and are used again
-// once some respond.
-func TestARackThatVanishes(t *testing.T) {
+// When whole racks become unreachable, their hosts are suspected as a group. They receive only probes, within
+// the probe budget, and are used again after some of them have responded.
+func TestUnreachableRackIsDetectedAsGroup(t *testing.T) {
 	c := newLargeCluster(t, 10, 30)
 	c.run(3000)
 	assert.Zero(t, c.failedAttempts)
@@ -117,9 +117,9 @@
 	undetected := c.failedAttempts
 	c.failedAttempts = 0
 	c.run(5000)
-	assert.Less(t, undetected, 100, "failed attempts until the first failures are known")
-	assert.Less(t, c.failedAttempts, 5000/20, "trial requests within their budget")
-	assert.Greater(t, c.failedAttempts, 20, "some trial requests")
+	assert.Less(t, undetected, 100, "failed attempts before the first failures are reported")
+	assert.Less(t, c.failedAttempts, 5000/20, "probes stay within their budget")
+	assert.Greater(t, c.failedAttempts, 20, "some probes are sent")
 	clear(c.unreachable)
 	c.failedAttempts = 0
 	c.run(9000)
@@ -133,8 +133,9 @@
 	assert.Less(t, unused, 6, "hosts that are reachable and still ejected or suspected")
 }
 
-// The cost of attempts at unreachable hosts says nothing of fills: the fill limit is not cut.
-func TestLostHostsDoNotCutTheFillLimit(t *testing.T) {
+// Attempts at unreachable hosts show nothing about fills. Guards against their failures cutting the fill
+// limit.
+func TestUnreachableHostsDoNotCutFillLimit(t *testing.T) {
 	c := newLargeCluster(t, 10, 30)
 	c.run(1000)
 	before := c.router.limits.fills.max
@@ -145,8 +146,8 @@
 	assert.Equal(t, before, c.router.limits.fills.max, "the fill limit")
 }
 
-// A few hosts are judged one by one, with no groups.
-func TestFewHostsHaveNoGroup(t *testing.T) {
+// With few hosts there are no groups, and each host is judged by itself.
+func TestFewHostsHaveNoGroups(t *testing.T) {
 	c := newLargeCluster(t, 2, 6)
 	for _, h := range c.router.endpoints.caches {
 		assert.Nil(t, h.health.group)
@@ -156,13 +157,13 @@
 	assert.Greater(t, c.failedAttempts, 1, "one failure does not eject a host of few")
 }
 
-// Requests for objects that were chosen because they all prefer one cache: other caches take over what it can't serve within the
-// latency objective.
-func TestAFloodOfObjectsForOneHost(t *testing.T) {
+// Guards against overload of one cache by requests for objects that were chosen because they all prefer it.
+// Other caches take over what it can't serve within the latency objective.
+func TestObjectsThatPreferOneHostSpillOver(t *testing.T) {
 	c := newLargeCluster(t, 10, 30)
 	const (
 		target      = 7919
-		serviceTime = 0.005 // s; a host serves 200 requests a second, and is sent 1,000
+		serviceTime = 0.005 // seconds; a host can serve 200 requests per second, and 1,000 are requested
 		requests    = 6000
 	)
 	objects := c.objectsThatPrefer(target, 200)
@@ -188,12 +189,12 @@
 		}
 		c.returnPendingInAnyOrder()
 	}
-	assert.Less(t, sent[target], requests/2, "others take over")
+	assert.Less(t, sent[target], requests/2, "other caches take over")
 	assert.Less(t, late, requests/8, "late responses")
-	assert.Less(t, len(c.rec.shed)+len(c.rec.failed), requests/20, "requests that are not served")
+	assert.Less(t, len(c.rec.shed)+len(c.rec.failed), requests/20, "requests that are shed or failed")
 }
 
-// objectsThatPrefer finds objects whose first cache is the given one.
+// objectsThatPrefer returns objects whose order of caches begins with the given cache.
 func (c *largeCluster) objectsThatPrefer(cache uint32, count int) (objects []string) {
 	for i := 0; len(objects) < count; i++ {
 		name := fmt.Sprintf("%016x", i)
@@ -207,7 +208,7 @@
 	return objects
 }
 
-// returnPendingInAnyOrder returns the results that are due, where they are not pending in the order of their times.
+// returnPendingInAnyOrder returns the results that are due when results are not pending in order of time.
 func (c *largeCluster) returnPendingInAnyOrder() {
 	c.pending = slices.DeleteFunc(c.pending, func(p scheduledResult) bool {
 		if p.at > c.now {
@@ -219,8 +220,9 @@
 	})
 }
 
-// Time that stands still, goes back, or jumps by an hour: every request has one answer, and later ones are served.
-func TestTimeThatStandsStillOrJumps(t *testing.T) {
+// Guards against a clock that stands still, goes back, or jumps ahead by an hour. Every request still has one
+// answer, and later requests are served.
+func TestClockThatStandsStillOrJumps(t *testing.T) {
 	c := newLargeCluster(t, 10, 30)
 	c.run(200)
 	for range 50 {
@@ -230,10 +232,10 @@
 	}
 	open := len(c.router.requests.byID)
 	runTimer(c.router, c.now-5)
-	assert.Len(t, c.router.requests.byID, open, "time that goes back ends no request")
+	assert.Len(t, c.router.requests.byID, open, "no request ends when the clock goes back")
 	c.now += 3600
 	runTimer(c.router, c.now)
-	assert.Equal(t, 50, len(c.rec.shed)+len(c.rec.failed), "requests in flight are shed or failed at once")
+	assert.Equal(t, 50, len(c.rec.shed)+len(c.rec.failed), "requests in flight are shed or failed immediately")
 	for id := c.lastID - 49; id <= c.lastID; id++ {
 		for number := range c.attempts[id] + 1 {
 			c.router.HandleResult(c.now, AttemptResult{RequestID: id, Attempt: number, Outcome: Canceled})
@@ -244,8 +246,9 @@
 	assert.Equal(t, 200, c.run(200))
 }
 
-// A host of many that is added, removed, moved to another rack or added again is in its group and in the order, or in neither.
-func TestCachesThatAreAddedAndRemoved(t *testing.T) {
+// A cache is in the order of caches and in its group exactly while it is listed. Guards against caches that
+// are lost or duplicated when they are removed, added again, listed twice, or moved to another rack.
+func TestCacheOrderAndGroupsFollowEndpointList(t *testing.T) {
 	c := newLargeCluster(t, 10, 30)
 	first := func() (id uint32) {
 		c.router.endpoints.cacheOrder.Walk(12345, nil, 0, func(h *host) bool { id = h.ID; return false })
@@ -262,7 +265,7 @@
 	e.Phase, e.Cell = Ready, 77
 	c.router.UpdateEndpoints(2, ListChanges, []Endpoint{e, e})
 	assert.Equal(t, id, first())
-	assert.Len(t, c.router.endpoints.caches, 300, "listed twice, it is known once")
+	assert.Len(t, c.router.endpoints.caches, 300, "a host that is listed twice is known once")
 	assert.True(t, c.router.endpoints.byID[id].health.group.In(grouphealth.Group{Cell: 77}))
 	e.Cell = 78
 	c.router.UpdateEndpoints(3, ListChanges, []Endpoint{e})
--- a/core/routing/object_size_test.go
+++ b/core/routing/object_size_test.go
@@ -10,49 +10,50 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// sizeClass is a class of objects of one size.
+// sizeClass is a class of objects of the same size.
 type sizeClass struct {
-	share float64 // of the requests
-	work  float64 // s; sending time of one
+	share float64 // share of the requests
+	work  float64 // seconds; sending time of one object
 }
 
-// sizeClasses are such that the largest tenth takes six times the mean and makes up half of the work.
+// sizeClasses are chosen so that the largest tenth of the requests takes six times the mean sending time, and
+// makes up more than half of the work.
 var sizeClasses = [...]sizeClass{{0.7, 0.03}, {0.2, 0.2}, {0.1, 1}}
 
 const (
-	meanSendingTime = 0.161 // s; over sizeClasses
-	sizeStep        = 0.01  // s
-	sizeHosts       = 6
+	meanSendingTime = 0.161 // seconds; mean over sizeClasses
+	sizeStepSpan    = 0.01  // seconds
+	sizeHostCount   = 6
 	slotsPerHost    = 4
-	sizeObjects     = 2000
-	countFrom       = 10 // s; requests before it are not counted
-	submitUntil     = 40 // s
-	sizeRunEnd      = submitUntil + 5
+	sizeObjectCount = 2000
+	countedFrom     = 10              // seconds; earlier requests are not counted
+	submitUntil     = 40              // seconds
+	sizeRunEnd      = submitUntil + 5 // seconds
 )
 
-// sizeScenario is a load of objects of several sizes.
+// sizeScenario is a load with objects of several sizes.
 type sizeScenario struct {
 	processes  int
 	load       float64 // multiple of the capacity of all hosts
 	note       Note
-	abortLarge bool // an injected fault: hosts abort what takes more than three times the mean
+	abortLarge bool // injected fault: hosts abort attempts that take more than three times the mean
 	seed       uint64
 }
 
-// sizeRun has processes send to hosts of a few slots each, which serve requests in order; a request
-// occupies its slot to the end.
+// sizeRun simulates processes that send to hosts with a few slots each. A host serves requests in order, and
+// a request occupies its slot until it ends.
 type sizeRun struct {
 	sizeScenario
 	random       *rand.Rand
 	recorders    []*recorder
 	routers      []*Router
-	attempts     map[uint32]int // sent so far, by request
-	classOf      map[uint32]int // index into sizeClasses, by request
+	attempts     map[uint32]int // number sent so far, by request ID
+	classOf      map[uint32]int // index into sizeClasses, by request ID
 	lastID       uint32
-	firstCounted uint32               // the first request that is counted
-	freeAt       map[uint32][]float64 // s; when each slot of a host is free
-	inFlight     map[string]bool      // by attemptKey
-	due          map[int][]AttemptResult
+	firstCounted uint32                    // ID of the first request that is counted
+	freeAt       map[uint32][]float64      // seconds; when each slot of a host becomes free
+	inFlight     map[string]bool           // by attemptKey
+	resultsDue   map[int][]AttemptResult   // by number of the step
 	requested    [len(sizeClasses)]float64 // by class
 	answered     [len(sizeClasses)]float64 // by class
 }
@@ -66,10 +67,10 @@
 		firstCounted: math.MaxUint32,
 		freeAt:       map[uint32][]float64{},
 		inFlight:     map[string]bool{},
-		due:          map[int][]AttemptResult{},
+		resultsDue:   map[int][]AttemptResult{},
 	}
 	var endpoints []Endpoint
-	for i := range sizeHosts {
+	for i := range sizeHostCount {
 		id := uint32(100 + i)
 		endpoints = append(endpoints, endpoint(id, 0, Ready))
 		run.freeAt[id] = make([]float64, slotsPerHost)
@@ -92,11 +93,12 @@
 	run.recorders, run.routers = append(run.recorders, rec), append(run.routers, r)
 }
 
-// runSizes returns the share of the requests of each class that is answered, and that of all requests.
+// runSizes returns the share of the requests that were answered, for each class and for all requests
+// together.
 func runSizes(scenario sizeScenario) (shares [len(sizeClasses)]float64, all float64) {
 	run := newSizeRun(scenario)
-	for step := 0; float64(step)*sizeStep < sizeRunEnd; step++ {
-		now := float64(step) * sizeStep
+	for step := 0; float64(step)*sizeStepSpan < sizeRunEnd; step++ {
+		now := float64(step) * sizeStepSpan
 		run.runTimers(now)
 		run.returnResults(step, now)
 		if now < submitUntil {
@@ -117,9 +119,9 @@
 	}
 }
 
-// returnResults returns the results that are due in a step, but for those of attempts that were cancelled.
+// returnResults returns the results that are due in a step, except those of canceled attempts.
 func (run *sizeRun) returnResults(step int, now float64) {
-	for _, result := range run.due[step] {
+	for _, result := range run.resultsDue[step] {
 		key := attemptKey(result.RequestID, result.Attempt)
 		if !run.inFlight[key] {
 			continue
@@ -132,17 +134,17 @@
 		run.handleResult(process, now, result)
 		run.flush(process, now)
 	}
-	delete(run.due, step)
+	delete(run.resultsDue, step)
 }
 
 // submitRequests submits the requests of one step.
 func (run *sizeRun) submitRequests(now float64) {
-	for range poisson(run.random, run.load*sizeHosts*slotsPerHost/meanSendingTime*sizeStep) {
+	for range poisson(run.random, run.load*sizeHostCount*slotsPerHost/meanSendingTime*sizeStepSpan) {
 		run.lastID++
 		id := run.lastID
 		class, object := run.drawObject()
 		run.classOf[id] = class
-		if now >= countFrom {
+		if now >= countedFrom {
 			run.requested[class]++
 			run.firstCounted = min(run.firstCounted, id)
 		}
@@ -152,17 +154,17 @@
 	}
 }
 
-// drawObject draws an object: its class, and its number there, which is below 0.
+// drawObject draws an object: its class, and its number within that class, which is negative.
 func (run *sizeRun) drawObject() (class, object int) {
-	object = run.random.IntN(sizeObjects)
+	object = run.random.IntN(sizeObjectCount)
 	class = slices.IndexFunc(sizeClasses[:], func(c sizeClass) bool {
-		object -= int(c.share * sizeObjects)
+		object -= int(c.share * sizeObjectCount)
 		return object < 0
 	})
 	return class, object
 }
 
-// flush has hosts take what a process sends, and abort what it cancels.
+// flush has hosts serve the attempts that a process sends, and abort those that it cancels.
 func (run *sizeRun) flush(process int, now float64) {
 	rec := run.recorders[process]
 	for len(rec.attempts)+len(rec.cancelled) > 0 {
@@ -177,7 +179,7 @@
 	}
 }
 
-// serve puts an attempt into the slot of its host that is free first.
+// serve assigns an attempt to the slot of its host that becomes free first.
 func (run *sizeRun) serve(a Attempt, now float64) {
 	number := run.attempts[a.RequestID]
 	run.attempts[a.RequestID]++
@@ -190,14 +192,14 @@
 	slots[slot] = max(slots[slot], now) + work
 	elapsed := slots[slot] - now
 	run.inFlight[attemptKey(a.RequestID, number)] = true
-	step := int((now+elapsed)/sizeStep) + 1
-	run.due[step] = append(run.due[step], AttemptResult{
+	step := int((now+elapsed)/sizeStepSpan) + 1
+	run.resultsDue[step] = append(run.resultsDue[step], AttemptResult{
 		RequestID: a.RequestID, Attempt: number, Outcome: outcome, Note: run.note,
 		Elapsed: elapsed, SizeKB: work * 1000, Final: outcome == Succeeded,
 	})
 }
 
-// cancel returns the result of an attempt in flight as canceled.
+// cancel returns a canceled result for an attempt in flight.
 func (run *sizeRun) cancel(process int, key string, now float64) {
 	if !run.inFlight[key] {
 		return
@@ -213,27 +215,28 @@
 	run.routers[process].RunRetries(now)
 }
 
-// attemptKey names an attempt as recorder.Cancel does.
+// attemptKey identifies an attempt in the same format as recorder.Cancel.
 func attemptKey(requestID uint32, attempt int) string { return fmt.Sprint(requestID, "/", attempt) }
 
-// Of the largest tenth of the requests, and of the next fifth, the share that is answered is at least two thirds of that of all
-// requests at low load, and half of it under a load at which limits shed.
-func TestLargeObjectsGetTheirShare(t *testing.T) {
+// Guards against limits that reject mostly large objects. The answered shares of the largest tenth of the
+// requests and of the next fifth must reach two thirds of the overall share under low load, and half of it
+// under a load at which limits reject requests.
+func TestLargeObjectsAreAnsweredAtFairShare(t *testing.T) {
 	for _, processes := range []int{3, 30, 300} {
-		for load, least := range map[float64]float64{0.5: 2.0 / 3, 1.3: 0.5, 2.5: 0.5} {
+		for load, minRatio := range map[float64]float64{0.5: 2.0 / 3, 1.3: 0.5, 2.5: 0.5} {
 			for _, note := range []Note{CacheHit, Filled} {
 				name := fmt.Sprintf("%d processes, load %.1f, note %d", processes, load, note)
 				shares, all := runSizes(sizeScenario{processes: processes, load: load, note: note, seed: 1})
 				t.Logf("%s: answered %.3f, by size %.3f", name, all, shares)
-				assert.GreaterOrEqual(t, shares[2], least*all, "%s: share answered of the largest tenth", name)
-				assert.GreaterOrEqual(t, shares[1], least*all, "%s: share answered of the next fifth", name)
+				assert.GreaterOrEqual(t, shares[2], minRatio*all, "%s: share answered of the largest tenth", name)
+				assert.GreaterOrEqual(t, shares[1], minRatio*all, "%s: share answered of the next fifth", name)
 			}
 		}
 	}
 }
 
-// The check finds hosts that abort what takes more than three times the mean.
-func TestLargeObjectsThatAreEndedEarlyAreFound(t *testing.T) {
+// The check of the previous test detects hosts that abort attempts taking more than three times the mean.
+func TestFairShareCheckDetectsAbortedLargeObjects(t *testing.T) {
 	shares, all := runSizes(sizeScenario{processes: 3, load: 0.5, note: CacheHit, abortLarge: true, seed: 1})
 	assert.Less(t, shares[2], 2.0/3*all, "the injected fault lowers the share of the largest tenth")
 }
--- a/core/routing/object_table.go
+++ b/core/routing/object_table.go
@@ -11,67 +11,69 @@
 )
 
 const (
-	objectTableSize = 1 << 15 // objects; bounds the table to a few MB
+	objectTableSize = 1 << 15 // objects; limits the memory of the table to a few MB
 
-	// sketchBytes is the size of the counts of objects that the table has evicted: some 65,000 by bucket,
-	// which a tenth of those that a core could be asked for in the window overfill.
+	// sketchBytes is the size of the sketch that counts evicted objects. It holds some 65,000 objects per
+	// bucket. A tenth of the objects that one core could be asked for within the window would overfill it.
 	sketchBytes = 1 << 21
 )
 
-// object is a cacheable object in the table. Caches keep each part by itself, so each part is an object here.
+// object is a cacheable object in the table. Caches store each part separately, so each part is a separate
+// object.
 type object struct {
 	key             objectKey
-	hash            uint64 // of name and part, for the order of caches
-	nameHash        uint64 // of the name alone, for the order of parents
+	hash            uint64 // of name and part; places the object in the order of caches
+	nameHash        uint64 // of the name alone; places the object in the order of parents
 	demand          windowedSum
 	listElement     *list.Element
 	requestedBefore bool    // it was requested before the current request
-	lastRequested   float64 // s
-	sizeKB          float64 // by the last answer, 0 before
-	cachedAt        *host   // the cache that answered it last
-	cachedUntil     float64 // s; until when it is thought to have it cached
+	lastRequested   float64 // seconds
+	sizeKB          float64 // according to the last answer; 0 if there was none
+	cachedAt        *host   // the cache that answered for it last
+	cachedUntil     float64 // seconds; until then that cache is assumed to have it
 
-	cacheOrder, parentOrder *rendezvous.Prefix // the beginnings of its orders of hosts
+	cacheOrder, parentOrder *rendezvous.Prefix // the first hosts in its rendezvous orders
 }
 
-// objectKey names an object.
+// objectKey identifies an object.
 type objectKey struct {
 	name string
 	part int
 }
 
-// cachedBy reports whether a cache is thought to have the object cached.
+// cachedBy reports whether a cache is assumed to have the object.
 func (o *object) cachedBy(h *host, now float64) bool { return o.cachedAt == h && now < o.cachedUntil }
 
-// objectTable finds objects by name and evicts the least recently used ones beyond its size.
+// objectTable finds objects by name, and evicts the least recently used one when it exceeds its size.
 //
-// Guards against a long day on which objects that nobody requests any more fill it, at 360 bytes each: of an
-// idle object, of which nothing counts any more but that it was requested, and its size, only these two are
-// remembered.
+// Guards against running full, over a long day, with objects that nobody requests any more, at 360 bytes
+// each. Of an idle object only its size and the fact that it was requested still matter, so only these are
+// kept.
 type objectTable struct {
 	byKey        map[objectKey]*object
-	byRecency    *list.List // of *object, the most recently used first
-	idleAfter    float64    // s; without a request for so long an object is idle
+	byRecency    *list.List // of *object; the most recently used is first
+	idleAfter    float64    // seconds without a request after which an object is idle
 	idle         *sketch.BoundedMap
-	evictedCount *sketch.Sketch // counts of evicted objects; nil until the table was full
+	evictedCount *sketch.Sketch // counts requests of evicted objects; nil until the first eviction
 }
 
-// newObjectTable returns an empty table. An object is idle once its counts are over (a window after the last
-// request) and it is not taken for cached anywhere (a window after the last answer).
+// newObjectTable returns an empty table. An object is idle once its counts have left the window (one window
+// after its last request) and no cache is assumed to have it (one window after its last answer).
 func newObjectTable(services []DeliveryService) objectTable {
-	longest := 0.0
+	maxViewerTimeout := 0.0
 	for _, s := range services {
-		longest = math.Max(longest, s.ViewerTimeout)
+		maxViewerTimeout = math.Max(maxViewerTimeout, s.ViewerTimeout)
 	}
 	return objectTable{
 		byKey:     map[objectKey]*object{},
 		byRecency: list.New(),
-		idleAfter: (windowBuckets+1)*bucketSpan + longest,
+		idleAfter: (windowBuckets+1)*bucketSpan + maxViewerTimeout,
 		idle:      sketch.NewBoundedMap(objectTableSize),
 	}
 }
 
-// touch returns the object that is requested, with sizeKB as the size of one request.
+// touch returns the entry of an object that is being requested, and creates it if needed. sizeKB is the
+// demand of one request, in KB.
 func (t *objectTable) touch(now float64, name string, part int, sizeKB float64) *object {
 	key := objectKey{name, part}
 	o := t.byKey[key]
@@ -90,7 +92,7 @@
 	return o
 }
 
-// insert adds an object, with what is remembered of it.
+// insert adds an object, with what is remembered about it from earlier requests.
 func (t *objectTable) insert(now float64, key objectKey, sizeKB float64) *object {
 	o := &object{key: key, hash: hashName(fmt.Sprint(key.name, " ", key.part)), nameHash: hashName(key.name)}
 	o.listElement = t.byRecency.PushFront(o)
@@ -101,8 +103,9 @@
 	return o
 }
 
-// restoreCounts gives a new object the counts that it had when it was evicted. Guards against catalogues far
-// larger than the table, where objects that are requested now and then would never be known.
+// restoreCounts gives a new entry the counts that the object had when it was evicted. Guards against catalogs
+// far larger than the table, in which objects that are requested now and then would never count as requested
+// before.
 func (t *objectTable) restoreCounts(now float64, o *object, sizeKB float64) {
 	if t.evictedCount == nil {
 		return
@@ -118,7 +121,8 @@
 	}
 }
 
-// retireIdle moves idle objects out of the table, and forgets the first of those beyond the size.
+// retireIdle moves idle objects from the table to the compact map of idle objects, and forgets the oldest of
+// these if both together exceed the size.
 func (t *objectTable) retireIdle(now float64) {
 	for last := t.byRecency.Back(); last != nil; last = t.byRecency.Back() {
 		o := last.Value.(*object)
@@ -132,7 +136,7 @@
 	t.idle.Trim(max(0, objectTableSize-t.byRecency.Len()))
 }
 
-// evict removes the least recently used object if the table is over its size.
+// evict removes the least recently used object if the table exceeds its size.
 func (t *objectTable) evict() {
 	if t.byRecency.Len() <= objectTableSize {
 		return
@@ -143,7 +147,7 @@
 	}
 }
 
-// hashName places a name in the shared orders.
+// hashName returns the hash that places a name in the rendezvous orders.
 func hashName(s string) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(s))
--- a/core/routing/object_table_test.go
+++ b/core/routing/object_table_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// heapUsedBy is how many bytes stay in use for the value that a function creates.
+// heapUsedBy returns the number of bytes that remain allocated for the value that create returns.
 func heapUsedBy(create func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -21,9 +21,9 @@
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// Requests for ever more objects, few of them at a time, while hosts are replaced: the memory in use levels off, and is small long
-// before the table is full.
-func TestMemoryLevelsOffOnALongDay(t *testing.T) {
+// Guards against memory that grows over a long day: objects are requested a few at a time, always new ones,
+// while hosts are replaced. Memory use must level off, and must be small long before the table is full.
+func TestMemoryLevelsOffAsObjectsAccumulate(t *testing.T) {
 	used := map[int]float64{}
 	for _, objects := range []int{8000, 16000, 32000, 64000} {
 		used[objects] = heapUsedBy(func() any {
@@ -35,12 +35,12 @@
 		t.Logf("%d objects requested: %.2f MB", objects, used[objects]/1e6)
 	}
 	assert.Less(t, used[16000], 2e6)
-	assert.Less(t, used[64000], 3e6, "11.4 MB if each object kept its full state")
-	assert.Less(t, used[64000], 1.3*used[32000], "level once the table is full")
+	assert.Less(t, used[64000], 3e6, "it would be 11.4 MB if each object kept its full state")
+	assert.Less(t, used[64000], 1.3*used[32000], "memory use is level once the table is full")
 }
 
-// routerAfterRequests is a router that has handled a request for each of so many objects, twenty a second, while one of its
-// twenty caches was replaced every 36 seconds.
+// routerAfterRequests returns a router that has handled one request for each of the given number of objects.
+// There were twenty requests per second, and one of its twenty caches was replaced every 36 seconds.
 func routerAfterRequests(objects int) *Router {
 	rec := &recorder{}
 	r := New(testSettings(), 0, rec)
@@ -64,8 +64,9 @@
 	return r
 }
 
-// An object that was idle for a while is known again, with its size; one that was evicted from the table is not.
-func TestAnIdleObjectIsKnownAgain(t *testing.T) {
+// An object that was idle for a while is remembered with its size. An object that was evicted from the table
+// is not.
+func TestIdleObjectIsRemembered(t *testing.T) {
 	r, rec := newCluster(nil)
 	submit(r, 0, 1, "a")
 	r.HandleResult(0.1, AttemptResult{
@@ -87,8 +88,9 @@
 	assert.Equal(t, 1, rec.last().CachePriority, "forgotten")
 }
 
-// Objects that the table has evicted come back with their counts.
-func TestCountsOutliveEviction(t *testing.T) {
+// An object that was evicted from the table gets its request counts back when it is requested again. Guards
+// against catalogs larger than the table, in which popular objects would otherwise look new.
+func TestRequestCountsSurviveEviction(t *testing.T) {
 	table := New(testSettings(), 0, &recorder{}).demand.objects
 	for range 20 {
 		table.touch(1, "hot", 0, 1)
@@ -106,7 +108,7 @@
 	object := table.touch(3.5, "hot", 0, 1)
 	assert.True(t, object.requestedBefore)
 	assert.InDelta(t, 20, object.demand.add(3.5, 0), 2)
-	assert.InDelta(t, 0, object.demand.add(14, 0), 0, "out of the window")
+	assert.InDelta(t, 0, object.demand.add(14, 0), 0, "the counts have left the window")
 	assert.False(t, table.touch(3.5, "never", 0, 1).requestedBefore)
 	assert.Len(t, table.byKey, objectTableSize)
 }
--- a/core/routing/outlier_detection_test.go
+++ b/core/routing/outlier_detection_test.go
@@ -11,9 +11,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestAFailingOriginIsEjectedBehindItsParents(t *testing.T) {
+// An origin that fails behind its parents is ejected, and the parents are not. While it is ejected, one
+// request at a time probes it, and all others only get cached copies.
+func TestFailingOriginBehindParentsIsEjected(t *testing.T) {
 	r, rec := newCluster(nil)
-	for i := range uint32(4) { // parents respond, the origin behind them fails fast
+	for i := range uint32(4) { // the parents respond, but the origin behind them fails quickly
 		submit(r, 1, i, fmt.Sprint("o", i))
 		for number := 0; len(rec.shed) <= int(i) && number < 6; number++ {
 			respond(r, 1.01, i, number, HostFailed, OriginFailed)
@@ -27,9 +29,9 @@
 	assert.True(t, rec.last().CachedOnly, "parents serve only cached copies while the origin is ejected")
 	for i := range uint32(3) {
 		submit(r, 10+float64(i), 20+i, fmt.Sprint("q", i))
-		assert.False(t, rec.last().CachedOnly, "one request is a trial")
+		assert.False(t, rec.last().CachedOnly, "one request is a probe")
 		submit(r, 10+float64(i), 30+i, fmt.Sprint("r", i))
-		assert.True(t, rec.last().CachedOnly, "one trial at a time")
+		assert.True(t, rec.last().CachedOnly, "there is only one probe at a time")
 		respond(r, 10.1+float64(i), 20+i, 0, Succeeded, FilledByOrigin)
 	}
 	assert.False(t, r.endpoints.origin.health.ejected)
@@ -56,7 +58,7 @@
 	return Succeeded, Filled
 }
 
-// parentNeverResponds has every fourth request be a hit.
+// parentNeverResponds makes every fourth request a hit. Fills from parentA get no response.
 func parentNeverResponds(position uint32, a Attempt) (Outcome, Note) {
 	switch {
 	case position%4 == 0:
@@ -67,6 +69,8 @@
 	return Succeeded, Filled
 }
 
+// A host that fails or never responds is ejected without ejecting others, shedding requests, or cutting the
+// fill limit. It is used again after it has recovered.
 func TestHostsAreEjectedAndRecover(t *testing.T) {
 	for _, tt := range []struct {
 		name string
@@ -95,7 +99,9 @@
 	}
 }
 
-func TestWhatIsNoFault(t *testing.T) {
+// Guards against ejections because of requests that fail at every host, that clients abandon, or whose
+// connection breaks occasionally.
+func TestNonFaultsDoNotEjectHosts(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
 		finish func(r *Router, rec *recorder, now float64, id uint32)
@@ -132,7 +138,8 @@
 	}
 }
 
-func TestASingleOverdueAttemptIsNoSilence(t *testing.T) {
+// A single overdue attempt may be for a large object, so it does not eject its host. Two or more do.
+func TestSingleOverdueAttemptDoesNotEject(t *testing.T) {
 	for attempts, ejected := range map[int]bool{1: false, 2: true, 4: true} {
 		for _, detail := range []NoteDetail{NoNotes, FillNotes} {
 			r, rec := newCluster(func(s *Settings) { s.NoteDetail = detail })
@@ -146,12 +153,13 @@
 	}
 }
 
-// Where no note tells who rejected a fill, a source is ejected if several caches report rejections from it while another source
-// serves. Caches without capacity reject whatever the source; no source is ejected for that.
-func TestASourceThatAloneIsRejectedIsEjected(t *testing.T) {
+// If no note tells who rejected a fill, a source is ejected if several caches report rejected fills from it
+// while another source serves. Caches without capacity reject fills from any source, so no source is ejected
+// for that.
+func TestSourceIsEjectedOnlyIfItsFillsAloneAreRejected(t *testing.T) {
 	for name, tt := range map[string]struct {
 		rejected      func(a Attempt) bool
-		maxRejections int // fills from parent A in 4 s that are rejected
+		maxRejections int // maximum number of rejected fills from parent A within 4 s
 		ejected       bool
 	}{
 		"one source":        {func(a Attempt) bool { return a.Source == parentA }, 10, true},
--- a/core/routing/purge_test.go
+++ b/core/routing/purge_test.go
@@ -6,7 +6,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestPurges(t *testing.T) {
+// A purge of an object or of its group limits the age of the copies that a request may be answered with,
+// until the grace period is over.
+func TestPurgesLimitMaxAge(t *testing.T) {
 	for _, tt := range []struct {
 		name, object string
 		group        int
@@ -21,7 +23,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			r, rec := newCluster(nil)
 			r.HandlePurge(2, tt.object, tt.group, 0.5)
-			r.HandlePurge(2, tt.object, tt.group, 1) // an older purge that arrives later does not relax the newer one
+			r.HandlePurge(2, tt.object, tt.group, 1) // an older purge that arrives later must not replace the newer one
 			runTimers(r, 2, tt.at)
 			r.HandleRequest(tt.at, Request{ID: 7, Object: "a", Group: 4, Deadline: 20})
 			assert.InDelta(t, tt.want, rec.last().MaxAge, 1e-9)
--- a/core/routing/request.go
+++ b/core/routing/request.go
@@ -9,54 +9,57 @@
 )
 
 const (
-	// s; a request is answered this long before its deadline: a timer tick and a delayed ack (0.04 s)
+	// answerMargin is the time in seconds before its deadline at which a request is answered. It allows for a
+	// timer tick and a delayed acknowledgement (0.04 s).
 	answerMargin      = 0.050
-	answerMarginShare = 0.25 // share of a request's time, where answerMargin would be much of it
-	// share of the latency objective after which a rejected request may come back in time
+	answerMarginShare = 0.25 // maximum margin as a share of a request's time, for short deadlines
+	// retryAfterShare is the share of the latency objective after which a rejected request may be retried and
+	// still be answered in time.
 	retryAfterShare = 0.25
 )
 
-// request is the state of one client request, from HandleRequest until it is finished and its last attempt is
-// back.
+// request is the state of one client request, from HandleRequest until the request is finished and its last
+// attempt has returned.
 type request struct {
 	Request
 	service     *service
 	object      *object
 	attempts    []*attempt
-	outstanding int     // attempts that are not back
-	rejections  int     // times that a host rejected it
-	finished    bool    // its final answer has gone out, or its client has gone
-	queued      bool    // it waits in the retry queue
-	giveUpAt    float64 // s; when it is given up at the latest
+	outstanding int     // attempts that have not returned
+	rejections  int     // number of times that a host rejected it
+	finished    bool    // its final answer has been sent, or its client has left
+	queued      bool    // it is in the retry queue
+	giveUpAt    float64 // seconds; when it is given up at the latest
 	timeout     timer
 
-	firstAttempt attempt     // most requests need no second one
+	firstAttempt attempt     // stored here because most requests need only one attempt
 	attemptStore [2]*attempt // backs attempts, so that most requests allocate nothing
 
 	host, source *host   // selected for the next attempt
-	avoided      []*host // failed it, as host or as source
-	accused      []*host // answered it with an error
-	cachedOnly   bool    // the next attempt asks its source only for what that has cached
-	sourceMissed bool    // it asked so, and the source had nothing cached
-	cacheMissed  bool    // the cache was asked, and has nothing cached
+	avoided      []*host // hosts and sources that must not be used for it again
+	failedHosts  []*host // hosts that answered it with an error
+	cachedOnly   bool    // the next attempt asks its source only for a cached copy
+	sourceMissed bool    // a source was asked for a cached copy only, and had none
+	cacheMissed  bool    // the cache was asked and has no copy
 }
 
-// timer is a request's or an attempt's place among the timers.
+// timer is the entry of a request or an attempt in the timer wheel.
 type timer = timerwheel.Timer[timerEvent]
 
-// timers holds all timers of a router.
+// timers is the timer wheel of a router.
 type timers = timerwheel.Wheel[timerEvent]
 
-// timerEvent is what falls due: a method of the router and what it is about. It is a value, so that setting a
-// timer allocates nothing.
+// timerEvent is what happens when a timer fires: a method of the router and its arguments. It is a value so
+// that setting a timer allocates nothing.
 type timerEvent struct {
 	handle  func(r *Router, q *request, a *attempt)
 	request *request
 	attempt *attempt
 }
 
-// firstExecuted is the first attempt that is out or may have been executed; nil if none may have been.
-func (q *request) firstExecuted() *attempt {
+// firstPossiblyExecuted returns the first attempt that is outstanding or may have been executed, or nil if
+// there is none.
+func (q *request) firstPossiblyExecuted() *attempt {
 	for _, a := range q.attempts {
 		if !a.returned || a.mayHaveRun {
 			return a
@@ -65,9 +68,9 @@
 	return nil
 }
 
-// lastFailed reports whether the last attempt failed at a host. A rejected attempt, or one that only looked
-// into a cache, cost the host nothing.
-func (q *request) lastFailed() bool {
+// lastAttemptFailed reports whether the last attempt failed at a host. An attempt that was rejected, or that
+// only looked up the object in a cache, does not count, as it used no resources of the host.
+func (q *request) lastAttemptFailed() bool {
 	if len(q.attempts) == 0 {
 		return false
 	}
@@ -78,7 +81,7 @@
 	return a.returned && !a.result.Outcome.costsNothing()
 }
 
-// attemptsSent is the number of its attempts without those that were withdrawn.
+// attemptsSent returns the number of attempts, without those that were withdrawn.
 func (q *request) attemptsSent() (n int) {
 	for _, a := range q.attempts {
 		if !a.returned || a.result.Outcome != Withdrawn {
@@ -88,7 +91,7 @@
 	return n
 }
 
-// attemptsAt is how often the request went to a host.
+// attemptsAt returns the number of attempts that were sent to a host.
 func (q *request) attemptsAt(h *host) (n int) {
 	for _, a := range q.attempts {
 		if a.host == h {
@@ -98,15 +101,16 @@
 	return n
 }
 
-// bytes is what one request adds to a byte rate, in KB; where no size is known, rates count requests.
-func (q *request) bytes() float64 {
+// demandKB returns what one request adds to a byte rate, in KB. Without a known size it returns 1, so that
+// rates count requests.
+func (q *request) demandKB() float64 {
 	if q.SizeKB > 0 {
 		return q.SizeKB
 	}
 	return 1
 }
 
-// newAttempt appends an attempt to the request; the first one is not allocated.
+// newAttempt appends an attempt to the request. The first one needs no allocation.
 func (q *request) newAttempt() *attempt {
 	a := &q.firstAttempt
 	if len(q.attempts) > 0 {
@@ -119,18 +123,18 @@
 	return a
 }
 
-// avoid keeps the request away from a host.
+// avoid keeps later attempts of the request away from a host.
 func (q *request) avoid(h *host) { q.avoided = append(q.avoided, h) }
 
-// requestTable has the requests that are not forgotten yet, and ends them. Invariant: a request is in it
-// until it is finished and none of its attempts is out.
+// requestTable holds the open requests and finishes them. Invariant: a request is in the table until it is
+// finished and none of its attempts is outstanding.
 type requestTable struct {
 	*environment
 	timers *timers
 	byID   map[uint32]*request
 }
 
-// open takes in a request, which is given up shortly before its deadline.
+// open adds a request, and sets the timer that gives it up shortly before its deadline.
 func (t *requestTable) open(in Request, s *service) *request {
 	q := &request{Request: in, service: s}
 	t.byID[in.ID] = q
@@ -141,7 +145,7 @@
 
 func giveUpAtDeadline(r *Router, q *request, _ *attempt) { r.requests.giveUp(q) }
 
-// attempt is an outstanding attempt by its number; nil if there is none.
+// attempt returns an attempt and its request by request ID and attempt number, or nil if there is none.
 func (t *requestTable) attempt(id uint32, number int) (*request, *attempt) {
 	q := t.byID[id]
 	if q == nil || number < 0 || number >= len(q.attempts) {
@@ -150,14 +154,14 @@
 	return q, q.attempts[number]
 }
 
-// giveUp answers a request at once: rejected where a repeat is harmless, failed elsewhere.
+// giveUp answers a request immediately: as rejected if it is safe to repeat, otherwise as failed.
 func (t *requestTable) giveUp(q *request) verdict {
 	if q.finished {
 		return ended
 	}
-	harmless := q.firstExecuted() == nil || q.repeatsAnywhere()
+	safeToRepeat := q.firstPossiblyExecuted() == nil || q.safeToRepeatAnywhere()
 	t.cancelAttempts(q)
-	if harmless {
+	if safeToRepeat {
 		t.actions.Shed(q.ID, math.Min(t.MaxRetryAfter, q.service.Objective*retryAfterShare))
 	} else {
 		t.actions.Fail(q.ID)
@@ -165,7 +169,7 @@
 	return t.finish(q)
 }
 
-// giveUpAll gives up all requests in the order in which they came.
+// giveUpAll gives up all open requests in the order of their IDs, which is the order of arrival.
 func (t *requestTable) giveUpAll() {
 	for _, id := range slices.Sorted(maps.Keys(t.byID)) {
 		if q := t.byID[id]; q != nil {
@@ -174,7 +178,7 @@
 	}
 }
 
-// cancelAttempts ends the wait for all attempts that are still out.
+// cancelAttempts abandons all attempts of a request, and cancels the outstanding ones if that is possible.
 func (t *requestTable) cancelAttempts(q *request) {
 	for _, a := range q.attempts {
 		if !a.returned && !a.abandoned && t.CanCancel {
@@ -184,7 +188,7 @@
 	}
 }
 
-// finish ends a request; it is forgotten when its last attempt is back.
+// finish marks a request as finished. It is forgotten once its last attempt has returned.
 func (t *requestTable) finish(q *request) verdict {
 	q.finished = true
 	t.timers.Remove(&q.timeout)
@@ -192,7 +196,7 @@
 	return ended
 }
 
-// forget lets a request go that is finished and has no attempt out.
+// forget removes a request that is finished and has no outstanding attempt.
 func (t *requestTable) forget(q *request) {
 	if q.finished && q.outstanding == 0 {
 		delete(t.byID, q.ID)
--- a/core/routing/request_test.go
+++ b/core/routing/request_test.go
@@ -6,7 +6,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestOneFinalAnswer(t *testing.T) {
+// A request without any result is answered exactly once, shortly before its viewer timeout, and no attempt
+// follows. Only a request that is safe to repeat is shed; any other fails.
+func TestRequestHasExactlyOneFinalAnswer(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
 		idempotency  Idempotency
@@ -20,7 +22,7 @@
 			submit(r, 1, 7, "a")
 			runTimers(r, 1, 5.93)
 			assert.Empty(t, append(rec.shed, rec.failed...), "no answer before the viewer timeout")
-			runTimers(r, 5.94, 5.96) // one delayed acknowledgement (answerMargin) before the viewer timeout
+			runTimers(r, 5.94, 5.96) // answerMargin, which allows for a delayed acknowledgement, before the viewer timeout
 			assert.Equal(t, []int{tt.shed, tt.failed}, []int{len(rec.shed), len(rec.failed)})
 			attempts := len(rec.attempts)
 			for i := range rec.attempts {
@@ -35,7 +37,8 @@
 	}
 }
 
-func TestShedsAtOnceWithRetryAfter(t *testing.T) {
+// A request is shed immediately if no cache can be used, with a Retry-After of at most MaxRetryAfter.
+func TestShedRequestCarriesRetryAfter(t *testing.T) {
 	for maxRetryAfter, want := range map[float64]float64{0: 0, 0.1: 0.1, 3: 0.125} {
 		r, rec := newCluster(func(s *Settings) { s.MaxRetryAfter = maxRetryAfter })
 		r.UpdateEndpoints(1, ListChanges, []Endpoint{
--- a/core/routing/retry.go
+++ b/core/routing/retry.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// retryQueue has the requests that are to be sent on, until RunRetries, after all first attempts of the
-// moment.
+// retryQueue holds the requests that wait for another attempt. RunRetries sends them after all first attempts
+// of the same moment.
 type retryQueue struct{ waiting []*request }
 
-// enqueue puts a request into the queue, unless it is there already or finished.
+// enqueue adds a request to the queue, unless it is already queued or finished.
 func (t *retryQueue) enqueue(q *request) verdict {
 	if !q.finished && !q.queued {
 		q.queued = true
@@ -15,30 +15,31 @@
 	return pending
 }
 
-// take empties the queue and returns what was in it.
+// take empties the queue and returns its contents.
 func (t *retryQueue) take() (waiting []*request) {
 	waiting, t.waiting = t.waiting, nil
 	return waiting
 }
 
-// admit gives up a request that has no time or attempt left, or that may have been executed and must not be
-// repeated.
+// admit gives up a request that has no time or no attempt left, that the retry budget does not cover, or that
+// may have been executed and must not be repeated.
 func (r *Router) admit(q *request) verdict {
 	switch {
 	case r.now >= q.repeatableUntil()-tickInterval,
 		q.attemptsSent() >= r.MaxAttempts,
 		r.now >= q.giveUpAt,
-		q.lastFailed() && !r.budget.Spend(r.now):
+		q.lastAttemptFailed() && !r.budget.Spend(r.now):
 		return r.requests.giveUp(q)
 	}
 	return proceed
 }
 
-// repeatableUntil is when the first byte of a retry must be out, as hosts recognize a repeat for no longer:
-// +Inf where nothing can have been executed yet or a repeat does no harm, -Inf where no host recognizes
-// repeats. Guards against a retry that is decided on in time and waits for its connection.
+// repeatableUntil returns the time, in seconds, by which the first byte of a retry must be sent, because
+// hosts recognize repeats only until then. It is +Inf if nothing can have been executed yet or if a repeat is
+// harmless, and -Inf if no host recognizes repeats. Guards against a retry that is decided in time but then
+// waits for its connection.
 func (q *request) repeatableUntil() float64 {
-	executed := q.firstExecuted()
+	executed := q.firstPossiblyExecuted()
 	switch {
 	case executed == nil || q.service.Idempotency == Idempotent:
 		return math.Inf(1)
@@ -48,16 +49,16 @@
 	return math.Inf(-1)
 }
 
-// repeatsAnywhere reports whether a repeat does no harm at any host.
-func (q *request) repeatsAnywhere() bool {
+// safeToRepeatAnywhere reports whether the request may be repeated at any host.
+func (q *request) safeToRepeatAnywhere() bool {
 	s := q.service
 	return s.Idempotency == Idempotent || s.Idempotency == IdempotencyKeyed && s.DedupScope == AllHosts
 }
 
-// mayRepeatAt reports whether a host drops a repeat of what may have been executed already, or it does no
-// harm.
-func (q *request) mayRepeatAt(h *host) bool {
-	executed := q.firstExecuted()
+// safeToRepeatAt reports whether the request may be repeated at a host: nothing can have been executed yet, a
+// repeat is harmless, or the host recognizes the repeat and drops it.
+func (q *request) safeToRepeatAt(h *host) bool {
+	executed := q.firstPossiblyExecuted()
 	if executed == nil || q.service.Idempotency == Idempotent || q.service.DedupScope == AllHosts {
 		return true
 	}
--- a/core/routing/retry_test.go
+++ b/core/routing/retry_test.go
@@ -8,13 +8,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A retry that hosts deduplicate only within a window carries the time by which it must be sent; for others that is when the
-// request is given up, as a host would drop what arrives later.
-func TestWhenARetryMustBeSent(t *testing.T) {
+// Guards against a retry that arrives after hosts have stopped recognizing repeats. If hosts recognize
+// repeats only within a window, the retry must be sent before the window ends. Any other attempt must be sent
+// before the request is given up, because a host would drop it later.
+func TestRetryCarriesSendByTime(t *testing.T) {
 	for name, tt := range map[string]struct {
 		idempotency Idempotency
 		first       Outcome
-		want        float64 // s; SendBy of the retry
+		want        float64 // seconds; SendBy of the retry
 		attempts    int
 	}{
 		"with an idempotency key, may have run":    {IdempotencyKeyed, HostFailed, 1 + 2 - tickInterval, 2},
@@ -34,7 +35,9 @@
 	}
 }
 
-func TestAfterAFailedAttempt(t *testing.T) {
+// A request whose attempt failed is retried only where a repeat is harmless or is dropped by the host.
+// Otherwise it is failed, or shed if the client may safely repeat it.
+func TestFailedAttemptIsRetriedOnlyWhereSafe(t *testing.T) {
 	for _, tt := range []struct {
 		name        string
 		idempotency Idempotency
@@ -71,6 +74,8 @@
 	}
 }
 
+// With hedging, a further attempt is sent as soon as the first one has been canceled at an ejected host.
+// Without it, the retry waits until the first attempt has returned.
 func TestHedgingOnlyWhereAllowed(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		r, rec := newCluster(func(s *Settings) { s.Hedging = allowed })
--- a/core/routing/router.go
+++ b/core/routing/router.go
@@ -7,25 +7,27 @@
 )
 
 const (
-	tickInterval = 0.010 // s; the periodic timer, finer than any latency objective in use
-	// s by host between surveys of all hosts: each takes 70 ns a host, so under 1% of a core
-	surveyPerHost = 1e-5
-	pollBackoff   = 1.0    // s; after a poll of the endpoint list that failed
-	tickCookie    = "tick" // names the periodic timer for Actions.Schedule
-	cacheOnce     = 1      // cache priority of an object that was not requested before
-	cacheAgain    = 2      // and of one that was
+	tickInterval = 0.010 // seconds between ticks of the periodic timer; shorter than any latency objective in use
+	// averageIntervalPerHost is the time in seconds, per host, between two updates of the averages over all
+	// hosts. An update takes 70 ns per host, so updates use less than 1% of a core.
+	averageIntervalPerHost = 1e-5
+	pollBackoff            = 1.0    // seconds between a failed poll of the endpoint list and the next one
+	tickCookie             = "tick" // identifies the periodic timer in Actions.Schedule
+	newObjectPriority      = 1      // cache priority of an object that was not requested before
+	knownObjectPriority    = 2      // cache priority of an object that was requested before
 )
 
-// verdict is what a step does with a request.
+// verdict tells how a step has left a request.
 type verdict int
 
 const (
-	proceed verdict = iota // the next step has it
-	pending                // it is out at a host, or waits for its retry
-	ended                  // it is finished
+	proceed verdict = iota // the next step handles it
+	pending                // it waits for an attempt or for its retry
+	ended                  // it is finished, or this result needs no further step
 )
 
-// Router decides for one instance. It composes the concerns; the state of each is its own.
+// Router makes the decisions for one dispatcher process or shard. It composes the components, each of which
+// keeps its own state. It is not safe for concurrent use.
 type Router struct {
 	*environment
 	timers     timers
@@ -42,10 +44,11 @@
 	purges     purgeLog
 	congestion congestion.Tracker
 	groups     grouphealth.Tracker
-	surveyedAt float64 // s; when all hosts were looked over
+	averagedAt float64 // seconds; when the averages over all hosts were last updated
 }
 
-// New returns a router that knows its settings alone. now is in seconds, on the clock of all later calls.
+// New returns a router that knows only its settings. now is in seconds, on the clock that all later calls
+// use.
 func New(s Settings, now float64, actions Actions) *Router {
 	env := &environment{Settings: s, actions: actions, now: now}
 	r := &Router{environment: env}
@@ -61,7 +64,7 @@
 	r.outliers = outlierDetector{env}
 	r.slowStart = slowStart{environment: env}
 	r.budget = retrybudget.New(s.Retries, now)
-	r.purges = purgeLog{environment: env, timers: &r.timers, purged: map[string]float64{}}
+	r.purges = purgeLog{environment: env, timers: &r.timers, purgedAt: map[string]float64{}}
 	if s.PollEndpoints {
 		actions.PollEndpoints()
 	}
@@ -69,10 +72,10 @@
 	return r
 }
 
-// UpdateEndpoints takes in a list of endpoints or changes to it.
+// UpdateEndpoints applies an endpoint list or changes to it.
 func (r *Router) UpdateEndpoints(now float64, kind ListKind, entries []Endpoint) {
 	r.now = now
-	if kind == ListFailed { // only a router that polls gets one
+	if kind == ListFailed { // only a router that polls the list receives this
 		poll := func(r *Router, _ *request, _ *attempt) { r.actions.PollEndpoints() }
 		r.timers.Add(now+pollBackoff, timerEvent{handle: poll})
 		return
@@ -81,7 +84,8 @@
 	r.limits.initialize(len(r.endpoints.caches))
 }
 
-// HandleRequest takes in a client's request; it is answered through Actions, now or later, exactly once.
+// HandleRequest accepts a client's request. The request is answered through Actions exactly once, immediately
+// or later.
 func (r *Router) HandleRequest(now float64, in Request) {
 	r.now = now
 	q := r.requests.open(in, r.costs.services[in.Service])
@@ -91,7 +95,7 @@
 	r.route(q)
 }
 
-// HandleResult takes in the end of an attempt; false means that no such attempt is out.
+// HandleResult processes the end of an attempt. It returns false if no such attempt is outstanding.
 func (r *Router) HandleResult(now float64, result AttemptResult) bool {
 	r.now = now
 	q, a := r.requests.attempt(result.RequestID, result.Attempt)
@@ -103,8 +107,8 @@
 	return true
 }
 
-// HandleStreaming takes word that the answer of an attempt has started: the request is finished, and the
-// client has its answer from this attempt.
+// HandleStreaming is called when the answer of an attempt has started to stream to the client. The request is
+// then finished, as the client receives its answer from this attempt.
 func (r *Router) HandleStreaming(now float64, id uint32, number int) {
 	r.now = now
 	if q, a := r.requests.attempt(id, number); a != nil {
@@ -113,7 +117,7 @@
 	}
 }
 
-// HandleClientGone takes word that a client has gone; its request is finished.
+// HandleClientGone is called when a client has disconnected. Its request is then finished.
 func (r *Router) HandleClientGone(now float64, id uint32) {
 	r.now = now
 	if q := r.requests.byID[id]; q != nil && !q.finished {
@@ -122,35 +126,36 @@
 	}
 }
 
-// HandlePurge takes in a purge of an object, or of a whole group where object is empty, that is age seconds
-// old.
+// HandlePurge records a purge of an object, or of a whole group if object is empty. The purge was issued age
+// seconds ago.
 func (r *Router) HandlePurge(now float64, object string, group int, age float64) {
 	r.now = now
 	r.purges.record(object, group, age)
 }
 
-// HandleTimer takes in the periodic timer, and asks for the next one.
+// HandleTimer handles a tick of the periodic timer and schedules the next one.
 func (r *Router) HandleTimer(now float64) {
 	r.now = now
 	r.actions.Schedule(tickInterval, tickCookie)
 	for event, due := r.timers.Pop(now); due; event, due = r.timers.Pop(now) {
 		event.handle(r, event.request, event.attempt)
 	}
-	r.survey()
+	r.updateAverages()
 }
 
-// survey takes what all hosts have in common, now and then, so that no request looks over all of them.
-func (r *Router) survey() {
+// updateAverages updates the averages over all hosts from time to time, so that no request has to visit all
+// hosts.
+func (r *Router) updateAverages() {
 	hosts := float64(len(r.endpoints.caches) + len(r.endpoints.parents))
-	if r.now < r.surveyedAt+hosts*surveyPerHost {
+	if r.now < r.averagedAt+hosts*averageIntervalPerHost {
 		return
 	}
-	r.surveyedAt = r.now
-	r.serving.survey()
-	r.slowStart.survey(r.endpoints.caches, r.endpoints.parents)
+	r.averagedAt = r.now
+	r.serving.updateAverage()
+	r.slowStart.updateWarmRates(r.endpoints.caches, r.endpoints.parents)
 }
 
-// RunRetries sends on the requests that wait for a retry. It is called after all calls of one moment.
+// RunRetries sends the requests that wait for a retry. It must be called after all other calls of one moment.
 func (r *Router) RunRetries(now float64) {
 	r.now = now
 	for _, q := range r.retries.take() {
@@ -161,15 +166,15 @@
 	}
 }
 
-// FinishAll answers all open requests in the order in which they came, for a process that is about to end,
-// after which no answer could be passed on.
+// FinishAll answers all open requests in the order of their IDs, which is the order of arrival. It is called
+// by a process that is about to exit and could not deliver later answers.
 func (r *Router) FinishAll(now float64) {
 	r.now = now
 	r.requests.giveUpAll()
 }
 
-// MaxAge is the age in seconds of the oldest copy that will do for a request after the purges known by now; 0
-// for any.
+// MaxAge returns the maximum age, in seconds, of a copy that a request may be answered with after the purges
+// known so far. It is 0 if no purge limits the age or the request is unknown.
 func (r *Router) MaxAge(now float64, id uint32) float64 {
 	r.now = now
 	if q := r.requests.byID[id]; q != nil {
@@ -178,15 +183,17 @@
 	return 0
 }
 
-// SetQuota bounds how many attempts this router may have in flight at a host, itself or as a source; with 0
-// for the host, how many that may need the origin. The cluster divides these quotas among its routers.
+// SetQuota limits how many attempts this router may have in flight at a host, either sent to it or with it as
+// the source. With host 0 it limits the attempts that may need the origin. The cluster divides these quotas
+// among its routers.
 func (r *Router) SetQuota(host uint32, quota int) {
 	if l := r.quotaLimit(host); l != nil {
 		l.quota, l.hasQuota = quota, true
 	}
 }
 
-// QuotaUsage is how many of these attempts are in flight, and how many requests have found the quota used up.
+// QuotaUsage returns how many of the attempts that a quota applies to are in flight, and how often a check
+// has found the quota used up.
 func (r *Router) QuotaUsage(host uint32) (inFlight, rejections int) {
 	if l := r.quotaLimit(host); l != nil {
 		return l.count, l.quotaRejections
@@ -194,7 +201,7 @@
 	return 0, 0
 }
 
-// quotaLimit is the limit that a quota is for; nil for a host that is not known.
+// quotaLimit returns the limit that a quota applies to, or nil for an unknown host.
 func (r *Router) quotaLimit(host uint32) *concurrencyLimit {
 	if host == 0 {
 		return &r.limits.origin
@@ -205,7 +212,7 @@
 	return nil
 }
 
-// route runs a request through the steps until one keeps or ends it.
+// route runs a request through the steps until one of them returns a verdict other than proceed.
 func (r *Router) route(q *request) {
 	for _, step := range [...]func(*Router, *request) verdict{
 		(*Router).admit, (*Router).selectCache, (*Router).selectSource, (*Router).send,
@@ -216,8 +223,8 @@
 	}
 }
 
-// handleReturned runs the result of an attempt through the steps in reverse until one keeps or ends the
-// request.
+// handleReturned runs the result of an attempt through the steps in reverse order until one of them returns a
+// verdict other than proceed.
 func (r *Router) handleReturned(q *request, a *attempt) {
 	for _, step := range [...]func(*Router, *request, *attempt) verdict{
 		(*Router).release, (*Router).observeFill, (*Router).observeHost, (*Router).conclude,
@@ -234,15 +241,15 @@
 	if !r.slowStart.claim(h, work) || source != h && !r.slowStart.claim(source, work) {
 		return r.retries.enqueue(q)
 	}
-	r.outliers.countTrial(h)
-	r.outliers.countTrial(source)
-	sendBy := min(q.repeatableUntil()-tickInterval, q.giveUpAt) // a host would drop unheard what has less time
+	r.outliers.countProbe(h)
+	r.outliers.countProbe(source)
+	sendBy := min(q.repeatableUntil()-tickInterval, q.giveUpAt) // a host would drop a request that has less time left
 	a := r.newAttempt(q, work)
-	r.countIn(a)
-	r.watchObjective(q, a)
+	r.acquireLimits(a)
+	r.scheduleObjectiveCheck(q, a)
 	q.outstanding++
-	r.bookAtHost(q, a)
-	r.watchOverdue(q, a)
+	r.countAtHost(q, a)
+	r.scheduleOverdueCheck(q, a)
 	r.actions.Forward(Attempt{
 		RequestID: q.ID, Host: h.ID, Source: source.ID,
 		CachePriority: cachePriority(q.object), MaxAge: r.purges.maxAge(q),
@@ -254,12 +261,12 @@
 
 func cachePriority(o *object) int {
 	if o.requestedBefore {
-		return cacheAgain
+		return knownObjectPriority
 	}
-	return cacheOnce
+	return newObjectPriority
 }
 
-// newAttempt returns the attempt that is about to be sent.
+// newAttempt creates the attempt that is about to be sent.
 func (r *Router) newAttempt(q *request, work float64) *attempt {
 	h := q.host
 	a := q.newAttempt()
@@ -268,69 +275,69 @@
 	a.concurrent = h.inFlight
 	a.cachedOnly = q.cachedOnly
 	probablyHit := q.object.cachedBy(h, r.now) && !q.cacheMissed
-	a.isFill = a.filled() && !probablyHit
+	a.isFill = a.hasFillSource() && !probablyHit
 	return a
 }
 
-// countIn counts an attempt into the limits that it falls under, and chooses those that its lateness counts
-// against.
-func (r *Router) countIn(a *attempt) {
+// acquireLimits counts an attempt in the limits that apply to it, and selects the limits that it counts
+// against if it is late.
+func (r *Router) acquireLimits(a *attempt) {
 	l := &a.limits
-	l.counted = append(l.countedStore[:0], &a.host.limit, &r.limits.caches)
+	l.acquired = append(l.acquiredStore[:0], &a.host.limit, &r.limits.caches)
 	l.fill = append(l.fillStore[:0], &a.source.limit, &r.limits.fills)
-	l.late = l.counted[:2]
-	if a.filled() {
-		l.counted = append(l.counted, &a.source.limit)
+	l.chargedIfLate = l.acquired[:2]
+	if a.hasFillSource() {
+		l.acquired = append(l.acquired, &a.source.limit)
 		a.source.fillsInFlight++
 		a.source.warmUp.credit -= a.work
 	}
 	if a.isFill {
-		l.counted = append(l.counted, &r.limits.fills)
-		l.late = l.fill
+		l.acquired = append(l.acquired, &r.limits.fills)
+		l.chargedIfLate = l.fill
 	}
-	notesTellOfOrigin := a.isFill && r.NoteDetail == FillNotes && !a.cachedOnly
-	if notesTellOfOrigin || r.limits.mayNeedOrigin(a, r.endpoints.origin) {
-		l.counted = append(l.counted, &r.limits.origin)
-		l.late = l.counted[len(l.counted)-1:]
+	notesReportOrigin := a.isFill && r.NoteDetail == FillNotes && !a.cachedOnly
+	if notesReportOrigin || r.limits.mayNeedOrigin(a, r.endpoints.origin) {
+		l.acquired = append(l.acquired, &r.limits.origin)
+		l.chargedIfLate = l.acquired[len(l.acquired)-1:]
 	}
-	for _, limit := range l.counted {
+	for _, limit := range l.acquired {
 		limit.acquire(a.work)
 	}
 }
 
-// bookAtHost counts an attempt at its host.
-func (r *Router) bookAtHost(q *request, a *attempt) {
+// countAtHost counts an attempt at its host.
+func (r *Router) countAtHost(q *request, a *attempt) {
 	h := a.host
 	if h.inFlight == 0 {
-		h.health.heard(r.now)
+		h.health.recordContact(r.now)
 	}
-	r.serving.book(q, h)
+	r.serving.addToMakespan(q, h)
 	h.inFlight++
 	h.warmUp.credit -= a.work
 }
 
-// release takes an attempt that has returned off what its host, its source and the limits count.
+// release removes a returned attempt from the counts of its host, of its source and of the limits.
 func (r *Router) release(q *request, a *attempt) verdict {
-	r.timers.Remove(&a.overdue)
-	r.timers.Remove(&a.objectiveOver)
+	r.timers.Remove(&a.overdueTimer)
+	r.timers.Remove(&a.objectiveTimer)
 	outcome := a.result.Outcome
 	a.mayHaveRun = outcome.mayHaveRun()
 	q.outstanding--
 	a.host.inFlight--
-	for _, limit := range a.limits.counted {
+	for _, limit := range a.limits.acquired {
 		limit.release(a.work)
 	}
 	if outcome.hostAnswered() {
-		a.host.health.heard(r.now)
+		a.host.health.recordContact(r.now)
 	}
-	if a.filled() {
+	if a.hasFillSource() {
 		a.source.fillsInFlight--
 	}
 	r.requests.forget(q)
 	return proceed
 }
 
-// conclude finishes a request that was answered, and retries one that was not.
+// conclude finishes a request that has been answered, and retries one that has not.
 func (r *Router) conclude(q *request, a *attempt) verdict {
 	if a.result.Final || a.result.Outcome == Succeeded {
 		r.requests.cancelAttempts(q)
--- a/core/routing/shard_peers.go
+++ b/core/routing/shard_peers.go
@@ -1,17 +1,19 @@
 package routing
 
-// ShardPeers is what the shards of one process have in common, so that together they stay within what one
-// would do. It answers at once.
+// ShardPeers is the state that the shards of one process share, so that together they stay within the limits
+// of a single router. Its methods must return without blocking.
 type ShardPeers interface {
-	// AccrueCredit adds what a shard's own rate has earned to the credit that all may use at a host in slow
-	// start, up to most, and returns the credit; initial is what there is at the start. since distinguishes
-	// one start of the host from another.
-	AccrueCredit(host uint32, since, initial, earned, most float64) float64
-	// SpendCredit takes work out of it; false if another shard was faster.
+	// AccrueCredit adds credit that a shard has earned to the shared credit for a host in slow start, up to
+	// maxCredit, and returns the shared credit. All amounts are seconds of work. initial is the credit at the
+	// start of the slow start. since is the start time of the host, and distinguishes one start from another.
+	AccrueCredit(host uint32, since, initial, earned, maxCredit float64) float64
+	// SpendCredit takes work, in seconds, from the shared credit. It returns false if other shards have left
+	// too little.
 	SpendCredit(host uint32, work float64) bool
-	// ClaimProbe reports whether an ejected host may be tried now: by one shard at a time.
+	// ClaimProbe reports whether this shard may probe an ejected host now. Only one shard at a time may do
+	// so.
 	ClaimProbe(now float64, host uint32) bool
-	// Publish passes on what this shard has found out, for HandlePeerUpdate of the others.
+	// Publish passes an update to the other shards, which handle it with HandlePeerUpdate.
 	Publish(u PeerUpdate)
 }
 
@@ -19,18 +21,19 @@
 // limit was cut.
 type PeerUpdate struct {
 	Host uint32
-	// that was cut, of the host or of all; NoLimit where the update is about the host's health
+	// Limit is the limit that was cut, either of the host or of all hosts. It is NoLimit if the update is
+	// about the health of the host.
 	Limit     LimitKind
-	LateShare float64 // by which it was cut
-	Ejected   bool    // false: it has recovered
-	Until     float64 // s; end of the ejection
-	Backoff   float64 // s; its length before jitter
+	LateShare float64 // share of late work for which the limit was cut
+	Ejected   bool    // false if the host has recovered
+	Until     float64 // seconds; end of the ejection
+	Backoff   float64 // seconds; duration of the ejection before jitter
 }
 
-// LimitKind names one of the limits on what is in flight.
+// LimitKind identifies one of the limits on work in flight.
 type LimitKind int
 
-// The kinds of limits.
+// These are the kinds of limits.
 const (
 	NoLimit LimitKind = iota
 	HostLimit
@@ -39,8 +42,8 @@
 	OriginLimit
 )
 
-// HandlePeerUpdate takes over what another shard of the process has found out. Guards against each shard
-// finding out by requests of its own.
+// HandlePeerUpdate applies what another shard of the process has published. Guards against each shard having
+// to find it out with requests of its own.
 func (r *Router) HandlePeerUpdate(now float64, u PeerUpdate) {
 	r.now = now
 	h := r.endpoints.byID[u.Host]
@@ -54,7 +57,7 @@
 	if u.Limit == HostLimit && h != nil {
 		limit = &h.limit
 	}
-	if limit != nil && limit.roundPeak > 0 { // one that nothing was under does not tell how far to cut
+	if limit != nil && limit.roundPeak > 0 { // without work in this round, the limit gives no reference for a cut
 		r.limits.cut(limit, u.LateShare)
 	}
 }
--- a/core/routing/slow_start.go
+++ b/core/routing/slow_start.go
@@ -3,39 +3,42 @@
 import "math"
 
 const (
-	// share of the budget of a host in slow start that is sent to it: the rest is for chance and error
-	slowStartShare = 0.75
-	// share of a host's overload window whose credit may be saved up: with slowStartShare under one
-	savedShare      = 0.25
-	minMeasuredSpan = bucketSpan
+	// slowStartBudgetShare is the share of the budget of a host in slow start that routers may send to it.
+	// The rest allows for chance and error.
+	slowStartBudgetShare = 0.75
+	// savedCreditShare is the share of a host's overload window for which credit may be saved up. A full
+	// window plus the saved credit, times slowStartBudgetShare, stays below the budget.
+	savedCreditShare = 0.25
+	minMeasuredSpan  = bucketSpan // seconds
 )
 
 // warmUp is the slow start of one host.
 type warmUp struct {
 	active        bool
-	credit        float64 // s; work that may be sent to it now
-	creditedUntil float64 // s; up to when credit was given; 0 before the first look
+	credit        float64 // seconds; work that may be sent to the host now
+	creditedUntil float64 // seconds; time up to which credit was given; 0 before the first check
 }
 
-// slowStart keeps hosts with cold caches from being sent more than they bear, by all routers together. Each
-// router takes its own share of a host's budget, which grows from the start of the host to the end of its
-// ramp; many routers with small shares draw by chance which of them sends.
+// slowStart keeps all routers together from sending more to a host with a cold cache than it can take. Each
+// router uses its own share of the host's budget, which grows from the start of the host to the end of its
+// ramp. If the shares are small because there are many routers, each router draws at random whether it sends.
 type slowStart struct {
 	*environment
-	warmCacheRate  float64 // s/s; what a warm cache returned to this router, as of the last survey
-	warmParentRate float64 // s/s; the same for a warm parent
-	lastCacheRate  float64 // s/s; the last warmCacheRate that was not 0, for when no cache is warm
+	warmCacheRate  float64 // seconds of work per second that a warm cache returned to this router
+	warmParentRate float64 // the same for a warm parent
+	lastCacheRate  float64 // last value of warmCacheRate other than 0, used while no cache is warm
 }
 
-// survey measures what warm hosts return to this router.
-func (s *slowStart) survey(caches, parents []*host) {
+// updateWarmRates measures what warm hosts return to this router.
+func (s *slowStart) updateWarmRates(caches, parents []*host) {
 	s.warmCacheRate, s.warmParentRate = s.warmRate(caches), s.warmRate(parents)
 	if s.warmCacheRate != 0 {
 		s.lastCacheRate = s.warmCacheRate
 	}
 }
 
-// warmRate is the mean work per second that warm hosts among these return to this router.
+// warmRate returns the mean rate, in seconds of work per second, at which the warm hosts among those given
+// return work to this router.
 func (s *slowStart) warmRate(hosts []*host) float64 {
 	var all decayingMean
 	for _, h := range hosts {
@@ -46,63 +49,63 @@
 	return all.mean / math.Max(minMeasuredSpan, math.Min(s.now, windowSpan))
 }
 
-// hostBudget is what a host in slow start may be sent.
+// hostBudget is what may be sent to a host in slow start.
 type hostBudget struct {
-	rate    float64 // s/s; work that this router may send to it
-	senders float64 // routers and shards that share the host
+	rate    float64 // seconds of work per second that this router may send to it
+	senders float64 // number of routers and shards that share the host
 }
 
-// budget returns what a host in slow start may be sent, and ends its slow start after the ramp. In an
-// overload window all routers send 1+savedShare times their shares at most, as a mean: 0.94 of what the host
-// bears.
+// budget returns what may be sent to a host in slow start, and ends its slow start after the ramp. In an
+// overload window all routers together send, on average, at most 1+savedCreditShare times their shares: 0.94
+// of what the host can take.
 func (s *slowStart) budget(h *host, work float64) hostBudget {
 	initial, ramp, multiple := s.SlowStartInitial, s.SlowStartRamp, s.OverloadMultiple
 	rate, senders := s.warmCacheRate, s.senders(h.Zone)
 	if h.Kind == s.ParentKind {
 		initial, ramp, multiple = s.ParentSlowStartInitial, s.ParentSlowStartRamp, s.ParentOverloadMultiple
-		rate, senders = s.warmParentRate, s.senders(len(s.DispatchersByZone)) // of all zones
+		rate, senders = s.warmParentRate, s.senders(len(s.DispatchersByZone)) // parents serve all zones
 	}
 	age := math.Max(0, s.now-h.OnlineSince)
 	h.warmUp.active = h.warmUp.active && age < ramp && h.Kind != s.OriginKind
 	if s.WeightsKnown {
 		rate = h.Weight / senders
 	} else if rate == 0 {
-		// it can do one request in a window at least
+		// The host can take at least one request in a window.
 		rate = math.Max(s.lastCacheRate, work/s.OverloadWindow/senders)
 	}
-	return hostBudget{(initial + (1-initial)*age/ramp) * rate * multiple * slowStartShare, senders}
+	return hostBudget{(initial + (1-initial)*age/ramp) * rate * multiple * slowStartBudgetShare, senders}
 }
 
-// permits reports whether a host may be sent work now, as far as its slow start goes.
+// permits reports whether the slow start of a host allows work to be sent to it now.
 func (s *slowStart) permits(h *host, work float64) bool {
 	budget := s.budget(h, work)
 	if !h.warmUp.active {
 		return true
 	}
-	savable := budget.rate * s.OverloadWindow * savedShare * math.Max(1, float64(s.Shards))
-	if s.savesAreWithinChance(budget, work) {
-		savable = math.Max(savable, work)
+	maxCredit := budget.rate * s.OverloadWindow * savedCreditShare * math.Max(1, float64(s.Shards))
+	if s.savedRequestsFitMargin(budget, work) {
+		maxCredit = math.Max(maxCredit, work)
 	}
-	if savable >= work {
-		return s.accrue(h, budget, work, savable) >= work
+	if maxCredit >= work {
+		return s.accrue(h, budget, work, maxCredit) >= work
 	}
-	return s.draw(h, budget, work)
+	return s.drawCredit(h, budget, work)
 }
 
-// savesAreWithinChance reports whether one request saved up by each router is within what the host's budget
-// leaves for chance.
-func (s *slowStart) savesAreWithinChance(budget hostBudget, work float64) bool {
+// savedRequestsFitMargin reports whether the part of the host's budget that is reserved for chance covers one
+// saved request from each router.
+func (s *slowStart) savedRequestsFitMargin(budget hostBudget, work float64) bool {
 	if s.OverloadWindow <= 0 {
 		return true
 	}
-	// that the host bears in a window
-	requests := budget.rate * s.OverloadWindow * budget.senders / slowStartShare / work
-	return budget.senders <= requests*(1-slowStartShare)+2*math.Sqrt(requests)+2
+	// requests is the number of requests that the host can take in a window.
+	requests := budget.rate * s.OverloadWindow * budget.senders / slowStartBudgetShare / work
+	return budget.senders <= requests*(1-slowStartBudgetShare)+2*math.Sqrt(requests)+2
 }
 
-// accrue adds the credit of the time that has passed, up to savable, and returns the credit. The first look
-// draws what is there at the start.
-func (s *slowStart) accrue(h *host, budget hostBudget, work, savable float64) float64 {
+// accrue adds the credit earned since the last check, up to maxCredit, and returns the credit. The first
+// check draws the initial credit at random.
+func (s *slowStart) accrue(h *host, budget hostBudget, work, maxCredit float64) float64 {
 	w := &h.warmUp
 	earned, initial := budget.rate*math.Max(0, s.now-w.creditedUntil), 0.0
 	if w.creditedUntil == 0 {
@@ -111,17 +114,18 @@
 	} else {
 		w.creditedUntil = math.Max(s.now, w.creditedUntil)
 	}
-	return s.addCredit(h, initial, earned, savable)
+	return s.addCredit(h, initial, earned, maxCredit)
 }
 
-// draw decides by chance, once in an interval, whether this router may send one request. Guards against many
-// routers that save up one request each while it is quiet, and then send all at once.
-func (s *slowStart) draw(h *host, budget hostBudget, work float64) bool {
+// drawCredit decides at random, once in each interval, whether this router may send one request. Guards
+// against many routers that each save up one request during a quiet period and then send them all at once.
+func (s *slowStart) drawCredit(h *host, budget hostBudget, work float64) bool {
 	w := &h.warmUp
-	window := s.OverloadWindow * (1 + savedShare)
+	window := s.OverloadWindow * (1 + savedCreditShare)
 	interval := window / math.Max(1, math.Ceil(budget.rate*window/work))
-	if s.now < w.creditedUntil { // what was drawn is kept for as long as a larger share would be
-		return w.credit >= work && s.now < w.creditedUntil-interval+s.OverloadWindow*savedShare
+	// Drawn credit stays valid for as long as a larger share could be saved up.
+	if s.now < w.creditedUntil {
+		return w.credit >= work && s.now < w.creditedUntil-interval+s.OverloadWindow*savedCreditShare
 	}
 	w.credit, w.creditedUntil = 0, s.now+interval
 	if s.uniform(h)*work >= budget.rate*interval {
@@ -130,20 +134,20 @@
 	return s.addCredit(h, 0, work, work) >= work
 }
 
-// addCredit adds credit up to most, and returns what there is: for all shards in one account, as each with
-// its own could send a request at once.
-func (s *slowStart) addCredit(h *host, initial, earned, most float64) float64 {
+// addCredit adds credit up to maxCredit, and returns the total. All shards of a process share one account,
+// because with an account each, every shard could send a request at once.
+func (s *slowStart) addCredit(h *host, initial, earned, maxCredit float64) float64 {
 	w := &h.warmUp
 	if s.Peers != nil {
-		w.credit = s.Peers.AccrueCredit(h.ID, h.OnlineSince, initial, earned, most)
+		w.credit = s.Peers.AccrueCredit(h.ID, h.OnlineSince, initial, earned, maxCredit)
 	} else {
-		w.credit = math.Min(w.credit+earned, most)
+		w.credit = math.Min(w.credit+earned, maxCredit)
 	}
 	return w.credit
 }
 
-// claim takes work out of what all shards may send to a host in slow start; false if another shard was
-// faster.
+// claim takes work from what all shards together may send to a host in slow start. It returns false if other
+// shards have left too little.
 func (s *slowStart) claim(h *host, work float64) bool {
 	return s.Peers == nil || !h.warmUp.active || s.Peers.SpendCredit(h.ID, work)
 }
