--- a/core/routing/slow_start_cluster_test.go
+++ b/core/routing/slow_start_cluster_test.go
@@ -8,41 +8,42 @@
 )
 
 const (
-	meanWork     = 0.1  // s; mean sending time of a request
-	warmingStart = 12.0 // s; when hosts start their slow start, and all processes are notified of it
-	warmingEnd   = 22.0 // s; when their slow start is over
-	stepSpan     = 0.005
-	hostCount    = 8
-	baseLoad     = 0.5 // share of the capacity of all caches that is requested under normal load
+	meanRequestWork     = 0.1   // seconds; mean sending time of a request
+	slowStartBegin      = 12.0  // seconds; when hosts begin their slow start and all processes are notified of it
+	slowStartRunEnd     = 22.0  // seconds; end of the run, when the slow start is over
+	slowStartStepSpan   = 0.005 // seconds
+	slowStartCacheCount = 8
+	normalLoadShare     = 0.5 // share of the capacity of all caches that is requested under normal load
 )
 
-// slowStartScenario is a cluster of processes that know nothing of one another, and hosts in slow start.
+// slowStartScenario is a cluster of processes that do not communicate with one another, with hosts in slow
+// start.
 type slowStartScenario struct {
-	name            string
-	processes       int
-	initialRequests float64               // requests of mean work that a host sustains in a window at first
-	weightsKnown    bool                  // the processes know the weights of hosts
-	warmingCaches   int                   // caches in slow start
-	warmingParents  int                   // parents in slow start
-	load            func(float64) float64 // multiple of the normal load at a time; nil for 1
-	restarts        bool                  // a tenth of the processes restarts each half second from warmingStart on
-	silentCache     bool                  // a warm cache never responds from 3 s after warmingStart on
-	drainAfter      float64               // s after warmingStart when all caches but those in slow start drain; 0 for never
-	noHistory       bool                  // processes have had no response from warm hosts before warmingStart
-	sendAtLeastOne  bool                  // an injected fault: each process sends at least one request in each window
-	countError      float64               // multiple of the number of processes that each is configured with; 0 for 1
+	name               string
+	processes          int
+	initialRequests    float64               // requests of mean work that a host sustains in a window at first
+	weightsKnown       bool                  // the processes know the weights of hosts
+	slowStartCaches    int                   // number of caches in slow start
+	slowStartParents   int                   // number of parents in slow start
+	load               func(float64) float64 // multiple of the normal load at a time; nil means 1
+	restarts           bool                  // every half second from slowStartBegin on, a tenth of the processes restarts
+	silentCache        bool                  // from 3 s after slowStartBegin on, a warm cache never responds
+	drainAfter         float64               // seconds after slowStartBegin when all other caches drain; 0 for never
+	noHistory          bool                  // the processes have had no response from warm hosts before slowStartBegin
+	sendAtLeastOne     bool                  // injected fault: each process sends at least one request in each window
+	processCountFactor float64               // configured number of processes as a multiple of the real one; 0 means 1
 }
 
-// configuredProcesses is the number of processes that each is configured with.
+// configuredProcesses returns the number of processes that each process is configured with.
 func (s slowStartScenario) configuredProcesses() int {
-	if s.countError == 0 {
+	if s.processCountFactor == 0 {
 		return s.processes
 	}
-	return max(1, int(float64(s.processes)*s.countError))
+	return max(1, int(float64(s.processes)*s.processCountFactor))
 }
 
-// slowStartEvent is the result of an attempt of a process that may have restarted since.
-type slowStartEvent struct {
+// slowStartResult is the result of an attempt of a process that may have restarted since it was sent.
+type slowStartResult struct {
 	process     int
 	result      AttemptResult
 	incarnation int
@@ -53,22 +54,23 @@
 	*Router
 	rec         *recorder
 	incarnation int
-	attempts    map[uint32]int     // sent so far, by request
-	lastSent    map[uint32]float64 // s; when it last sent to a host in slow start, for sendAtLeastOne
-	share       float64            // of the requests, relative to those of other processes
+	attempts    map[uint32]int     // number sent so far, by request ID
+	lastSent    map[uint32]float64 // seconds; time of the last attempt sent to a host in slow start, for sendAtLeastOne
+	share       float64            // share of the requests, relative to other processes
 }
 
-// slowStartRun runs a slowStartScenario on a seed and records when each host in slow start was sent an attempt.
+// slowStartRun runs a slowStartScenario with a seed, and records the times at which each host in slow start
+// was sent an attempt.
 type slowStartRun struct {
 	slowStartScenario
-	random    *rand.Rand
-	processes []simulatedProcess
-	shareSum  float64
-	due       map[int][]slowStartEvent
-	hosts     []Endpoint
-	sends     map[uint32][]float64 // s; by host
-	seed      uint64
-	lastID    uint32
+	random     *rand.Rand
+	processes  []simulatedProcess
+	shareSum   float64
+	resultsDue map[int][]slowStartResult // by number of the step
+	hosts      []Endpoint
+	sends      map[uint32][]float64 // seconds; by host ID
+	seed       uint64
+	lastID     uint32
 }
 
 func newSlowStartRun(scenario slowStartScenario, seed uint64) *slowStartRun {
@@ -76,18 +78,18 @@
 		slowStartScenario: scenario,
 		random:            rand.New(rand.NewPCG(seed, 1)),
 		processes:         make([]simulatedProcess, scenario.processes),
-		due:               map[int][]slowStartEvent{},
+		resultsDue:        map[int][]slowStartResult{},
 		sends:             map[uint32][]float64{},
 		seed:              seed,
 	}
-	for i := range hostCount {
+	for i := range slowStartCacheCount {
 		run.hosts = append(run.hosts, endpoint(uint32(100+i), 0, Ready))
 	}
 	run.hosts = append(run.hosts, endpoint(parentA, 1, Ready), endpoint(parentB, 1, Ready), endpoint(origin, 2, Ready))
 	for i := range run.hosts {
 		run.hosts[i].Weight = run.weight()
 	}
-	for i := range run.processes { // from nearly none to several times the mean
+	for i := range run.processes { // shares range from nearly none to several times the mean
 		run.processes[i].share = math.Exp(1.2 * run.random.NormFloat64())
 		run.shareSum += run.processes[i].share
 	}
@@ -99,8 +101,8 @@
 
 func runSlowStart(scenario slowStartScenario, seed uint64) *slowStartRun {
 	run := newSlowStartRun(scenario, seed)
-	for step := 0; float64(step)*stepSpan < warmingEnd; step++ {
-		now := float64(step) * stepSpan
+	for step := 0; float64(step)*slowStartStepSpan < slowStartRunEnd; step++ {
+		now := float64(step) * slowStartStepSpan
 		run.updateEndpoints(step, now)
 		load := run.loadAt(now)
 		for i := range run.processes {
@@ -116,19 +118,22 @@
 	return run
 }
 
-// weight is the capacity of a cache, in seconds of sending time per second.
-func (run *slowStartRun) weight() float64 { return run.initialRequests * meanWork / (0.2 * 2 * 1) }
+// weight returns the capacity of a cache, in seconds of sending time per second.
+func (run *slowStartRun) weight() float64 {
+	return run.initialRequests * meanRequestWork / (0.2 * 2 * 1)
+}
 
-// loadAt is the multiple of the normal load at a time.
+// loadAt returns the multiple of the normal load at a time.
 func (run *slowStartRun) loadAt(now float64) float64 {
 	load := 1.0
 	if run.load != nil {
 		load = run.load(now)
 	}
-	if !run.weightsKnown { // no warm host returns more than its capacity, and that is all that is known of hosts
-		load = math.Min(load, 1/baseLoad)
+	// No warm host returns more than its capacity, and without weights this is all that is known about hosts.
+	if !run.weightsKnown {
+		load = math.Min(load, 1/normalLoadShare)
 	}
-	if run.noHistory && now < warmingStart {
+	if run.noHistory && now < slowStartBegin {
 		load = 0
 	}
 	return load
@@ -149,7 +154,7 @@
 	p.UpdateEndpoints(now-run.startedAt(i), ListCached, run.endpointsFor(i))
 }
 
-// startedAt is when a process started; its clock starts then.
+// startedAt returns the time at which a process started, which is the zero of its own clock.
 func (run *slowStartRun) startedAt(i int) float64 {
 	if run.processes[i].incarnation == 0 {
 		return 0
@@ -157,9 +162,9 @@
 	return run.restartAt(i)
 }
 
-func (run *slowStartRun) restartAt(i int) float64 { return warmingStart + 0.5*float64(1+i%10) }
+func (run *slowStartRun) restartAt(i int) float64 { return slowStartBegin + 0.5*float64(1+i%10) }
 
-// endpointsFor is the endpoint list on the clock of a process.
+// endpointsFor returns the endpoint list with times on the clock of a process.
 func (run *slowStartRun) endpointsFor(i int) []Endpoint {
 	hosts := slices.Clone(run.hosts)
 	for j := range hosts {
@@ -168,22 +173,23 @@
 	return hosts
 }
 
-// updateEndpoints notifies all processes of the hosts that drain, or start their slow start, in a step.
+// updateEndpoints notifies all processes of the hosts that begin to drain, or begin their slow start, in a
+// step.
 func (run *slowStartRun) updateEndpoints(step int, now float64) {
-	if run.drainAfter > 0 && step == int((warmingStart+run.drainAfter)/stepSpan) {
-		for i := run.warmingCaches; i < hostCount; i++ {
+	if run.drainAfter > 0 && step == int((slowStartBegin+run.drainAfter)/slowStartStepSpan) {
+		for i := run.slowStartCaches; i < slowStartCacheCount; i++ {
 			run.hosts[i].Phase = Draining
 		}
 		for i, p := range run.processes {
 			p.UpdateEndpoints(now-run.startedAt(i), ListChanges, run.endpointsFor(i))
 		}
 	}
-	if step != int(warmingStart/stepSpan) {
+	if step != int(slowStartBegin/slowStartStepSpan) {
 		return
 	}
 	var changed []Endpoint
 	for i := range run.hosts {
-		if h := &run.hosts[i]; run.startsWarming(i) {
+		if h := &run.hosts[i]; run.startsSlowStart(i) {
 			h.OnlineSince, h.OnlineSinceKnown = now, true
 			changed = append(changed, *h)
 		}
@@ -193,18 +199,18 @@
 	}
 }
 
-// startsWarming reports whether a host starts its slow start at warmingStart.
-func (run *slowStartRun) startsWarming(i int) bool {
+// startsSlowStart reports whether a host begins its slow start at slowStartBegin.
+func (run *slowStartRun) startsSlowStart(i int) bool {
 	switch run.hosts[i].Kind {
 	case 0:
-		return i < run.warmingCaches
+		return i < run.slowStartCaches
 	case 1:
-		return i-hostCount < run.warmingParents
+		return i-slowStartCacheCount < run.slowStartParents
 	}
 	return false
 }
 
-// runTimer runs the timer of a process in one step of ten.
+// runTimer triggers the timer of a process in every tenth step.
 func (run *slowStartRun) runTimer(i, step int, now float64) {
 	if (step+i)%10 == 0 {
 		runTimer(run.processes[i].Router, now-run.startedAt(i))
@@ -212,11 +218,12 @@
 	}
 }
 
-// submitRequests submits the requests that come to a process in a step.
+// submitRequests submits the requests that arrive at a process in a step.
 func (run *slowStartRun) submitRequests(i int, now, load float64) {
 	p := &run.processes[i]
-	rate := baseLoad * run.weight() / meanWork * hostCount // requests per second of the cluster under normal load
-	for range poisson(run.random, rate*load*stepSpan*p.share/run.shareSum) {
+	// rate is the number of requests per second in the cluster under normal load.
+	rate := normalLoadShare * run.weight() / meanRequestWork * slowStartCacheCount
+	for range poisson(run.random, rate*load*slowStartStepSpan*p.share/run.shareSum) {
 		run.lastID++
 		markedWarm := run.injectFault(i, now)
 		submit(p.Router, now-run.startedAt(i), run.lastID, fmt.Sprint("o", run.random.IntN(3000)))
@@ -227,9 +234,9 @@
 	}
 }
 
-// returnResults returns the results that are due in a step to processes that have not restarted since.
+// returnResults returns the results that are due in a step, to processes that have not restarted since.
 func (run *slowStartRun) returnResults(step int, now float64) {
-	for _, event := range run.due[step] {
+	for _, event := range run.resultsDue[step] {
 		p := &run.processes[event.process]
 		if event.incarnation != p.incarnation {
 			continue
@@ -239,10 +246,10 @@
 		p.RunRetries(ownNow)
 		run.flush(event.process, now)
 	}
-	delete(run.due, step)
+	delete(run.resultsDue, step)
 }
 
-// flush takes the attempts that a process sends, and schedules their results.
+// flush serves the attempts that a process has sent, and discards its other decisions.
 func (run *slowStartRun) flush(i int, now float64) {
 	rec := run.processes[i].rec
 	for ; len(rec.attempts) > 0; rec.attempts = rec.attempts[1:] {
@@ -257,19 +264,19 @@
 	number := p.attempts[a.RequestID]
 	p.attempts[a.RequestID]++
 	note, host := CacheHit, a.Host
-	if run.warmingParents > 0 {
+	if run.slowStartParents > 0 {
 		note, host = Filled, a.Source
 	}
-	if now >= warmingStart {
+	if now >= slowStartBegin {
 		run.sends[host] = append(run.sends[host], now)
 		p.lastSent[host] = now
 	}
-	elapsed := meanWork * (0.5 + run.random.Float64())
-	if run.silentCache && a.Host == run.hosts[hostCount-1].ID && now > warmingStart+3 {
+	elapsed := meanRequestWork * (0.5 + run.random.Float64())
+	if run.silentCache && a.Host == run.hosts[slowStartCacheCount-1].ID && now > slowStartBegin+3 {
 		return
 	}
-	step := int((now + elapsed) / stepSpan)
-	run.due[step] = append(run.due[step], slowStartEvent{
+	step := int((now + elapsed) / slowStartStepSpan)
+	run.resultsDue[step] = append(run.resultsDue[step], slowStartResult{
 		process:     i,
 		incarnation: p.incarnation,
 		result: AttemptResult{
@@ -278,14 +285,14 @@
 	})
 }
 
-// injectFault has a process that sent nothing to a host in slow start for a window take that host for warm. It returns the
-// hosts that were marked so.
+// injectFault makes a process treat a host in slow start as warm if it has sent nothing to the host for a
+// window. It returns the hosts that were marked as warm.
 func (run *slowStartRun) injectFault(i int, now float64) (markedWarm []*host) {
-	if !run.sendAtLeastOne || now < warmingStart {
+	if !run.sendAtLeastOne || now < slowStartBegin {
 		return nil
 	}
 	p := &run.processes[i]
-	for _, e := range run.hosts[:run.warmingCaches] {
+	for _, e := range run.hosts[:run.slowStartCaches] {
 		if h := p.endpoints.byID[e.ID]; h.warmUp.active && now >= p.lastSent[e.ID]+1 {
 			h.warmUp.active = false
 			markedWarm = append(markedWarm, h)
@@ -294,7 +301,7 @@
 	return markedWarm
 }
 
-// poisson draws from a Poisson distribution.
+// poisson draws a number from a Poisson distribution.
 func poisson(random *rand.Rand, mean float64) (n int) {
 	for p := random.Float64(); p > math.Exp(-mean); n++ {
 		p *= random.Float64()
@@ -302,20 +309,22 @@
 	return n
 }
 
-// sustainable is how many requests of mean work a host in slow start sustains in a window, by the settings.
+// sustainable returns the number of requests of mean work that a host in slow start sustains in a window,
+// according to the settings.
 func (run *slowStartRun) sustainable(at float64, kind int) float64 {
 	initial, ramp := 0.2, 10.0
 	if kind == 1 {
 		initial, ramp = 0.1, 20.0
 	}
-	return (initial + (1-initial)*math.Min(1, (at-warmingStart)/ramp)) * 2 * run.weight() / meanWork
+	return (initial + (1-initial)*math.Min(1, (at-slowStartBegin)/ramp)) * 2 * run.weight() / meanRequestWork
 }
 
-// overloads returns how many hosts in slow start were sent more in a sliding window than the rule allows, by the settings
-// alone, and the largest share of what it allows that any was sent.
+// overloads returns how many hosts in slow start were sent more in a sliding window than the overload rule
+// allows, and the highest share of the allowed number that any of them was sent. Only the settings enter into
+// it, nothing that routers have learned.
 func (run *slowStartRun) overloads() (overloaded int, worst float64) {
 	for _, h := range run.hosts {
-		if h.OnlineSince != warmingStart {
+		if h.OnlineSince != slowStartBegin {
 			continue
 		}
 		share := run.worstWindow(h)
@@ -326,7 +335,8 @@
 	return overloaded, worst
 }
 
-// worstWindow is the largest share of what the rule allows that a host was sent in a window.
+// worstWindow returns the highest share of what the overload rule allows that a host was sent in any window.
+// The rule allows n + 2*sqrt(n) + 2 requests for a host that sustains n.
 func (run *slowStartRun) worstWindow(h Endpoint) (worst float64) {
 	sends, first := run.sends[h.ID], 0
 	for last, at := range sends {
@@ -339,31 +349,32 @@
 	return worst
 }
 
-// quietThenBurst is four seconds of hardly any load after warmingStart, and a burst after them.
+// quietThenBurst has hardly any load for four seconds after slowStartBegin, and then a burst.
 func quietThenBurst(now float64) float64 {
 	switch {
-	case now < warmingStart:
+	case now < slowStartBegin:
 		return 1
-	case now < warmingStart+4:
+	case now < slowStartBegin+4:
 		return 0.02
 	}
 	return 4
 }
 
-// burst is a burst of two seconds, one second after warmingStart.
+// burst has a burst of two seconds, beginning one second after slowStartBegin.
 func burst(now float64) float64 {
-	if now > warmingStart+1 && now < warmingStart+3 {
+	if now > slowStartBegin+1 && now < slowStartBegin+3 {
 		return 4
 	}
 	return 1
 }
 
-// twoBursts has all processes see requests for hosts in slow start before a quiet stretch.
-func twoBursts(now float64) float64 {
+// burstQuietBurst lets all processes see requests for hosts in slow start before a quiet period and a second
+// burst.
+func burstQuietBurst(now float64) float64 {
 	switch {
-	case now < warmingStart+2:
+	case now < slowStartBegin+2:
 		return 4
-	case now < warmingStart+6:
+	case now < slowStartBegin+6:
 		return 0.02
 	}
 	return 4
--- a/core/routing/slow_start_test.go
+++ b/core/routing/slow_start_test.go
@@ -11,21 +11,22 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// What many processes that know nothing of one another send, together, to a host in slow start does not overload it.
-func TestAWarmingHostBearsWhatAllSend(t *testing.T) {
+// Guards against many processes, which do not communicate with one another, together sending more to a host
+// in slow start than it can take.
+func TestProcessesTogetherDoNotOverloadSlowStartHost(t *testing.T) {
 	for _, scenario := range []slowStartScenario{
-		{name: "weights known", warmingCaches: 1, weightsKnown: true},
-		{name: "weights unknown", warmingCaches: 1},
-		{name: "a quiet stretch and a burst", warmingCaches: 1, weightsKnown: true, load: quietThenBurst},
-		{name: "restarts in a burst", warmingCaches: 1, weightsKnown: true, load: burst, restarts: true},
-		{name: "half of the caches, and a burst", warmingCaches: 4, load: burst},
-		{name: "a silent cache, retries", warmingCaches: 1, weightsKnown: true, silentCache: true},
-		{name: "parents", warmingParents: 2, weightsKnown: true, load: burst},
-		{name: "parents, weights unknown", warmingParents: 2, load: burst},
-		{name: "no history", warmingCaches: hostCount, noHistory: true},
+		{name: "weights known", slowStartCaches: 1, weightsKnown: true},
+		{name: "weights unknown", slowStartCaches: 1},
+		{name: "a quiet stretch and a burst", slowStartCaches: 1, weightsKnown: true, load: quietThenBurst},
+		{name: "restarts in a burst", slowStartCaches: 1, weightsKnown: true, load: burst, restarts: true},
+		{name: "half of the caches, and a burst", slowStartCaches: 4, load: burst},
+		{name: "a silent cache, retries", slowStartCaches: 1, weightsKnown: true, silentCache: true},
+		{name: "parents", slowStartParents: 2, weightsKnown: true, load: burst},
+		{name: "parents, weights unknown", slowStartParents: 2, load: burst},
+		{name: "no history", slowStartCaches: slowStartCacheCount, noHistory: true},
 		{
-			name:          "a quiet stretch, then all others drain under a burst",
-			warmingCaches: 1, weightsKnown: true, load: twoBursts, drainAfter: 6,
+			name:            "a quiet stretch, then all others drain under a burst",
+			slowStartCaches: 1, weightsKnown: true, load: burstQuietBurst, drainAfter: 6,
 		},
 	} {
 		for _, scenario.processes = range []int{3, 30, 300} {
@@ -33,38 +34,39 @@
 				scenario.initialRequests = 30
 				overloaded, worst := runSlowStart(scenario, 1).overloads()
 				assert.Zero(t, overloaded, "hosts overloaded")
-				assert.Less(t, worst, 0.9, "share of what the rule allows, in the worst window")
+				assert.Less(t, worst, 0.9, "share of what the overload rule allows, in the worst window")
 			})
 		}
 	}
 }
 
-// The rule holds however few or many processes there are, and whatever a host sustains at first: one request in a window or a
-// thousand. Processes restart in the middle, traffic is uneven, and some are configured with a wrong number of processes.
-func TestTheRuleBindsForFewAndMany(t *testing.T) {
+// The overload rule holds for any number of processes, whether a host sustains one request in a window at
+// first or a thousand. Processes restart during the run, their traffic is uneven, and some are configured
+// with a wrong number of processes.
+func TestOverloadRuleHoldsForAnyNumberOfProcesses(t *testing.T) {
 	scenarios := []slowStartScenario{
-		{name: "burst", warmingCaches: 1, weightsKnown: true, load: burst},
-		{name: "burst, weights unknown", warmingCaches: 1, load: burst},
-		{name: "restarts", warmingCaches: 1, weightsKnown: true, load: burst, restarts: true},
-		{name: "configured with twice as many", warmingCaches: 1, weightsKnown: true, load: burst, countError: 2},
-		{name: "configured with half as many, weights unknown", warmingCaches: 1, load: burst, countError: 0.5},
-		{name: "a quiet stretch, and all others drain", warmingCaches: 1, weightsKnown: true, load: twoBursts, drainAfter: 6},
+		{name: "burst", slowStartCaches: 1, weightsKnown: true, load: burst},
+		{name: "burst, weights unknown", slowStartCaches: 1, load: burst},
+		{name: "restarts", slowStartCaches: 1, weightsKnown: true, load: burst, restarts: true},
+		{name: "configured with twice as many", slowStartCaches: 1, weightsKnown: true, load: burst, processCountFactor: 2},
+		{name: "configured with half as many, weights unknown", slowStartCaches: 1, load: burst, processCountFactor: 0.5},
+		{name: "a quiet stretch, and all others drain", slowStartCaches: 1, weightsKnown: true, load: burstQuietBurst, drainAfter: 6},
 	}
 	for _, scenario := range scenarios {
 		for _, scenario.processes = range []int{1, 2, 3, 30, 300, 900} {
 			for _, scenario.initialRequests = range []float64{1, 5, 30, 200, 1000} {
-				takesLong := scenario.processes > 300 || scenario.initialRequests > 30 // minutes, all of them together
+				takesLong := scenario.processes > 300 || scenario.initialRequests > 30 // all of these together take minutes
 				if takesLong && os.Getenv("ELDERWALL_COLD") == "" {
 					continue
 				}
-				testNeverOverloads(t, scenario)
+				testDoesNotOverload(t, scenario)
 			}
 		}
 	}
 }
 
-// testNeverOverloads runs a scenario in parallel with others.
-func testNeverOverloads(t *testing.T, scenario slowStartScenario) {
+// testDoesNotOverload runs a scenario in parallel with others and checks that no host is overloaded.
+func testDoesNotOverload(t *testing.T, scenario slowStartScenario) {
 	name := fmt.Sprint(scenario.name, ", ", scenario.processes, " processes, N ", scenario.initialRequests)
 	t.Run(name, func(t *testing.T) {
 		t.Parallel()
@@ -74,9 +76,9 @@
 	})
 }
 
-// The worst window over a whole ramp, over many seeds: how far it is from an overload. Many seeds take minutes and are run by
-// hand (docs/fleets.md has the figures).
-func TestTheWorstWindowOfARamp(t *testing.T) {
+// The worst window over a whole ramp stays below an overload, with many seeds. Many seeds take minutes, so
+// such runs are started by hand with ELDERWALL_COLD_SEEDS (docs/fleets.md has the figures).
+func TestWorstWindowOfRampStaysBelowOverload(t *testing.T) {
 	seeds, _ := strconv.Atoi(os.Getenv("ELDERWALL_COLD_SEEDS"))
 	for _, size := range []struct {
 		processes       int
@@ -87,8 +89,8 @@
 			var worst []float64
 			for seed := range uint64(max(1, seeds)) {
 				_, share := runSlowStart(slowStartScenario{
-					processes: size.processes, initialRequests: size.initialRequests, warmingCaches: 1,
-					weightsKnown: true, load: twoBursts, drainAfter: 6, restarts: true,
+					processes: size.processes, initialRequests: size.initialRequests, slowStartCaches: 1,
+					weightsKnown: true, load: burstQuietBurst, drainAfter: 6, restarts: true,
 				}, seed+1).overloads()
 				worst = append(worst, share)
 			}
@@ -96,8 +98,9 @@
 			chance := chanceOfOverload(mean, spread)
 			t.Logf("%d runs: mean %.3f, spread %.3f, largest %.3f of what the rule allows; chance of an overload %.1e",
 				len(worst), mean, spread, slices.Max(worst), chance)
-			// Few processes save up credit and draw nothing: what each may send in a window is bounded by its share.
-			assert.Less(t, slices.Max(worst), (1+savedShare)*slowStartShare)
+			// A few processes save up credit and draw nothing: what each may send in a window is limited by
+			// its share.
+			assert.Less(t, slices.Max(worst), (1+savedCreditShare)*slowStartBudgetShare)
 			if seeds > 10 && size.processes >= 30 {
 				assert.Less(t, chance, 1e-4, "chance of an overload")
 			}
@@ -105,7 +108,7 @@
 	}
 }
 
-// meanAndDeviation is the mean and the standard deviation of values.
+// meanAndDeviation returns the mean and the standard deviation of values.
 func meanAndDeviation(values []float64) (mean, deviation float64) {
 	for _, x := range values {
 		mean += x / float64(len(values))
@@ -117,18 +120,19 @@
 	return mean, math.Sqrt(variance)
 }
 
-// chanceOfOverload is the chance that the worst window of a run is over 1. The largest of many windows has a longer tail than a
-// normal distribution: that of an extreme value (Gumbel) with the same mean and deviation.
+// chanceOfOverload returns the probability that the worst window of a run exceeds 1. The maximum of many
+// windows has a longer tail than a normal distribution, so an extreme value (Gumbel) distribution with the
+// same mean and deviation is used.
 func chanceOfOverload(mean, deviation float64) float64 {
 	scale := math.Max(1e-9, deviation*math.Sqrt(6)/math.Pi)
 	return 1 - math.Exp(-math.Exp(-(1-(mean-0.5772*scale))/scale))
 }
 
-// The check finds an injected fault: each process sends at least one request in a window.
-func TestOneRequestByEachProcessIsTooMuch(t *testing.T) {
+// The overload check detects an injected fault: each process sends at least one request in each window.
+func TestOverloadCheckDetectsOneRequestPerProcess(t *testing.T) {
 	for processes, initialRequests := range map[int]float64{30: 5, 300: 30} {
 		scenario := slowStartScenario{
-			processes: processes, initialRequests: initialRequests, warmingCaches: 1, weightsKnown: true,
+			processes: processes, initialRequests: initialRequests, slowStartCaches: 1, weightsKnown: true,
 			load: func(float64) float64 { return 4 }, drainAfter: 1,
 		}
 		overloaded, worst := runSlowStart(scenario, 1).overloads()
@@ -139,17 +143,17 @@
 	}
 }
 
-// Under a burst that has each process see requests all the time, what all send has the configured mean, and a deviation of its
-// square root at most.
-func TestTheSumOfWhatAllSend(t *testing.T) {
+// Under bursts in which each process sees requests all the time, the total that all processes send to a host
+// in slow start has the configured mean. Its deviation is at most the square root of what the host sustains.
+func TestTotalSentToSlowStartHostMatchesBudget(t *testing.T) {
 	for _, processes := range []int{3, 30, 300} {
 		var sent, sustainable []float64
 		for seed := range uint64(4) {
 			run := runSlowStart(slowStartScenario{
-				processes: processes, initialRequests: 30, warmingCaches: 1, weightsKnown: true,
-				load: twoBursts, drainAfter: 6,
+				processes: processes, initialRequests: 30, slowStartCaches: 1, weightsKnown: true,
+				load: burstQuietBurst, drainAfter: 6,
 			}, seed+1)
-			for from := warmingStart + 6.0; from < warmingEnd; from++ {
+			for from := slowStartBegin + 6.0; from < slowStartRunEnd; from++ {
 				sent = append(sent, run.sentWithin(run.hosts[0].ID, from, from+1))
 				sustainable = append(sustainable, run.sustainable(from+0.5, 0))
 			}
@@ -169,7 +173,7 @@
 	}
 }
 
-// sentWithin counts the attempts that a host was sent after one time, up to another.
+// sentWithin counts the attempts that a host was sent after one time and up to another, in seconds.
 func (run *slowStartRun) sentWithin(host uint32, from, to float64) (sent float64) {
 	for _, at := range run.sends[host] {
 		if at > from && at <= to {
@@ -179,8 +183,9 @@
 	return sent
 }
 
-// Where no overload window is configured, a host in slow start is sent something all the same, however many routers there are.
-func TestAWarmingHostWithNoOverloadWindowIsNotShutOut(t *testing.T) {
+// Guards against a host in slow start that gets no requests at all if no overload window is configured and
+// there are many routers.
+func TestSlowStartHostGetsRequestsWithoutOverloadWindow(t *testing.T) {
 	r, rec := newCluster(func(s *Settings) {
 		s.OverloadWindow, s.DispatchersByZone, s.WeightsKnown = 0, []int{300}, true
 	})
@@ -199,15 +204,16 @@
 	assert.Empty(t, rec.attempts)
 }
 
+// A host in slow start gets its share of requests, neither much less nor more, with one or many routers.
 func TestHostsInSlowStartGetTheirShare(t *testing.T) {
 	for _, tt := range []struct {
-		name         string
-		kind         int
-		id           uint32
-		weightsKnown bool
-		onlineSince  float64
-		routers      int // that are notified of the start together
-		least, most  int // requests of 0.1 s that all send in two windows; the rule allows a tenth more
+		name             string
+		kind             int
+		id               uint32
+		weightsKnown     bool
+		onlineSince      float64
+		routers          int // number of routers that are notified of the start together
+		minSent, maxSent int // bounds on requests of 0.1 s sent by all in two windows; the rule allows a tenth more
 	}{
 		{"cache of known weight", 0, cacheA, true, 20, 1, 10, 40},
 		{"cache of known weight, many routers", 0, cacheA, true, 20, 40, 10, 40},
@@ -226,18 +232,19 @@
 					s.WeightsKnown, s.Index, s.Dispatchers = tt.weightsKnown, index, tt.routers
 					s.DispatchersByZone = []int{max(1, tt.routers*(1-tt.kind))}
 				})
-				// The rate of warm hosts is learned first.
+				// The routers first learn the rate of warm hosts.
 				traffic{from: 0, to: 20, interval: 0.1, respond: alwaysHit}.run(r, rec)
 				r.UpdateEndpoints(20, ListChanges, []Endpoint{started})
 				sent += sentToStartedHost(r, rec, tt.id)
 			}
-			assert.LessOrEqual(t, sent, tt.most)
-			assert.GreaterOrEqual(t, sent, tt.least)
+			assert.LessOrEqual(t, sent, tt.maxSent)
+			assert.GreaterOrEqual(t, sent, tt.minSent)
 		})
 	}
 }
 
-// sentToStartedHost submits a hundred requests a second over two seconds and counts the attempts that a host is sent.
+// sentToStartedHost submits 100 requests per second for two seconds, and counts the attempts that a host is
+// sent as a cache or as a source.
 func sentToStartedHost(r *Router, rec *recorder, host uint32) (sent int) {
 	before := len(rec.attempts)
 	for i := range uint32(200) {
--- a/core/routing/statistics.go
+++ b/core/routing/statistics.go
@@ -3,18 +3,18 @@
 import "math"
 
 const (
-	bucketSpan    = 2.0 // s; the design's: one bucket of a windowed sum
-	windowBuckets = 5   // the design's: 5 buckets of 2 s are its window of 10 s
-	windowSpan    = windowBuckets * bucketSpan
+	bucketSpan    = 2.0                        // seconds; span of one bucket of a windowed sum, as in the design
+	windowBuckets = 5                          // as in the design, whose window of 10 s has 5 buckets of 2 s
+	windowSpan    = windowBuckets * bucketSpan // seconds
 )
 
-// windowedSum sums what happened in the last windowSpan seconds. The zero value is empty.
+// windowedSum sums values over the last windowSpan seconds. The zero value is empty.
 type windowedSum struct {
 	buckets [windowBuckets]float64
 	epoch   int // number of the latest bucket, counted from time 0
 }
 
-// add adds x to the current bucket and returns the sum of the window.
+// add adds x to the current bucket and returns the sum over the window.
 func (s *windowedSum) add(now, x float64) float64 {
 	epoch := int(now / bucketSpan)
 	s.advance(epoch)
@@ -26,10 +26,10 @@
 	return total
 }
 
-// sum returns the sum of the window.
+// sum returns the sum over the window.
 func (s *windowedSum) sum(now float64) float64 { return s.add(now, 0) }
 
-// advance empties the buckets that have left the window.
+// advance clears the buckets that have left the window.
 func (s *windowedSum) advance(epoch int) {
 	if epoch-s.epoch > windowBuckets {
 		s.epoch = epoch - windowBuckets
@@ -40,8 +40,8 @@
 	}
 }
 
-// decayingMean is a mean that forgets: each sample weighs at least a given share. The zero value has no
-// samples.
+// decayingMean is a mean that gradually forgets old samples: each new sample has at least a given weight. The
+// zero value has no samples.
 type decayingMean struct {
 	mean    float64
 	samples int
