--- a/cmd/elderwall-operator/fleet.go
+++ b/cmd/elderwall-operator/fleet.go
@@ -121,14 +121,14 @@
 	for _, k := range m.Kinds {
 		if k.Records+k.Refused > 0 {
 			fmt.Fprintf(to, "  %s: %s records, %s, %d deleted, %d set aside, %d refused\n", k.Kind, humanize.Comma(int64(k.Records)), humanize.IBytes(uint64(k.Bytes)),
-				k.Dead, k.Aside, k.Refused)
+				k.Tombstones, k.Conflicting, k.Refused)
 		}
-		if k.Lacks {
+		if k.Incomplete {
 			fmt.Fprintf(to, "  %s: some were dropped here, and are not brought in yet; nothing of it is acknowledged\n", k.Kind)
 		}
 	}
-	if len(m.Strange) > 0 {
-		fmt.Fprintf(to, "  kinds %v: written by others, of a version later than this one's; not kept here\n", m.Strange)
+	if len(m.UnknownKinds) > 0 {
+		fmt.Fprintf(to, "  kinds %v: written by others, of a version later than this one's; not kept here\n", m.UnknownKinds)
 	}
 }
 
--- a/cmd/elderwall-operator/memoryplay.go
+++ b/cmd/elderwall-operator/memoryplay.go
@@ -209,7 +209,7 @@
 	if err := together(len(all), func(i int) error {
 		s := c.fleet(3)
 		s.Records, s.Writes, s.Span, s.Quiet, s.Knows, s.Settle, s.Checks, s.Fresh = c.Records, 0, 1, float64(c.Differ[i/len(ways)]), 1, 300, false, 0
-		s.Sure = replication.Sure{}
+		s.Sure = replication.WriteConcern{}
 		s.Troubles = []emulator.MemberTrouble{{Kind: emulator.Cut, At: 1, For: 30, Number: 1}}
 		switch ways[i%len(ways)] {
 		case "digests": // all start anew, and know no deltas
@@ -251,14 +251,14 @@
 	for _, n := range []int{c.Records / 10, c.Records} {
 		for _, size := range []int{20, 100} {
 			before := heap()
-			saved := &replication.Saved{Era: 1, Vector: replication.Vector{{Writer: "n0", Era: 1, Number: uint64(n)}}}
+			saved := &replication.SavedState{WriterEpoch: 1, Vector: replication.Vector{{Writer: "n0", WriterEpoch: 1, Number: uint64(n)}}}
 			for i := range n {
-				saved.Records = append(saved.Records, replication.Carried{Record: replication.Record{
+				saved.Records = append(saved.Records, replication.ReplicatedRecord{Record: replication.Record{
 					Kind: 1, Key: fmt.Sprintf("k%07d", i), Value: make([]byte, size),
-					Dot: replication.Dot{Writer: "n0", Era: 1, Number: uint64(i + 1)},
+					Dot: replication.Dot{Writer: "n0", WriterEpoch: 1, Number: uint64(i + 1)},
 				}})
 			}
-			m, err := replication.New(replication.Settings{Name: "n1", Kinds: []replication.Kind{{ID: 1, Name: "played", Records: 2 * n, Bytes: 1 << 30, Longest: 1000, Law: func(a, b []byte) int { return 0 }}}},
+			m, err := replication.New(replication.Settings{Name: "n1", Kinds: []replication.Kind{{ID: 1, Name: "played", MaxRecords: 2 * n, MaxBytes: 1 << 30, MaxRecordBytes: 1000, MergeOrder: func(a, b []byte) int { return 0 }}}},
 				saved, 0)
 			if err != nil {
 				return nil, fmt.Errorf("record: %w", err)
--- a/core/cluster/channel/channels_test.go
+++ b/core/cluster/channel/channels_test.go
@@ -213,7 +213,7 @@
 func TestPositions(t *testing.T) {
 	full := func(d Declaration, n uint64) *Machine {
 		m := one(d)
-		m.Fleet(replication.Fleet{Decides: true, Others: []replication.Member{{Name: "n7", Alive: true}}})
+		m.Fleet(replication.Fleet{HasQuorum: true, Others: []replication.Member{{Name: "n7", Alive: true}}})
 		for k := range n {
 			e := entry("a", k+1, 0)
 			if d.Order == Total {
@@ -305,7 +305,7 @@
 		m.Tick(71)
 		tombs := 0
 		for _, p := range m.Ready().Puts {
-			if p.Record.Dead {
+			if p.Record.Deleted {
 				tombs++
 				m.Learn(71, p.Record)
 			}
@@ -326,7 +326,7 @@
 			if start > 0 {
 				m.Learn(0, disk) // before it is told who else there is
 			}
-			m.Fleet(replication.Fleet{Of: 2})
+			m.Fleet(replication.Fleet{AgreedSize: 2})
 			if resends {
 				state := need.Of(m.Write(0, entry("a", 1, 0)))(t)
 				require.Equal(t, OnWay, state, "no other is known to have it")
@@ -336,14 +336,14 @@
 			require.Len(t, puts, 1)
 			require.True(t, start == 0 || entryLaw(puts[0].Record.Value, disk.Value) > 0, "it stands over itself")
 			disk = puts[0].Record
-			disk.Dot = replication.Dot{Writer: "n0", Era: uint64(start), Number: 1}
+			disk.Dot = replication.Dot{Writer: "n0", WriterEpoch: uint64(start), Number: 1}
 			m.Learn(1, disk)
 			assert.Empty(t, m.Take(1, id, 9))
 			m.Written(2, puts[0].ID, replication.Outcome{Met: start == 2, Copies: 1}, nil)
 			assert.Equal(t, map[bool]string{true: "a1"}[start == 2], words(m.Take(2, id, 9)))
 		}
 		m := one(declared(o, o == Latest))
-		m.Fleet(replication.Fleet{Of: 2})
+		m.Fleet(replication.Fleet{AgreedSize: 2})
 		disk.Dot.Writer = "n1"
 		m.Learn(0, disk)
 		state := need.Of(m.Write(0, entry("a", 1, 0)))(t)
--- a/core/cluster/channel/codec.go
+++ b/core/cluster/channel/codec.go
@@ -23,8 +23,8 @@
 // Kinds are those that replica has to be given.
 func Kinds() []replication.Kind {
 	return []replication.Kind{
-		{ID: EntryKind, Name: "entry", Records: 400_000, Bytes: 256 << 20, Longest: replication.MostLongest, Sync: true, Law: entryLaw, Check: checkEntry},
-		{ID: WriterKind, Name: "writer", Records: 2 * MostChannels * (MostWriters + 1), Bytes: 8 << 20, Longest: 512, Sync: true, Law: numberLaw, Check: checkNumber},
+		{ID: EntryKind, Name: "entry", MaxRecords: 400_000, MaxBytes: 256 << 20, MaxRecordBytes: replication.MaxRecordBytes, Sync: true, MergeOrder: entryLaw, Check: checkEntry},
+		{ID: WriterKind, Name: "writer", MaxRecords: 2 * MostChannels * (MostWriters + 1), MaxBytes: 8 << 20, MaxRecordBytes: 512, Sync: true, MergeOrder: numberLaw, Check: checkNumber},
 	}
 }
 
--- a/core/cluster/channel/contract_test.go
+++ b/core/cluster/channel/contract_test.go
@@ -21,7 +21,7 @@
 					}
 					return binary.AppendUvarint(binary.AppendUvarint(nil, c.Uint64N(300)), c.Uint64N(3))
 				},
-				Compare: k.Law,
+				Compare: k.MergeOrder,
 			}.Hold(t)
 		})
 	}
--- a/core/cluster/channel/golden_test.go
+++ b/core/cluster/channel/golden_test.go
@@ -60,7 +60,7 @@
 		tr.Rejected(err)
 	}
 	for _, k := range Kinds() {
-		tr.Values("kind", k.ID, k.Name, k.Records, k.Bytes, k.Longest, k.Sync)
+		tr.Values("kind", k.ID, k.Name, k.MaxRecords, k.MaxBytes, k.MaxRecordBytes, k.Sync)
 	}
 	tr.Check(t, "tokens.golden")
 }
--- a/core/cluster/channel/gone.go
+++ b/core/cluster/channel/gone.go
@@ -230,10 +230,10 @@
 
 // void: a record of a writer under a life that is over, which goes; or under one that is not known here yet, and is learned anew once it is.
 func (m *Machine) void(c *channel, r replication.Record, life uint64) bool {
-	if life == c.life && (c.ended == 0 || r.Dead) {
+	if life == c.life && (c.ended == 0 || r.Deleted) {
 		return false
 	}
-	if life <= c.life && !r.Dead {
+	if life <= c.life && !r.Deleted {
 		c.loose[r.Key] = 0
 	}
 	return true
--- a/core/cluster/channel/joint_test.go
+++ b/core/cluster/channel/joint_test.go
@@ -16,8 +16,8 @@
 type realReplica struct {
 	m    *replication.Machine
 	era  uint64
-	recs map[replication.Name]replication.Carried
-	vec  map[[2]any]replication.Entry
+	recs map[replication.RecordKey]replication.ReplicatedRecord
+	vec  map[[2]any]replication.VectorEntry
 	ids  map[replication.Dot]uint64
 }
 
@@ -28,30 +28,30 @@
 }
 
 func newReal() *realReplica {
-	return &realReplica{recs: map[replication.Name]replication.Carried{}, vec: map[[2]any]replication.Entry{}}
+	return &realReplica{recs: map[replication.RecordKey]replication.ReplicatedRecord{}, vec: map[[2]any]replication.VectorEntry{}}
 }
 
 func (w *world) startReal(i int) {
 	r := w.nodes[i].real
-	var saved *replication.Saved
+	var saved *replication.SavedState
 	if len(r.recs) > 0 {
-		saved = &replication.Saved{Era: r.era}
+		saved = &replication.SavedState{WriterEpoch: r.era}
 		for _, c := range r.recs {
 			saved.Records = append(saved.Records, c)
 		}
 		for _, e := range r.vec {
 			saved.Vector = append(saved.Vector, e)
 		}
-		slices.SortFunc(saved.Records, func(a, b replication.Carried) int { return cmp.Compare(a.Record.Key, b.Record.Key) })
-		slices.SortFunc(saved.Vector, func(a, b replication.Entry) int {
-			return cmp.Or(cmp.Compare(a.Writer, b.Writer), cmp.Compare(a.Era, b.Era))
+		slices.SortFunc(saved.Records, func(a, b replication.ReplicatedRecord) int { return cmp.Compare(a.Record.Key, b.Record.Key) })
+		slices.SortFunc(saved.Vector, func(a, b replication.VectorEntry) int {
+			return cmp.Or(cmp.Compare(a.Writer, b.Writer), cmp.Compare(a.WriterEpoch, b.WriterEpoch))
 		})
 	}
 	var err error
 	if r.m, err = replication.New(replication.Settings{Name: fmt.Sprint("n", i), Zone: "z", Seed: w.rng.Uint64(), Interval: 0.2, Kinds: Kinds()}, saved, w.clock(i)); err != nil {
 		panic(err)
 	}
-	r.m.Fleet(w.fleet(i), w.clock(i))
+	r.m.SetFleet(w.fleet(i), w.clock(i))
 	r.ids = map[replication.Dot]uint64{}
 	for _, k := range Kinds() {
 		r.m.Each(k.ID, "", func(o replication.Record) bool { w.nodes[i].m.Learn(w.clock(i), o); return true })
@@ -81,22 +81,22 @@
 			continue
 		}
 		r := n.real
-		r.m.Fleet(w.fleet(i), w.clock(i))
+		r.m.SetFleet(w.fleet(i), w.clock(i))
 		r.m.Tick(w.clock(i))
 		do := r.m.Ready()
 		if s := do.Save; s != nil {
-			r.era = s.Era
-			for _, x := range s.Drops {
+			r.era = s.WriterEpoch
+			for _, x := range s.Removed {
 				delete(r.recs, x)
 			}
 			for _, c := range s.Records {
-				r.recs[replication.Name{Kind: c.Record.Kind, Key: c.Record.Key}] = c
+				r.recs[replication.RecordKey{Kind: c.Record.Kind, Key: c.Record.Key}] = c
 			}
-			for _, e := range s.Folded {
-				delete(r.vec, [2]any{e.Writer, e.Era})
+			for _, e := range s.RemovedEntries {
+				delete(r.vec, [2]any{e.Writer, e.WriterEpoch})
 			}
 			for _, e := range s.Vector {
-				r.vec[[2]any{e.Writer, e.Era}] = e
+				r.vec[[2]any{e.Writer, e.WriterEpoch}] = e
 			}
 		}
 		for _, e := range do.Send {
@@ -122,7 +122,7 @@
 
 func (w *world) putReal(i int, p Put) {
 	n, o := w.nodes[i], p.Record
-	dot, err := n.real.m.Write(w.clock(i), o.Kind, o.Key, o.Value, o.Dead, p.Sure)
+	dot, err := n.real.m.Write(w.clock(i), o.Kind, o.Key, o.Value, o.Deleted, p.Sure)
 	if err == nil {
 		n.real.ids[dot] = p.ID
 	} else if p.ID > 0 {
@@ -162,10 +162,10 @@
 	e := entry("a", 1, 1)
 	w.steps(20)
 	e.Stamp = 1
-	_, err := w.nodes[0].real.m.Write(w.clock(0), EntryKind, e.key(), nil, true, replication.Sure{})
+	_, err := w.nodes[0].real.m.Write(w.clock(0), EntryKind, e.key(), nil, true, replication.WriteConcern{})
 	require.NoError(t, err)
 	e.Stamp = 1 << 40
-	_, err = w.nodes[1].real.m.Write(w.clock(1), EntryKind, e.key(), packEntry(&e), false, replication.Sure{})
+	_, err = w.nodes[1].real.m.Write(w.clock(1), EntryKind, e.key(), packEntry(&e), false, replication.WriteConcern{})
 	require.NoError(t, err)
 	w.steps(100)
 	for _, n := range w.nodes {
--- a/core/cluster/channel/machine.go
+++ b/core/cluster/channel/machine.go
@@ -56,7 +56,7 @@
 type Put struct {
 	ID     uint64
 	Record replication.Record
-	Sure   replication.Sure
+	Sure   replication.WriteConcern
 }
 
 // Ready is what is to be done.
@@ -207,7 +207,7 @@
 
 // Fleet tells who else is there and whether a majority is seen. The first by name writes the tombstones: of two in a cut both may.
 func (m *Machine) Fleet(f replication.Fleet) {
-	m.others, m.trims, m.decides, m.alone = nil, true, f.Decides, f.Of <= 1
+	m.others, m.trims, m.decides, m.alone = nil, true, f.HasQuorum, f.AgreedSize <= 1
 	for _, o := range f.Others {
 		if o.Alive {
 			m.others = append(m.others, o.Name)
@@ -215,7 +215,7 @@
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.channels)) {
-		if !f.Decides {
+		if !f.HasQuorum {
 			m.unqueue(m.channels[name])
 		}
 	}
@@ -308,18 +308,18 @@
 		m.spoilt++
 		return
 	case writer != "" && m.void(c, r, ep):
-		if r.Dead {
+		if r.Deleted {
 			delete(c.loose, r.Key)
 		}
 		return
-	case r.Kind == WriterKind && r.Dead:
+	case r.Kind == WriterKind && r.Deleted:
 		delete(c.loose, r.Key)
 		return
 	case r.Kind == WriterKind:
 		if !m.learnWriter(now, c, r, writer) {
 			return
 		}
-	case r.Kind == EntryKind && (r.Dead || len(r.Value) == 0):
+	case r.Kind == EntryKind && (r.Deleted || len(r.Value) == 0):
 		delete(c.loose, r.Key)
 		if writer != "" && c.forgot(writer, number) {
 			return
@@ -758,7 +758,7 @@
 			break
 		}
 		c.loose[k] = now + 10*Within
-		r := replication.Record{Kind: EntryKind, Key: k, Dead: true}
+		r := replication.Record{Kind: EntryKind, Key: k, Deleted: true}
 		if key, err := readKey(k); err == nil && key.number == 0 {
 			g, ok := c.gone[key.writer]
 			if r.Kind, r.Value = WriterKind, number(0, math.MaxUint64); key.epoch == c.life && c.ended == 0 {
--- a/core/cluster/channel/world_test.go
+++ b/core/cluster/channel/world_test.go
@@ -154,13 +154,13 @@
 func stands(a, b replication.Record) int {
 	for _, k := range Kinds() {
 		if k.ID == a.Kind {
-			if c := k.Law(a.Value, b.Value); c != 0 {
+			if c := k.MergeOrder(a.Value, b.Value); c != 0 {
 				return c
 			}
 		}
 	}
-	if a.Dead != b.Dead {
-		return map[bool]int{true: 1, false: -1}[a.Dead]
+	if a.Deleted != b.Deleted {
+		return map[bool]int{true: 1, false: -1}[a.Deleted]
 	}
 	return bytes.Compare(a.Value, b.Value)
 }
@@ -189,10 +189,10 @@
 }
 
 func (w *world) fleet(i int) replication.Fleet {
-	f := replication.Fleet{Of: len(w.nodes), Decides: w.majority(i)}
+	f := replication.Fleet{AgreedSize: len(w.nodes), HasQuorum: w.majority(i)}
 	for j, o := range w.nodes {
 		if j != i {
-			f.Others = append(f.Others, replication.Member{Name: fmt.Sprint("n", j), Zone: "z", Alive: o.up && o.side == w.nodes[i].side, Counted: true})
+			f.Others = append(f.Others, replication.Member{Name: fmt.Sprint("n", j), Zone: "z", Alive: o.up && o.side == w.nodes[i].side, InAgreedFleet: true})
 		}
 	}
 	return f
@@ -250,7 +250,7 @@
 		}
 		f := w.fleet(i)
 		n.m.Fleet(f)
-		if f.Decides {
+		if f.HasQuorum {
 			w.agree(i)
 			if l := w.ledger.Line(channelName); l != nil {
 				n.m.Agreed(w.clock(i), l)
@@ -320,21 +320,21 @@
 		w.putReal(i, p)
 		return
 	}
-	p.Record.Dot = replication.Dot{Writer: fmt.Sprint("n", i), Era: w.nodes[i].boot, Number: w.dots}
+	p.Record.Dot = replication.Dot{Writer: fmt.Sprint("n", i), WriterEpoch: w.nodes[i].boot, Number: w.dots}
 	w.dots++
 	ok := w.give(i, p.Record)
 	if p.ID == 0 {
 		return
 	}
 	if !ok {
-		w.nodes[i].m.Written(w.clock(i), p.ID, replication.Outcome{}, replication.ErrLower)
+		w.nodes[i].m.Written(w.clock(i), p.ID, replication.Outcome{}, replication.ErrSuperseded)
 		return
 	}
 	need := p.Sure.Copies
-	if p.Sure.Level == replication.Majority {
+	if p.Sure.Level == replication.LevelMajority {
 		need = len(w.nodes)/2 + 1
 	}
-	w.outs = append(w.outs, outcome{i, int(p.ID), w.nodes[i].boot, p.Record, need, w.now + p.Sure.Within})
+	w.outs = append(w.outs, outcome{i, int(p.ID), w.nodes[i].boot, p.Record, need, w.now + p.Sure.Timeout})
 }
 
 func (w *world) settle(o outcome) bool {
@@ -516,7 +516,7 @@
 	}
 	for i, n := range w.nodes {
 		for _, r := range n.store {
-			if key, err := readKey(r.Key); err == nil && key.writer != "" && !r.Dead && key.epoch != w.life() {
+			if key, err := readKey(r.Key); err == nil && key.writer != "" && !r.Deleted && key.epoch != w.life() {
 				w.wrong("n%d: a record of %s is left of a channel that ended", i, key.writer)
 			}
 		}
--- a/core/cluster/channel/writers.go
+++ b/core/cluster/channel/writers.go
@@ -91,13 +91,13 @@
 func (m *Machine) send(c *channel, e Entry) {
 	c.stamp++
 	e.Stamp = c.stamp
-	id := m.put(replication.Record{Kind: EntryKind, Key: e.key(), Value: packEntry(&e)}, replication.Sure{Level: replication.Copies, Copies: Copies, Within: Within},
+	id := m.put(replication.Record{Kind: EntryKind, Key: e.key(), Value: packEntry(&e)}, replication.WriteConcern{Level: replication.LevelCopies, Copies: Copies, Timeout: Within},
 		wait{channel: e.Channel, writer: e.Writer, number: e.Number})
 	c.flight[e.Writer] = append(c.flight[e.Writer], &flight{number: e.Number, id: id})
 	m.flights++
 }
 
-func (m *Machine) put(r replication.Record, s replication.Sure, w wait) uint64 {
+func (m *Machine) put(r replication.Record, s replication.WriteConcern, w wait) uint64 {
 	id := m.next
 	m.next++
 	m.waits[id] = w
@@ -241,7 +241,7 @@
 			c.again = min(c.again+1, attempts-1)
 			c.spread[e.Place] = false
 			e.Stamp = c.holds*attempts + c.again // above what an earlier holder wrote: so its outcome is one's own
-			m.put(replication.Record{Kind: EntryKind, Key: e.key(), Value: packEntry(&e)}, replication.Sure{Level: replication.Majority, Within: Within},
+			m.put(replication.Record{Kind: EntryKind, Key: e.key(), Value: packEntry(&e)}, replication.WriteConcern{Level: replication.LevelMajority, Timeout: Within},
 				wait{channel: name, place: e.Place})
 		}
 	}
--- a/core/cluster/purgefloor/floors.go
+++ b/core/cluster/purgefloor/floors.go
@@ -1,8 +1,8 @@
-// Package purgefloor is the kind of records that remember purges: by object, or by group, when it was last purged, as the operator's change
-// log tells it. A dispatcher whose change log is silent learns purges from the others' floors. The time is the change log's own word, the
-// same to all who heard it; no dispatcher's clock comes into it.
+// Package purgefloor defines the kind of replicated records that hold purge floors. A record states when an object or a group was last purged,
+// according to the operator's change log. A dispatcher that receives nothing from its change log learns of purges from the floors of the others.
+// The time is taken from the change log, so it is the same at every dispatcher, and no dispatcher's clock is involved.
 //
-// The invariant: a floor only rises, so what is learned from others only narrows which copies will do.
+// Invariant: a floor only rises, so what is learned from other dispatchers can only restrict which copies may be used.
 package purgefloor
 
 import (
@@ -15,52 +15,53 @@
 	"elderwall/core/cluster/replication"
 )
 
-// Figures.
+// Limits of the kind.
 const (
-	ID          = 1        // of the kind
-	records     = 200_000  // purges that are remembered; a hundred a second for half an hour
-	bytes       = 64 << 20 // of keys and values
-	longestName = 256      // bytes of an object's name; longer ones are not told, and each dispatcher hears them from the change log
-	length      = 8        // bytes of a value: Unix ms
-	most        = 1 << 46  // Unix ms of a purge at most: beyond the year 4000, so that a spoilt one is refused
+	KindID       = 1        // ID of the record kind
+	maxRecords   = 200_000  // purges that are kept; this is 100 per second for half an hour
+	maxBytes     = 64 << 20 // bytes of all keys and values
+	maxNameBytes = 256      // bytes of an object's name; purges of longer names are not replicated, and each dispatcher learns them from its change log
+	valueBytes   = 8        // bytes of a value, which is a time in Unix ms
+	maxTime      = 1 << 46  // Unix ms that a purge time must be below; this is beyond the year 4000, so that a corrupted time is rejected
 )
 
-// Floor is when an object, or a whole group where Object is "", was last purged.
+// Floor states when an object was last purged, or a whole group if Object is "".
 type Floor struct {
 	Object string
 	Group  int
-	Time   int64 // Unix ms, as the change log has it
+	Time   int64 // Unix ms, from the change log
 }
 
 var (
-	errKey   = errors.New("floors: a key is an object's or a group's")
-	errValue = errors.New("floors: a value is a time of a purge in 8 bytes")
+	errKey   = errors.New("floors: key names neither an object nor a group")
+	errValue = errors.New("floors: value is not a valid purge time of 8 bytes")
 )
 
-// Kind is what replica is told of it. Acknowledged is not synced: the change log has all of it, and so have the others.
+// Kind returns the description of the kind for package replication. Writes are not synced to the disk before they are acknowledged, since the change
+// log and the other dispatchers have all of them.
 func Kind() replication.Kind {
-	return replication.Kind{ID: ID, Name: "floors", Records: records, Bytes: bytes, Longest: 1 + longestName + 20 + length, Law: Law, Check: Check}
+	return replication.Kind{ID: KindID, Name: "floors", MaxRecords: maxRecords, MaxBytes: maxBytes, MaxRecordBytes: 1 + maxNameBytes + 20 + valueBytes, MergeOrder: MergeOrder, Check: ValidateRecord}
 }
 
-// Law has the later purge stand.
-func Law(a, b []byte) int { return cmp.Compare(timeOf(a), timeOf(b)) }
+// MergeOrder compares two values so that the later purge wins.
+func MergeOrder(a, b []byte) int { return cmp.Compare(timeOf(a), timeOf(b)) }
 
 func timeOf(value []byte) uint64 {
-	if len(value) != length {
+	if len(value) != valueBytes {
 		return 0
 	}
 	return binary.BigEndian.Uint64(value)
 }
 
-// Check tells what is wrong with a record.
-func Check(key string, value []byte) error {
-	_, err := Read(key, value)
+// ValidateRecord returns an error if a key or its value is invalid.
+func ValidateRecord(key string, value []byte) error {
+	_, err := ParseRecord(key, value)
 	return err
 }
 
-// Record gives the key and value of a floor; ok is false for one that is not told.
-func Record(f Floor) (key string, value []byte, ok bool) {
-	if f.Time <= 0 || f.Time >= most || len(f.Object) > longestName {
+// EncodeRecord returns the key and value of a floor. ok is false for a floor that is not replicated.
+func EncodeRecord(f Floor) (key string, value []byte, ok bool) {
+	if f.Time <= 0 || f.Time >= maxTime || len(f.Object) > maxNameBytes {
 		return "", nil, false
 	}
 	if key = "o" + f.Object; f.Object == "" {
@@ -69,16 +70,16 @@
 	return key, binary.BigEndian.AppendUint64(nil, uint64(f.Time)), true
 }
 
-// Read reads a record.
-func Read(key string, value []byte) (f Floor, err error) {
-	name, object := strings.CutPrefix(key, "o")
-	group, grouped := strings.CutPrefix(key, "g")
+// ParseRecord returns the floor of a record. It returns an error if the key or the value is invalid.
+func ParseRecord(key string, value []byte) (f Floor, err error) {
+	name, isObject := strings.CutPrefix(key, "o")
+	group, isGroup := strings.CutPrefix(key, "g")
 	switch {
-	case len(value) != length || timeOf(value) == 0 || timeOf(value) >= most:
+	case len(value) != valueBytes || timeOf(value) == 0 || timeOf(value) >= maxTime:
 		return f, errValue
-	case object && name != "" && len(name) <= longestName:
+	case isObject && name != "" && len(name) <= maxNameBytes:
 		f.Object = name
-	case grouped:
+	case isGroup:
 		if f.Group, err = strconv.Atoi(group); err != nil || strconv.Itoa(f.Group) != group {
 			return f, errKey
 		}
--- a/core/cluster/purgefloor/golden_test.go
+++ b/core/cluster/purgefloor/golden_test.go
@@ -8,6 +8,7 @@
 	"elderwall/internal/goldentest"
 )
 
+// The encoding of floors and the records that are rejected must stay as in the golden file.
 func TestGoldenFloors(t *testing.T) {
 	var tr goldentest.Transcript
 	for _, f := range []purgefloor.Floor{
@@ -22,11 +23,11 @@
 		{Object: strings.Repeat("x", 256), Time: 1},
 		{Object: strings.Repeat("x", 257), Time: 1},
 	} {
-		key, value, ok := purgefloor.Record(f)
+		key, value, ok := purgefloor.EncodeRecord(f)
 		tr.Values("floor", f, ok)
 		tr.Bytes("key", []byte(key))
 		tr.Bytes("value", value)
-		read, err := purgefloor.Read(key, value)
+		read, err := purgefloor.ParseRecord(key, value)
 		tr.Values("as read", read)
 		tr.Rejected(err)
 	}
@@ -46,11 +47,11 @@
 		{"oo", make([]byte, 8)},
 		{"oo", []byte{0, 0, 64, 0, 0, 0, 0, 0}},
 	} {
-		read, err := purgefloor.Read(r.key, r.value)
+		read, err := purgefloor.ParseRecord(r.key, r.value)
 		tr.Values("record", r.key, r.value, read)
 		tr.Rejected(err)
 	}
 	k := purgefloor.Kind()
-	tr.Values("kind", k.ID, k.Name, k.Records, k.Bytes, k.Longest, k.Sync)
+	tr.Values("kind", k.ID, k.Name, k.MaxRecords, k.MaxBytes, k.MaxRecordBytes, k.Sync)
 	tr.Check(t, "floors.golden")
 }
--- a/core/cluster/replication/cost_test.go
+++ b/core/cluster/replication/cost_test.go
@@ -12,68 +12,70 @@
 	"elderwall/internal/standin/need"
 )
 
-// With every member a writer, bytes a member and interval are flat in their number: with nothing written, and with the same writes of the fleet;
-// and those are as sure as soon.
-func TestCostIsFlat(t *testing.T) {
+// Every member is a writer here. The bytes per member and interval must not grow with the number of members, neither without writes nor with the
+// same number of writes in the whole fleet, and a write must reach a majority as quickly. Guards against messages that grow with the number of
+// writers.
+func TestTrafficPerMemberIsIndependentOfFleetSize(t *testing.T) {
 	t.Parallel()
 	sizes := []int{10, 100}
 	if os.Getenv("ELDERWALL_SCHEDULES") != "" {
 		sizes = append(sizes, 300)
 	}
-	quiet, busy, late := map[int]float64{}, map[int]float64{}, map[int]float64{}
+	idleBytes, busyBytes, majorityDelay := map[int]float64{}, map[int]float64{}, map[int]float64{}
 	for _, n := range sizes {
-		w := newWorld(t, n, 8)
-		w.all()
-		w.run(4)
-		for i, x := range w.nodes {
-			need.Of(w.write(x, kindText, fmt.Sprint("k", i), "v", false, Sure{}))(t)
+		sim := newSimulation(t, n, 8)
+		sim.startAll()
+		sim.run(4)
+		for i, x := range sim.nodes {
+			need.Of(sim.write(x, kindUnordered, fmt.Sprint("k", i), "v", false, WriteConcern{}))(t)
 		}
-		require.Less(t, w.settle(60), 60.0)
-		per := func(span int, f func(int)) float64 {
-			clear(w.bytes)
+		require.Less(t, sim.runUntilEqual(60), 60.0)
+		bytesPerMember := func(span int, f func(int)) float64 {
+			clear(sim.bytes)
 			for i := range span {
 				f(i)
-				w.run(1)
+				sim.run(1)
 			}
-			return float64(w.total()) / float64(n*span)
+			return float64(sim.totalBytes()) / float64(n*span)
 		}
-		quiet[n] = per(10, func(int) {})
+		idleBytes[n] = bytesPerMember(10, func(int) {})
 		var dots []Dot
-		busy[n] = per(10, func(i int) {
-			d := need.Of(w.write(w.nodes[i*7%n], kindText, fmt.Sprint("k", i), "w", false, Sure{Level: Copies, Copies: 3, Within: 20}))(t)
+		busyBytes[n] = bytesPerMember(10, func(i int) {
+			d := need.Of(sim.write(sim.nodes[i*7%n], kindUnordered, fmt.Sprint("k", i), "w", false, WriteConcern{Level: LevelCopies, Copies: 3, Timeout: 20}))(t)
 			dots = append(dots, d)
 		})
-		d := need.Of(w.write(w.nodes[0], kindText, "k", "v", false, Sure{Level: Majority, Within: 60}))(t)
-		for from := w.now; !w.writes[d].acked && w.now < from+60; late[n] = w.now - from {
-			w.run(0.25)
+		d := need.Of(sim.write(sim.nodes[0], kindUnordered, "k", "v", false, WriteConcern{Level: LevelMajority, Timeout: 60}))(t)
+		for from := sim.now; !sim.writes[d].acknowledged && sim.now < from+60; majorityDelay[n] = sim.now - from {
+			sim.run(0.25)
 		}
 		for _, d := range dots {
-			assert.True(t, w.writes[d].met >= Copies, "%v", d)
+			assert.True(t, sim.writes[d].level >= LevelCopies, "%v", d)
 		}
-		require.Less(t, w.settle(60), 60.0)
-		assert.Empty(t, w.verdict())
+		require.Less(t, sim.runUntilEqual(60), 60.0)
+		assert.Empty(t, sim.violations())
 	}
-	t.Logf("bytes a member and interval, quiet: %v, with a write an interval: %v; intervals to a majority: %v", quiet, busy, late)
+	t.Logf("bytes per member and interval, without writes: %v, with one write per interval: %v; intervals until a majority acknowledged: %v", idleBytes, busyBytes, majorityDelay)
 	for _, n := range sizes[1:] {
-		assert.Less(t, quiet[n], 1.2*quiet[10])
-		assert.Less(t, busy[n], 2*busy[10])
-		assert.Less(t, late[n], 4.0)
+		assert.Less(t, idleBytes[n], 1.2*idleBytes[10])
+		assert.Less(t, busyBytes[n], 2*busyBytes[10])
+		assert.Less(t, majorityDelay[n], 4.0)
 	}
 }
 
-// Sums that are kept up say the same as a full recount, and only equal vectors have equal ones; a digest shows what differs.
-func TestSums(t *testing.T) {
+// The incrementally updated sums of a vector must equal a full recount, and different vectors must have different sums. A digest must show the
+// buckets that differ.
+func TestVectorSumsMatchRecount(t *testing.T) {
 	c := rand.New(rand.NewPCG(9, 9))
 	v, seen := newVector(), map[uint64]string{}
 	for range 2_000 {
 		name := fmt.Sprint("n", c.IntN(60))
-		if w := v.of[name]; w != nil && len(w.marks) > 2 && c.IntN(8) == 0 {
-			v.change(w, func() { w.marks = w.marks[1:]; w.floor = w.marks[0].era })
+		if w := v.writers[name]; w != nil && len(w.marks) > 2 && c.IntN(8) == 0 {
+			v.update(w, func() { w.marks = w.marks[1:]; w.floor = w.marks[0].epoch })
 		} else {
 			v.raise(name, 1+c.Uint64N(9), 1+c.Uint64N(50))
 		}
-		all := v.list(nil)
-		again := load(all)
+		all := v.entries(nil)
+		again := vectorFrom(all)
 		require.Equal(t, again.sums, v.sums)
 		require.Equal(t, again.sum, v.sum)
 		was, ok := seen[v.sum]
@@ -82,35 +84,35 @@
 	}
 	o := v.clone()
 	o.raise("n3", 99, 1)
-	shown := v.differs(7, o.digest(7))
+	shown := v.differingBuckets(7, o.digest(7))
 	assert.Equal(t, []byte{bucketOf("n3")}, shown)
-	assert.Equal(t, o.list(nil), v.with(shown, load(o.list(shown)), o.sum).list(nil))
-	assert.Nil(t, v.with(nil, newVector(), o.sum))
-	assert.Len(t, v.differs(7, v.digest(7)), buckets)
+	assert.Equal(t, o.entries(nil), v.withBuckets(shown, vectorFrom(o.entries(shown)), o.sum).entries(nil))
+	assert.Nil(t, v.withBuckets(nil, newVector(), o.sum))
+	assert.Len(t, v.differingBuckets(7, v.digest(7)), bucketCount)
 }
 
-// Of a whole snapshot's many takers one source serves no more than its rate; the others find it elsewhere.
-func TestSourceKeepsToItsRate(t *testing.T) {
-	w := newWorld(t, 2, 10)
-	w.all()
-	w.run(3)
-	w.fill(w.nodes[0], 20_000, "a")
-	m, served := w.nodes[0].m, 0
+// Many members request snapshots from one source. The source must not send more than its rate, since the requesters can try other sources.
+func TestPullSourceLimitsItsRate(t *testing.T) {
+	sim := newSimulation(t, 2, 10)
+	sim.startAll()
+	sim.run(3)
+	sim.writeMany(sim.nodes[0], 20_000, "a")
+	m, served := sim.nodes[0].machine, 0
 	m.Ready()
-	m.s.Rate, m.serves, m.served = 100_000, 100_000, w.now
+	m.settings.CatchUpRate, m.serveTokens, m.serveRefilledAt = 100_000, 100_000, sim.now
 	for i := range 200 {
-		require.NoError(t, m.Step("n001", &Message{Pull: &Pull{ID: uint64(i), Whole: true}}, w.now+float64(i)/10))
+		require.NoError(t, m.Step("n001", &Message{PullRequest: &PullRequest{ID: uint64(i), Snapshot: true}}, sim.now+float64(i)/10))
 		for _, e := range m.Ready().Send {
-			served += weighAll(e.Message.Give)
+			served += responseSize(e.Message.PullResponse)
 		}
 	}
 	assert.Greater(t, served, 1_900_000)
-	assert.Less(t, served, 100_000*(20+1)+2*fillStream)
+	assert.Less(t, served, 100_000*(20+1)+2*streamBudget)
 }
 
-func weighAll(g *Give) (n int) {
+func responseSize(g *PullResponse) (n int) {
 	for i := range g.Records {
-		n += weigh(&g.Records[i].Record)
+		n += messageSize(&g.Records[i].Record)
 	}
 	return n
 }
--- a/core/cluster/replication/message.go
+++ b/core/cluster/replication/message.go
@@ -1,191 +1,192 @@
 package replication
 
-// Message goes between two members. Each part may be absent. It is to be shorter than MostMessage where Stream is not set, than MostStream where it is.
+// Message is what one member sends to another. Each part may be absent. An encoded message is shorter than MaxMessageBytes, or shorter than
+// MaxStreamBytes if Envelope.Stream is set.
 type Message struct {
-	Deltas []Delta   `cbor:"1,keyasint,omitempty"`
-	Acks   []Entry   `cbor:"2,keyasint,omitempty"` // of the receiver's own writes: what the sender has on its disk
-	Lacks  []uint8   `cbor:"3,keyasint,omitempty"` // kinds of which the sender dropped some, being full or not knowing them: its word says nothing of those
-	Ask    *Ask      `cbor:"4,keyasint,omitempty"`
-	Pull   *Pull     `cbor:"5,keyasint,omitempty"`
-	Give   *Give     `cbor:"6,keyasint,omitempty"`
-	Aside  []Carried `cbor:"7,keyasint,omitempty"` // found to be two under one dot
+	Deltas          []Delta            `cbor:"1,keyasint,omitempty"`
+	Acks            []VectorEntry      `cbor:"2,keyasint,omitempty"` // the receiver's own writes that the sender has persisted
+	IncompleteKinds []uint8            `cbor:"3,keyasint,omitempty"` // kinds of which the sender dropped records because it was full or does not know the kind; its vector and acks do not cover these kinds
+	VectorExchange  *VectorExchange    `cbor:"4,keyasint,omitempty"`
+	PullRequest     *PullRequest       `cbor:"5,keyasint,omitempty"`
+	PullResponse    *PullResponse      `cbor:"6,keyasint,omitempty"`
+	Conflicting     []ReplicatedRecord `cbor:"7,keyasint,omitempty"` // records of which two contents were found under one dot
 
-	Strange []uint8 `cbor:"8,keyasint,omitempty"`  // of Lacks, those that the sender's program doesn't know
-	Holds   []uint8 `cbor:"9,keyasint,omitempty"`  // of Strange, those of which its disk has some all the same: it knew them once
-	Fell    []Dot   `cbor:"10,keyasint,omitempty"` // writes of the receiver over which a deletion stands at the sender: its word doesn't count for them
+	UnknownKinds       []uint8 `cbor:"8,keyasint,omitempty"`  // those of IncompleteKinds that the sender's program does not know
+	StoredUnknownKinds []uint8 `cbor:"9,keyasint,omitempty"`  // those of UnknownKinds of which the sender's disk still has records, from a program that knew them
+	OverriddenWrites   []Dot   `cbor:"10,keyasint,omitempty"` // writes of the receiver over which a tombstone wins at the sender, so that its acks do not count for them
 }
 
-// Carried is a record on its way or on the disk.
-type Carried struct {
-	Record Record `cbor:"1,keyasint"`
-	Aside  bool   `cbor:"2,keyasint,omitempty"` // another content came under its dot: used by nobody
-	Hole   bool   `cbor:"3,keyasint,omitempty"` // of a delta: the sender dropped what was of this kind, and only who drops it as well can go on over it
+// ReplicatedRecord is a record as it is sent and persisted.
+type ReplicatedRecord struct {
+	Record      Record `cbor:"1,keyasint"`
+	Conflicting bool   `cbor:"2,keyasint,omitempty"` // another content was received under the same dot; nobody uses the record
+	Omitted     bool   `cbor:"3,keyasint,omitempty"` // used in deltas only: the sender dropped a record of this kind, and only a receiver that also drops the kind can apply the delta past it
 }
 
-// Delta is an interval: the keys of a writer's numbers From+1, From+2 and so on, each with what stands for it now, which may be another's write.
-// So whoever takes it has, for every dot that its vector then covers, that or a higher record.
+// Delta is an interval of a writer's numbers From+1, From+2 and so on. Each number names a key and carries the current record of that key, which
+// may be a write of another writer. So a member that applied a delta has, for every dot that its vector covers, that record or a higher one.
 type Delta struct {
-	Writer  string    `cbor:"1,keyasint"`
-	Era     uint64    `cbor:"2,keyasint"`
-	From    uint64    `cbor:"3,keyasint"`
-	Index   []uint32  `cbor:"4,keyasint"` // of Records, by number: a key that was written often goes once
-	Records []Carried `cbor:"5,keyasint"`
-	Ack     bool      `cbor:"6,keyasint,omitempty"` // the writer waits to hear who has it
-}
-
-// Ask tells what the sender has, and asks for what it lacks. A question bears sums of the vector: as large for 3 writers as for 3,000. Where they
-// are equal to the receiver's, it answers with Sum and Live alone; else it sends its entries of the buckets that differ, and those of the first
-// come back, each with what the other lacks.
-type Ask struct {
-	Vector Vector `cbor:"1,keyasint,omitempty"` // entries of the buckets Shown
-	Live   uint64 `cbor:"2,keyasint,omitempty"` // sum of what stands: with equal vectors it is to be equal
-	Answer bool   `cbor:"3,keyasint,omitempty"` // it answers one: no other is sent back
-	Below  bool   `cbor:"4,keyasint,omitempty"` // deltas do not reach the receiver any more: it is to pull
-	Sum    uint64 `cbor:"5,keyasint,omitempty"` // of the whole vector
-	Salt   uint64 `cbor:"6,keyasint,omitempty"`
-	Digest []byte `cbor:"7,keyasint,omitempty"` // of a question: a byte a bucket of writers, salted
-	Shown  []byte `cbor:"8,keyasint,omitempty"` // buckets, rising
-	Unkept bool   `cbor:"9,keyasint,omitempty"` // some of Vector is not on the sender's disk: it acknowledges nothing
-}
-
-// Range is a part of the space of hashes of keys: all that begin with the upper Depth times four bits of Prefix.
+	Writer       string             `cbor:"1,keyasint"`
+	WriterEpoch  uint64             `cbor:"2,keyasint"`
+	From         uint64             `cbor:"3,keyasint"`
+	Index        []uint32           `cbor:"4,keyasint"` // position in Records of each number, so that a key written several times is sent once
+	Records      []ReplicatedRecord `cbor:"5,keyasint"`
+	AckRequested bool               `cbor:"6,keyasint,omitempty"` // the writer waits for acks of these writes
+}
+
+// VectorExchange reports what the sender has and asks for what it lacks. A request carries a digest of the vector, which has the same size for 3
+// writers as for 3,000. If the vectors are equal, the receiver responds with VectorSum and ContentSum only. Otherwise it sends its entries of the
+// buckets that differ, and the first member responds with its own entries of them. Each of the two adds deltas of what the other lacks.
+type VectorExchange struct {
+	Vector      Vector `cbor:"1,keyasint,omitempty"` // entries of the writers in Buckets
+	ContentSum  uint64 `cbor:"2,keyasint,omitempty"` // sum over the current records; equal vectors should give equal sums
+	IsResponse  bool   `cbor:"3,keyasint,omitempty"` // no further response is expected
+	PullNeeded  bool   `cbor:"4,keyasint,omitempty"` // the sender's log no longer reaches back far enough for deltas, so the receiver has to pull
+	VectorSum   uint64 `cbor:"5,keyasint,omitempty"` // of the sender's whole vector
+	Salt        uint64 `cbor:"6,keyasint,omitempty"`
+	Digest      []byte `cbor:"7,keyasint,omitempty"` // in a request only: one salted byte for each bucket of writers
+	Buckets     []byte `cbor:"8,keyasint,omitempty"` // buckets that Vector covers, in ascending order
+	Unpersisted bool   `cbor:"9,keyasint,omitempty"` // part of the vector is not on the sender's disk, so it acknowledges nothing
+}
+
+// Range is a part of the key hash space: all hashes whose upper 4*Depth bits equal Prefix.
 type Range struct {
 	Depth  uint8  `cbor:"1,keyasint"`
 	Prefix uint64 `cbor:"2,keyasint"`
 }
 
-// Pull asks for a step of a catch-up. Its sender keeps all state of it; who answers keeps none.
-type Pull struct {
-	ID     uint64   `cbor:"1,keyasint"`
-	Vector bool     `cbor:"2,keyasint,omitempty"`
-	Sums   []Range  `cbor:"3,keyasint,omitempty"` // whose children's sums are wanted
-	Lists  []Range  `cbor:"4,keyasint,omitempty"` // whose records are to be listed
-	Keys   []uint64 `cbor:"5,keyasint,omitempty"` // hashes of keys whose records are wanted
-	Whole  bool     `cbor:"6,keyasint,omitempty"` // a piece of all, from After on
-	After  uint64   `cbor:"7,keyasint,omitempty"`
-	Kinds  []uint8  `cbor:"8,keyasint,omitempty"` // that are asked about
-}
-
-// Give answers a Pull.
-type Give struct {
-	ID      uint64    `cbor:"1,keyasint"`
-	Vector  Vector    `cbor:"2,keyasint,omitempty"`
-	Sums    []Sums    `cbor:"3,keyasint,omitempty"`
-	Lists   []List    `cbor:"4,keyasint,omitempty"`
-	Records []Carried `cbor:"5,keyasint,omitempty"`
-	Keys    []uint64  `cbor:"6,keyasint,omitempty"` // of Pull.Keys, those that Records answers; the rest is to be asked again
-	Whole   bool      `cbor:"7,keyasint,omitempty"`
-	Next    uint64    `cbor:"8,keyasint,omitempty"`  // the piece holds all from After up to before it
-	Done    bool      `cbor:"9,keyasint,omitempty"`  // or to the end
-	Unkept  bool      `cbor:"10,keyasint,omitempty"` // as an Ask's
-	Kinds   []uint8   `cbor:"11,keyasint,omitempty"` // with Vector: those that the sender knows
-	Life    uint64    `cbor:"12,keyasint,omitempty"` // drawn at the sender's start: of two lives of one name, each is a source of its own
-}
-
-// Sums are those of the sixteen children of a range, with how many records each has.
-type Sums struct {
-	Range Range    `cbor:"1,keyasint"`
-	Sums  []uint64 `cbor:"2,keyasint"`
-	Count []uint32 `cbor:"3,keyasint"`
-}
-
-// List names all records of a range, by the hash of the key and the sum of the content.
-type List struct {
-	Range Range    `cbor:"1,keyasint"`
-	Keys  []uint64 `cbor:"2,keyasint"`
-	Sums  []uint64 `cbor:"3,keyasint"`
-}
-
-// Envelope is a message on its way out. It may be lost, come twice or late.
+// PullRequest asks for one step of a catch-up. The requester keeps all the state of the catch-up, and the source keeps none.
+type PullRequest struct {
+	ID         uint64   `cbor:"1,keyasint"`
+	WantVector bool     `cbor:"2,keyasint,omitempty"`
+	SumRanges  []Range  `cbor:"3,keyasint,omitempty"` // ranges for whose children the sums are wanted
+	ListRanges []Range  `cbor:"4,keyasint,omitempty"` // ranges whose records are to be listed
+	KeyHashes  []uint64 `cbor:"5,keyasint,omitempty"` // key hashes of the records that are wanted
+	Snapshot   bool     `cbor:"6,keyasint,omitempty"` // a piece of the whole snapshot is wanted, from FromHash on
+	FromHash   uint64   `cbor:"7,keyasint,omitempty"`
+	Kinds      []uint8  `cbor:"8,keyasint,omitempty"` // kinds that the request covers
+}
+
+// PullResponse is the response to a PullRequest.
+type PullResponse struct {
+	ID          uint64             `cbor:"1,keyasint"`
+	Vector      Vector             `cbor:"2,keyasint,omitempty"`
+	Sums        []RangeSums        `cbor:"3,keyasint,omitempty"`
+	Lists       []RangeListing     `cbor:"4,keyasint,omitempty"`
+	Records     []ReplicatedRecord `cbor:"5,keyasint,omitempty"`
+	KeyHashes   []uint64           `cbor:"6,keyasint,omitempty"` // those of PullRequest.KeyHashes that Records answers; the rest has to be requested again
+	Snapshot    bool               `cbor:"7,keyasint,omitempty"`
+	NextHash    uint64             `cbor:"8,keyasint,omitempty"`  // Records holds every record from FromHash up to this hash, exclusive
+	Done        bool               `cbor:"9,keyasint,omitempty"`  // the piece reaches to the end of the hash space
+	Unpersisted bool               `cbor:"10,keyasint,omitempty"` // as in VectorExchange
+	Kinds       []uint8            `cbor:"11,keyasint,omitempty"` // sent with Vector: the kinds that the sender knows
+	BootID      uint64             `cbor:"12,keyasint,omitempty"` // random number drawn at the sender's start; a restarted source counts as another source
+}
+
+// RangeSums holds the content sum and the number of records of each of the sixteen children of a range.
+type RangeSums struct {
+	Range  Range    `cbor:"1,keyasint"`
+	Sums   []uint64 `cbor:"2,keyasint"`
+	Counts []uint32 `cbor:"3,keyasint"`
+}
+
+// RangeListing lists all records of a range by key hash and content sum.
+type RangeListing struct {
+	Range       Range    `cbor:"1,keyasint"`
+	KeyHashes   []uint64 `cbor:"2,keyasint"`
+	ContentSums []uint64 `cbor:"3,keyasint"`
+}
+
+// Envelope is a message to be sent. The network may lose, duplicate or delay it.
 type Envelope struct {
-	To      string // member's name
-	Stream  bool   // longer than MostMessage
+	To      string // name of the member
+	Stream  bool   // the message may exceed MaxMessageBytes and has to go over a stream
 	Message Message
 }
 
-// Entry says that of a writer's era all up to a number is here, or what stands higher.
-type Entry struct {
-	Writer string `cbor:"1,keyasint" json:"writer"`
-	Era    uint64 `cbor:"2,keyasint" json:"era"`
-	Number uint64 `cbor:"3,keyasint" json:"number"`
-	Floor  bool   `cbor:"4,keyasint,omitempty" json:"floor"` // so is all of its earlier eras
+// VectorEntry states that all numbers of a writer's epoch up to Number are here, each as its own record or as a higher one of the same key.
+type VectorEntry struct {
+	Writer          string `cbor:"1,keyasint" json:"writer"`
+	WriterEpoch     uint64 `cbor:"2,keyasint" json:"era"`
+	Number          uint64 `cbor:"3,keyasint" json:"number"`
+	EarlierComplete bool   `cbor:"4,keyasint,omitempty" json:"floor"` // all earlier epochs of the writer are complete too
 }
 
-// Vector is what one has of each writer, by writer and era, rising.
-type Vector []Entry
+// Vector lists what a member has of each writer, in ascending order of writer and epoch.
+type Vector []VectorEntry
 
-// Name names what stands for a key.
-type Name struct {
+// RecordKey identifies a record by its kind and key.
+type RecordKey struct {
 	Kind uint8
 	Key  string
 }
 
-// Save is what is to be put on the disk in one piece, before anything else of its Ready is sent or told.
+// Save is what has to be persisted atomically, before anything else of the same Ready is sent or reported.
 type Save struct {
-	Era     uint64
-	Records []Carried // each replaces that of its name
-	Drops   []Name
-	Vector  []Entry // that changed: each replaces that of its writer and era
-	Folded  []Entry // to be taken off, by writer and era
-	Lacks   []uint8 // in place of those before: kinds of which Vector says nothing
-	Away    float64 // s since the fleet was heard last; in place of the one before
-	Sync    bool
-}
-
-// Saved is what a disk held: all saves, one upon the other.
-type Saved struct {
-	Era     uint64
-	Vector  Vector
-	Records []Carried
-	Lacks   []uint8
-	Away    float64 // s since the fleet was heard last; over the horizon a whole snapshot is taken, as where it isn't known: +Inf then
-}
-
-// Event is worth telling.
+	WriterEpoch      uint64
+	Records          []ReplicatedRecord // each replaces the stored record of the same kind and key
+	Removed          []RecordKey
+	Vector           []VectorEntry // changed entries; each replaces the stored entry of the same writer and epoch
+	RemovedEntries   []VectorEntry // entries to delete; only Writer and WriterEpoch are set
+	IncompleteKinds  []uint8       // replaces the stored list: kinds that the vector does not cover
+	SinceLastContact float64       // seconds since the last contact with the fleet; replaces the stored value
+	Sync             bool
+}
+
+// SavedState is what a disk held: the result of all saves applied in order.
+type SavedState struct {
+	WriterEpoch      uint64
+	Vector           Vector
+	Records          []ReplicatedRecord
+	IncompleteKinds  []uint8
+	SinceLastContact float64 // seconds since the last contact with the fleet, +Inf if unknown; beyond the horizon a whole snapshot is pulled
+}
+
+// Event is something that an operator should know of.
 type Event struct {
-	At   float64
-	What string // "aside", "twin", "catching up", "caught up", "full", "refused", "era"
-	Kind uint8
-	Key  string
-	Who  string
-	Dot  Dot
+	At     float64 // seconds, as the machine's now
+	Type   string  // "aside", "twin", "catching up", "caught up", "full" or "strange"
+	Kind   uint8
+	Key    string
+	Member string
+	Dot    Dot
 }
 
-// Ready is what is to be done now: Save first, then the rest in any order.
+// Ready is what the driver has to do now: persist Save first, then handle the rest in any order.
 type Ready struct {
 	Save     *Save
 	Send     []Envelope
-	Changed  []Record // what came to stand; a fallen or forgotten one is Dead
+	Changed  []Record // new current records; a record that disappeared is given as Deleted
 	Outcomes []Outcome
 	Events   []Event
 }
 
-// KindStatus counts a kind.
+// KindStatus holds the counts of one kind.
 type KindStatus struct {
-	Kind    string `json:"kind"`
-	Records int    `json:"records"`
-	Bytes   int    `json:"bytes"`
-	Dead    int    `json:"tombstones"`
-	Aside   int    `json:"aside"`
-	Refused int    `json:"refused"` // from others, being full
-	Lacks   bool   `json:"lacks"`   // some were dropped, and not brought in since
+	Kind        string `json:"kind"`
+	Records     int    `json:"records"`
+	Bytes       int    `json:"bytes"`
+	Tombstones  int    `json:"tombstones"`
+	Conflicting int    `json:"aside"`
+	Refused     int    `json:"refused"` // records of other members that were refused because the kind was full
+	Incomplete  bool   `json:"lacks"`   // records were dropped and have not been pulled since
 }
 
-// Status is a machine's state in figures.
+// Status is a summary of a machine's state.
 type Status struct {
-	Kinds      []KindStatus `json:"kinds"`
-	CatchingUp bool         `json:"catching_up"` // what is known may narrow, and nothing else
-	Writes     bool         `json:"writes"`      // own former writes are known
-	Era        uint64       `json:"era"`
-	Writers    int          `json:"writers"`
-	Entries    int          `json:"entries"` // of the vector
-	Log        int          `json:"log"`     // deltas kept
-	Behind     int          `json:"behind"`  // writes that another was heard to have, and are not here
-	Pending    int          `json:"pending"` // writes whose outcome is open
-	Pulled     uint64       `json:"pulled_bytes"`
-	Pulls      uint64       `json:"pulls"`
-	Wholes     uint64       `json:"whole_snapshots"`
-	Walks      uint64       `json:"digest_walks"`
-	Bad        uint64       `json:"bad_messages"`
-	Strange    []int        `json:"strange_kinds"` // that others write and this program doesn't know
+	Kinds        []KindStatus `json:"kinds"`
+	CatchingUp   bool         `json:"catching_up"` // known records may only be used to restrict what this dispatcher does
+	Writable     bool         `json:"writes"`      // all earlier writes of this dispatcher are known, so Write may succeed
+	WriterEpoch  uint64       `json:"era"`
+	Writers      int          `json:"writers"`
+	Entries      int          `json:"entries"` // of the version vector
+	LoggedWrites int          `json:"log"`     // numbers that are kept for deltas
+	Behind       int          `json:"behind"`  // writes that the last received vector covers and this member lacks
+	Pending      int          `json:"pending"` // writes whose outcome has not been reported yet
+	PulledBytes  uint64       `json:"pulled_bytes"`
+	Pulls        uint64       `json:"pulls"`
+	Snapshots    uint64       `json:"whole_snapshots"`
+	DigestWalks  uint64       `json:"digest_walks"`
+	BadMessages  uint64       `json:"bad_messages"`
+	UnknownKinds []int        `json:"strange_kinds"` // kinds that other members write and this program does not know
 }
--- a/core/cluster/replication/pull.go
+++ b/core/cluster/replication/pull.go
@@ -5,486 +5,494 @@
 	"slices"
 )
 
-// Figures of a pull.
+// Limits of a pull.
 const (
-	pullRanges = 64         // at once: some 13 KB of sums
-	pullKeys   = 2_000      // at once
-	listUnder  = 64         // a range with no more records is listed: 1 KB
-	pieceBytes = fillStream // of a whole snapshot
-	patience   = 4.0        // intervals until another source is asked
-	mostTries  = 8          // that fail in a row; then a walk is given up. A whole snapshot goes on
+	maxPullRanges      = 64           // ranges in one request; their sums take about 13 KB
+	maxPullKeys        = 2_000        // key hashes in one request
+	listThreshold      = 64           // a range with at most this many records is listed, in 1 KB
+	snapshotPieceBytes = streamBudget // estimated bytes of a piece of a snapshot
+	sourceTimeout      = 4.0          // intervals without a response until another source is tried
+	maxTries           = 8            // failed requests in a row after which a digest walk is given up; a snapshot is never given up
 )
 
-// pull is a catch-up under way: a walk down the tree to what differs, or all in pieces by the hash of the key. All that it asks for may be asked of
-// another source: who is cut off goes on elsewhere. Base is what the source had when it was asked first: every part is looked at after
-// that, so that at the end all of it is here; of several sources, what all of them had.
+// pull is a catch-up in progress. It is either a digest walk down the hash tree to the records that differ, or a snapshot, which is read in pieces by
+// key hash. Every request may go to any source, so a pull continues at another member if its source is cut off.
+//
+// sourceVector is the vector of the source at its first request. Every part is read after that, so at the end all that it covers is here. After
+// several sources, the pull covers only what all of them had, which is commonVector.
 type pull struct {
-	id     uint64
-	from   string
-	whole  bool
-	base   *vector // of this source; nil until it came
-	life   uint64  // and in which life it told that
-	joint  *vector // of all of them
-	lacks  map[uint8]bool
-	kinds  []uint8 // that are looked at
-	others bool    // more sources than one
-	sums   []Range
-	lists  []Range
-	keys   []uint64
-	after  uint64
-	done   bool
-	asked  *Pull
-	at     float64
-	tries  int
-	gone   []fall // here, under dots that the source has, and not there: deleted there
-	odd    map[Dot]Carried
-	mine   *vector  // what was here at its begin
-	more   bool     // the source has what is not here: a tombstone of it may hide some (see hides)
-	beats  uint64   // and how far those were counted
-	before [256]int // what was dropped
+	id             uint64
+	source         string
+	snapshot       bool
+	sourceVector   *vector        // vector of the current source; nil until it is received
+	sourceBootID   uint64         // boot ID of the source when it sent sourceVector
+	commonVector   *vector        // what all sources so far had
+	incomplete     map[uint8]bool // kinds that are incomplete at a source
+	kinds          []uint8        // kinds that are pulled
+	severalSources bool           // more than one source was used
+	sumRanges      []Range        // still to be requested: ranges for whose children the sums are needed
+	listRanges     []Range        // still to be requested: ranges whose records are to be listed
+	keyHashes      []uint64       // still to be requested: key hashes of records that differ
+	nextHash       uint64         // where the next piece of a snapshot begins
+	done           bool           // the last piece of a snapshot was received
+	pendingRequest *PullRequest   // waits for its response
+	requestedAt    float64        // seconds
+	failedTries    int
+	deletions      []deletion               // records here whose dots the source covers and that it no longer has, so they were deleted there
+	superseded     map[Dot]ReplicatedRecord // records of the source that were not merged, see isSuperseded
+	startVector    *vector                  // vector of this member at the start of the pull
+	sourceAhead    bool                     // a source covers writes that are missing here, and its tombstones may hide some of them (see coversOtherWrite)
+	contested      uint64                   // value of Machine.contested at the start
+	dropsAtStart   [256]int                 // value of Machine.dropCounts at the start
 }
 
-// fall is a record that is to go at the end, and what stands in its place.
-type fall struct {
-	e  *entry
-	by *Carried
+// deletion is an entry to be removed at the end of a pull, or to be replaced by a lower record of the source.
+type deletion struct {
+	entry       *entry
+	replacement *ReplicatedRecord
 }
 
-// begin starts one, if none is under way.
-func (m *Machine) begin(from string, whole bool) {
+// startPull starts a pull if none is in progress. It pulls a snapshot if that is wanted or if there are no records here.
+func (m *Machine) startPull(source string, snapshot bool) {
 	if m.pull != nil {
 		return
 	}
 	records := 0
-	for _, id := range m.ids {
+	for _, id := range m.kindIDs {
 		records += len(m.kinds[id].byKey)
 	}
-	whole = whole || records == 0
-	m.away = false
+	snapshot = snapshot || records == 0
+	m.beyondHorizon = false
 	p := &pull{
-		id: m.chance.Uint64(), from: m.near(from, whole), whole: whole, lacks: map[uint8]bool{}, odd: map[Dot]Carried{},
-		mine: m.vec.clone(), beats: m.beats,
+		id: m.rng.Uint64(), source: m.chooseSource(source, snapshot), snapshot: snapshot, incomplete: map[uint8]bool{}, superseded: map[Dot]ReplicatedRecord{},
+		startVector: m.vec.clone(), contested: m.contested,
 	}
-	for _, id := range m.ids {
-		if !slices.Contains(m.told[p.from].strange, id) {
+	for _, id := range m.kindIDs {
+		if !slices.Contains(m.kindReports[p.source].unknown, id) {
 			p.kinds = append(p.kinds, id)
 		}
-		if s := m.kinds[id]; m.lacks[id] && (s.upto == nil || s.uptoAt != m.drops[id]) {
-			s.upto, s.uptoAt = p.mine, m.drops[id]
+		if s := m.kinds[id]; m.incomplete[id] && (s.requiredVector == nil || s.requiredAtDrops != m.dropCounts[id]) {
+			s.requiredVector, s.requiredAtDrops = p.startVector, m.dropCounts[id]
 		}
 	}
-	p.before = m.drops
-	if !whole {
-		p.sums = []Range{{}}
+	p.dropsAtStart = m.dropCounts
+	if !snapshot {
+		p.sumRanges = []Range{{}}
 		m.stat.walks++
 	} else {
-		m.stat.wholes++
-		m.event(Event{What: "catching up", Who: p.from})
+		m.stat.snapshots++
+		m.addEvent(Event{Type: "catching up", Member: p.source})
 	}
-	m.pull, m.walkAt = p, m.now
+	m.pull, m.lastPullStart = p, m.now
 	m.stat.pulls++
-	m.pump()
+	m.advancePull()
 }
 
-// lacksKnown tells whether a member said that it lacks some of a kind that is known here.
-func (m *Machine) lacksKnown(name string) bool {
-	return slices.ContainsFunc(m.told[name].lacks, func(id uint8) bool { return m.kinds[id] != nil })
+// hasIncompleteKnownKind reports whether a kind that is known here is incomplete at a member.
+func (m *Machine) hasIncompleteKnownKind(name string) bool {
+	return slices.ContainsFunc(m.kindReports[name].incomplete, func(id uint8) bool { return m.kinds[id] != nil })
 }
 
-// near gives one of the own zone for a whole snapshot, and one that lacks nothing, where there is one. Guards against two of a zone that begin with
-// nothing and take it from each other: after a pull that brought nothing it is whoever was heard to have more.
-func (m *Machine) near(not string, whole bool) string {
-	if !whole || m.barren {
-		return not
-	}
-	best, least := []string{not}, 4
+// chooseSource returns the source of a pull. For a snapshot it prefers a member with no incomplete kind, then one of the own zone. Guards against two
+// members of a zone that start empty and pull from each other: after a pull that raised no vector entry, the source is the preferred member, which
+// reported to have more.
+func (m *Machine) chooseSource(preferred string, snapshot bool) string {
+	if !snapshot || m.lastPullUseless {
+		return preferred
+	}
+	best, bestRank := []string{preferred}, 4
 	for _, o := range m.fleet.Others {
-		far := 0
-		if o.Zone != m.s.Zone {
-			far++
+		rank := 0
+		if o.Zone != m.settings.Zone {
+			rank++
 		}
-		if m.lacksKnown(o.Name) {
-			far += 2
+		if m.hasIncompleteKnownKind(o.Name) {
+			rank += 2
 		}
 		switch {
-		case !o.Alive && o.Name != not || far > least:
-		case far < least || o.Name == not: // of several as good, whoever was heard
-			best, least = []string{o.Name}, far
-		case !slices.Contains(best, not):
+		case !o.Alive && o.Name != preferred || rank > bestRank:
+		case rank < bestRank || o.Name == preferred: // among equally good members the preferred one wins
+			best, bestRank = []string{o.Name}, rank
+		case !slices.Contains(best, preferred):
 			best = append(best, o.Name)
 		}
 	}
-	return best[m.chance.IntN(len(best))]
+	return best[m.rng.IntN(len(best))]
 }
 
-// fetch looks for a source of kinds of which some were dropped here, and that have room now: one who dropped none; where there is none left, all
-// others one after the other, as far as they know the kind, and what they have together is all that there is.
-func (m *Machine) fetch() {
-	if m.pull != nil || len(m.lacked) == 0 || m.now-m.walkAt <= checkSooner*m.s.Interval || m.unheard() {
+// pullIncomplete starts a pull to complete a kind of which records were dropped and which has room now. It prefers a source where the kind is
+// complete. If there is none, it pulls from all other members that know the kind, one after the other; together they have all that exists.
+func (m *Machine) pullIncomplete() {
+	if m.pull != nil || len(m.incompleteIDs) == 0 || m.now-m.lastPullStart <= repeatedMismatchPullInterval*m.settings.Interval || m.awaitingFirstContact() {
 		return
 	}
-	for _, id := range m.ids {
+	for _, id := range m.kindIDs {
 		s := m.kinds[id]
-		if !m.lacks[id] || len(s.byKey)*of > s.Records*bound || s.bytes*of > s.Bytes*bound {
+		if !m.incomplete[id] || len(s.byKey)*localFillDenominator > s.MaxRecords*localFillNumerator || s.bytes*localFillDenominator > s.MaxBytes*localFillNumerator {
 			continue
 		}
-		var whole, rest []string
-		all := true
+		var complete, partial []string
+		exhausted := true
 		for _, o := range m.fleet.Others {
-			t, ok := m.told[o.Name]
+			t, ok := m.kindReports[o.Name]
 			switch {
-			case ok && o.Alive && !slices.Contains(t.lacks, id):
-				whole = append(whole, o.Name)
-			case s.seen[o.Name]:
-			case ok && o.Alive && !slices.Contains(t.holds, id):
-				rest = append(rest, o.Name)
+			case ok && o.Alive && !slices.Contains(t.incomplete, id):
+				complete = append(complete, o.Name)
+			case s.pulledFrom[o.Name]:
+			case ok && o.Alive && !slices.Contains(t.stored, id):
+				partial = append(partial, o.Name)
 			default:
-				all = false
+				exhausted = false
 			}
 		}
 		switch {
-		case len(whole) > 0:
-			m.begin(whole[m.chance.IntN(len(whole))], false)
+		case len(complete) > 0:
+			m.startPull(complete[m.rng.IntN(len(complete))], false)
 			return
-		case len(rest) > 0:
-			m.begin(rest[m.chance.IntN(len(rest))], false)
+		case len(partial) > 0:
+			m.startPull(partial[m.rng.IntN(len(partial))], false)
 			return
-		case all:
-			m.lack(id, false)
+		case exhausted:
+			m.setIncomplete(id, false)
 		}
 	}
 }
 
-// pump asks for the next part, if the rate allows, and for one that did not come of another source.
-func (m *Machine) pump() {
-	m.bucket = min(m.s.Rate, m.bucket+(m.now-m.filled)*m.s.Rate)
-	m.filled = m.now
+// advancePull requests the next part of the pull if the rate allows it. If a response is overdue, it repeats the request at another source.
+func (m *Machine) advancePull() {
+	m.pullTokens = min(m.settings.CatchUpRate, m.pullTokens+(m.now-m.pullRefilledAt)*m.settings.CatchUpRate)
+	m.pullRefilledAt = m.now
 	p := m.pull
 	if p == nil {
 		return
 	}
-	if p.asked != nil {
-		if m.now-p.at < patience*m.s.Interval {
+	if p.pendingRequest != nil {
+		if m.now-p.requestedAt < sourceTimeout*m.settings.Interval {
 			return
 		}
-		p.sums, p.lists, p.keys = append(p.sums, p.asked.Sums...), append(p.lists, p.asked.Lists...), append(p.keys, p.asked.Keys...)
-		p.asked, p.base = nil, nil
-		if p.tries++; p.tries >= mostTries && !p.whole {
+		p.sumRanges, p.listRanges, p.keyHashes = append(p.sumRanges, p.pendingRequest.SumRanges...), append(p.listRanges, p.pendingRequest.ListRanges...), append(p.keyHashes, p.pendingRequest.KeyHashes...)
+		p.pendingRequest, p.sourceVector = nil, nil
+		if p.failedTries++; p.failedTries >= maxTries && !p.snapshot {
 			m.pull = nil
 			return
 		}
-		if all := m.some(len(m.fleet.Others), func(n string) bool { return n == p.from }); len(all) > 0 {
-			p.others = p.others || p.from != all[0]
-			p.from = all[0]
+		if all := m.sampleMembers(len(m.fleet.Others), func(n string) bool { return n == p.source }); len(all) > 0 {
+			p.severalSources = p.severalSources || p.source != all[0]
+			p.source = all[0]
 		}
 	}
-	if m.bucket < 0 {
+	if m.pullTokens < 0 {
 		return
 	}
-	ask := &Pull{ID: p.id, Vector: p.base == nil, Kinds: p.kinds}
+	request := &PullRequest{ID: p.id, WantVector: p.sourceVector == nil, Kinds: p.kinds}
 	switch {
-	case p.whole && !p.done:
-		ask.Whole, ask.After = true, p.after
-	case len(p.sums)+len(p.lists)+len(p.keys) > 0:
-		ask.Sums, p.sums = cut(p.sums, pullRanges)
-		ask.Lists, p.lists = cut(p.lists, pullRanges)
-		ask.Keys, p.keys = cut(p.keys, pullKeys)
+	case p.snapshot && !p.done:
+		request.Snapshot, request.FromHash = true, p.nextHash
+	case len(p.sumRanges)+len(p.listRanges)+len(p.keyHashes) > 0:
+		request.SumRanges, p.sumRanges = splitAt(p.sumRanges, maxPullRanges)
+		request.ListRanges, p.listRanges = splitAt(p.listRanges, maxPullRanges)
+		request.KeyHashes, p.keyHashes = splitAt(p.keyHashes, maxPullKeys)
 	default:
-		m.finish(p)
+		m.finishPull(p)
 		return
 	}
-	p.asked, p.at = ask, m.now
-	m.send(p.from, Message{Pull: ask}, len(ask.Keys)*9+(len(ask.Sums)+len(ask.Lists))*10)
+	p.pendingRequest, p.requestedAt = request, m.now
+	m.send(p.source, Message{PullRequest: request}, len(request.KeyHashes)*9+(len(request.SumRanges)+len(request.ListRanges))*10)
 }
 
-func cut[T any](all []T, n int) (head, tail []T) {
+// splitAt splits off the first n elements of a slice.
+func splitAt[T any](all []T, n int) (head, tail []T) {
 	n = min(n, len(all))
 	return all[:n:n], all[n:]
 }
 
-// serve answers a part of another's catch-up. What is over the rate is not answered: its taker asks elsewhere. A message more than that is, so that
-// one taker alone, who keeps to the same rate, is never put off by what was lost.
-func (m *Machine) serve(to string, p *Pull) {
-	m.serves, m.served = min(m.s.Rate, m.serves+(m.now-m.served)*m.s.Rate), m.now
-	if m.serves < -fillStream {
+// servePull responds to a pull request. Requests beyond the rate get no response, and the requester tries another source. One message beyond the
+// rate is still sent, so that a single requester that keeps to the same rate is not turned away after a message was lost.
+func (m *Machine) servePull(to string, p *PullRequest) {
+	m.serveTokens, m.serveRefilledAt = min(m.settings.CatchUpRate, m.serveTokens+(m.now-m.serveRefilledAt)*m.settings.CatchUpRate), m.now
+	if m.serveTokens < -streamBudget {
 		return
 	}
-	if len(p.Kinds) == 0 { // of a version before those were told. Guards against an answer of nothing: what it has would fall there
+	if len(p.Kinds) == 0 { // earlier versions do not send the kinds. Guards against an empty response, after which the requester would delete its records
 		all := *p
-		all.Kinds = m.ids
+		all.Kinds = m.kindIDs
 		p = &all
 	}
-	g := &Give{ID: p.ID, Life: m.life}
+	g := &PullResponse{ID: p.ID, BootID: m.bootID}
 	used := 0
-	if p.Vector {
-		g.Vector, g.Kinds = m.vec.list(nil), m.ids
+	if p.WantVector {
+		g.Vector, g.Kinds = m.vec.entries(nil), m.kindIDs
 		used += vectorBytes(g.Vector)
 	}
-	for _, r := range p.Sums {
+	for _, r := range p.SumRanges {
 		if r.Depth < maxDepth {
 			g.Sums = append(g.Sums, m.children(p.Kinds, r))
 			used += 16 * 14
 		}
 	}
-	for _, r := range p.Lists {
-		l := List{Range: r}
-		m.each(p.Kinds, r, func(e *entry) { l.Keys, l.Sums = append(l.Keys, e.hash), append(l.Sums, e.sum) })
-		if used += 18 * len(l.Keys); len(l.Keys) > mostGiven/2 || used > fillStream {
-			break // the rest is asked for again
+	for _, r := range p.ListRanges {
+		l := RangeListing{Range: r}
+		m.each(p.Kinds, r, func(e *entry) {
+			l.KeyHashes, l.ContentSums = append(l.KeyHashes, e.keyHash), append(l.ContentSums, e.contentSum)
+		})
+		if used += 18 * len(l.KeyHashes); len(l.KeyHashes) > maxMessageItems/2 || used > streamBudget {
+			break // the requester asks for the rest again
 		}
 		g.Lists = append(g.Lists, l)
 	}
-	for _, h := range p.Keys {
-		if used > fillStream {
+	for _, h := range p.KeyHashes {
+		if used > streamBudget {
 			break
 		}
-		g.Keys = append(g.Keys, h)
+		g.KeyHashes = append(g.KeyHashes, h)
 		m.each(p.Kinds, Range{maxDepth, h >> 4}, func(e *entry) {
-			if e.hash == h {
-				g.Records = append(g.Records, Carried{Record: e.rec, Aside: e.aside})
-				used += weigh(&e.rec)
+			if e.keyHash == h {
+				g.Records = append(g.Records, ReplicatedRecord{Record: e.record, Conflicting: e.conflicting})
+				used += messageSize(&e.record)
 			}
 		})
 	}
-	if p.Whole {
-		m.piece(p, g, &used)
+	if p.Snapshot {
+		m.addSnapshotPiece(p, g, &used)
 	}
-	m.serves -= float64(used)
-	m.send(to, Message{Give: g}, used)
+	m.serveTokens -= float64(used)
+	m.send(to, Message{PullResponse: g}, used)
 }
 
-// piece adds records from a hash on, those of one hash together.
-func (m *Machine) piece(p *Pull, g *Give, used *int) {
-	g.Whole = true
-	after := p.After
-	for i := after >> (64 - 4*leafDepth); i < leaves; i++ {
+// addSnapshotPiece adds the records from p.FromHash on up to the size of a piece. Records of one key hash stay in one piece.
+func (m *Machine) addSnapshotPiece(p *PullRequest, g *PullResponse, used *int) {
+	g.Snapshot = true
+	fromHash := p.FromHash
+	for i := fromHash >> (64 - 4*leafDepth); i < leaves; i++ {
 		leaf := m.leaf(p.Kinds, i)
 		for at, e := range leaf {
-			if e.hash < after {
+			if e.keyHash < fromHash {
 				continue
 			}
-			if *used > pieceBytes && (at == 0 || leaf[at-1].hash != e.hash) {
-				g.Next = e.hash
+			if *used > snapshotPieceBytes && (at == 0 || leaf[at-1].keyHash != e.keyHash) {
+				g.NextHash = e.keyHash
 				return
 			}
-			g.Records = append(g.Records, Carried{Record: e.rec, Aside: e.aside})
-			*used += weigh(&e.rec)
+			g.Records = append(g.Records, ReplicatedRecord{Record: e.record, Conflicting: e.conflicting})
+			*used += messageSize(&e.record)
 		}
 	}
 	g.Done = true
 }
 
-// given takes a part.
-func (m *Machine) given(from string, g *Give, lacks []uint8) {
+// handlePullResponse handles the response to the pending pull request.
+func (m *Machine) handlePullResponse(from string, g *PullResponse, incomplete []uint8) {
 	p := m.pull
-	if p == nil || p.asked == nil || g.ID != p.id || from != p.from || g.Whole != p.asked.Whole || p.base == nil && g.Vector == nil && !p.asked.Vector {
+	if p == nil || p.pendingRequest == nil || g.ID != p.id || from != p.source || g.Snapshot != p.pendingRequest.Snapshot || p.sourceVector == nil && g.Vector == nil && !p.pendingRequest.WantVector {
 		return
 	}
-	asked := p.asked
-	p.asked, p.tries = nil, 0
-	if !asked.Vector && g.Life != p.life && !m.fault.oneLife { // it was killed, and may lack what it had told before
-		p.sums, p.lists, p.keys = append(p.sums, asked.Sums...), append(p.lists, asked.Lists...), append(p.keys, asked.Keys...)
-		p.base, p.others = nil, true
-		m.pump()
+	request := p.pendingRequest
+	p.pendingRequest, p.failedTries = nil, 0
+	if !request.WantVector && g.BootID != p.sourceBootID && !m.fault.ignoreBootID { // the source was restarted and may lack what its vector covered
+		p.sumRanges, p.listRanges, p.keyHashes = append(p.sumRanges, request.SumRanges...), append(p.listRanges, request.ListRanges...), append(p.keyHashes, request.KeyHashes...)
+		p.sourceVector, p.severalSources = nil, true
+		m.advancePull()
 		return
 	}
-	if asked.Vector {
-		p.base, p.life = load(g.Vector), g.Life
-		p.more = p.more || !m.vec.reaches(p.base)
-		m.hear(from, p.base, lacks, !g.Unkept)
-		if p.joint == nil {
-			p.joint = load(g.Vector)
+	if request.WantVector {
+		p.sourceVector, p.sourceBootID = vectorFrom(g.Vector), g.BootID
+		p.sourceAhead = p.sourceAhead || !m.vec.dominates(p.sourceVector)
+		m.noteVector(from, p.sourceVector, incomplete, !g.Unpersisted)
+		if p.commonVector == nil {
+			p.commonVector = vectorFrom(g.Vector)
 		} else {
-			p.joint = meet(p.joint, p.base)
+			p.commonVector = intersect(p.commonVector, p.sourceVector)
 		}
 	}
-	for _, k := range lacks {
-		p.lacks[k] = true
+	for _, k := range incomplete {
+		p.incomplete[k] = true
 	}
 	for _, k := range g.Kinds {
-		p.lacks[k] = p.lacks[k] || m.kinds[k] == nil // not asked for
+		p.incomplete[k] = p.incomplete[k] || m.kinds[k] == nil // the kind is unknown here and was not requested
 	}
 	used := vectorBytes(g.Vector)
 	for _, s := range g.Sums {
-		if !slices.Contains(asked.Sums, s.Range) {
+		if !slices.Contains(request.SumRanges, s.Range) {
 			continue
 		}
-		asked.Sums = slices.DeleteFunc(asked.Sums, func(r Range) bool { return r == s.Range })
+		request.SumRanges = slices.DeleteFunc(request.SumRanges, func(r Range) bool { return r == s.Range })
 		used += 16 * 14
 		mine := m.children(p.kinds, s.Range)
 		for i := range 16 {
 			switch c := s.Range.child(i); {
-			case mine.Sums[i] == s.Sums[i] && mine.Count[i] == s.Count[i]:
-			case s.Count[i]+mine.Count[i] <= listUnder || c.Depth >= maxDepth:
-				p.lists = append(p.lists, c)
+			case mine.Sums[i] == s.Sums[i] && mine.Counts[i] == s.Counts[i]:
+			case s.Counts[i]+mine.Counts[i] <= listThreshold || c.Depth >= maxDepth:
+				p.listRanges = append(p.listRanges, c)
 			default:
-				p.sums = append(p.sums, c)
+				p.sumRanges = append(p.sumRanges, c)
 			}
 		}
 	}
 	for _, l := range g.Lists {
-		if !slices.Contains(asked.Lists, l.Range) {
+		if !slices.Contains(request.ListRanges, l.Range) {
 			continue
 		}
-		asked.Lists = slices.DeleteFunc(asked.Lists, func(r Range) bool { return r == l.Range })
-		used += 18 * len(l.Keys)
+		request.ListRanges = slices.DeleteFunc(request.ListRanges, func(r Range) bool { return r == l.Range })
+		used += 18 * len(l.KeyHashes)
 		mine, theirs := map[uint64]uint64{}, map[uint64]bool{}
-		m.each(p.kinds, l.Range, func(e *entry) { mine[e.hash] += e.sum })
+		m.each(p.kinds, l.Range, func(e *entry) { mine[e.keyHash] += e.contentSum })
 		sums := map[uint64]uint64{}
-		for i, h := range l.Keys {
+		for i, h := range l.KeyHashes {
 			theirs[h] = true
-			sums[h] += l.Sums[i]
+			sums[h] += l.ContentSums[i]
 		}
-		for _, h := range l.Keys {
-			if l.Range.in(h) && theirs[h] && mine[h] != sums[h] {
-				p.keys = append(p.keys, h)
+		for _, h := range l.KeyHashes {
+			if l.Range.contains(h) && theirs[h] && mine[h] != sums[h] {
+				p.keyHashes = append(p.keyHashes, h)
 			}
-			theirs[h] = false // asked once
+			theirs[h] = false // request each hash once
 		}
 		m.each(p.kinds, l.Range, func(e *entry) {
-			if _, ok := theirs[e.hash]; !ok {
-				m.absent(p, e)
+			if _, ok := theirs[e.keyHash]; !ok {
+				m.noteAbsent(p, e)
 			}
 		})
 	}
 	for i := range g.Records {
-		used += weigh(&g.Records[i].Record)
-		m.pulled(p, g.Records[i])
+		used += messageSize(&g.Records[i].Record)
+		m.mergePulled(p, g.Records[i])
 	}
-	asked.Keys = slices.DeleteFunc(asked.Keys, func(h uint64) bool { return slices.Contains(g.Keys, h) })
-	if g.Whole {
+	request.KeyHashes = slices.DeleteFunc(request.KeyHashes, func(h uint64) bool { return slices.Contains(g.KeyHashes, h) })
+	if g.Snapshot {
 		end := uint64(math.MaxUint64)
 		if !g.Done {
-			end = g.Next
+			end = g.NextHash
 		}
-		there := map[uint64]bool{}
+		present := map[uint64]bool{}
 		for _, c := range g.Records {
-			there[m.hashOf(c.Record.Kind, c.Record.Key)] = true
+			present[m.hashOf(c.Record.Kind, c.Record.Key)] = true
 		}
-		for i := asked.After >> (64 - 4*leafDepth); i < leaves; i++ {
+		for i := request.FromHash >> (64 - 4*leafDepth); i < leaves; i++ {
 			for _, e := range m.leaf(p.kinds, i) {
-				if e.hash >= asked.After && (e.hash < end || g.Done) && !there[e.hash] {
-					m.absent(p, e)
+				if e.keyHash >= request.FromHash && (e.keyHash < end || g.Done) && !present[e.keyHash] {
+					m.noteAbsent(p, e)
 				}
 			}
 		}
-		p.after, p.done = g.Next, g.Done || g.Next <= asked.After
+		p.nextHash, p.done = g.NextHash, g.Done || g.NextHash <= request.FromHash
 	}
-	// What was not answered is asked for again.
-	p.sums, p.lists, p.keys = append(p.sums, asked.Sums...), append(p.lists, asked.Lists...), append(p.keys, asked.Keys...)
+	// Request again what was not answered.
+	p.sumRanges, p.listRanges, p.keyHashes = append(p.sumRanges, request.SumRanges...), append(p.listRanges, request.ListRanges...), append(p.keyHashes, request.KeyHashes...)
 	m.stat.pulled += uint64(used)
-	m.bucket -= float64(used)
-	m.pump()
+	m.pullTokens -= float64(used)
+	m.advancePull()
 }
 
-// absent books a record that is here and not at the source: under a dot that the source has, it was deleted there.
-func (m *Machine) absent(p *pull, e *entry) {
-	if p.base.covers(e.rec.Dot) && !p.lacks[e.rec.Kind] || m.fault.dropAll {
-		p.gone = append(p.gone, fall{e: e})
+// noteAbsent handles a record that is here and not at the source. If the source covers its dot, the record was deleted there.
+func (m *Machine) noteAbsent(p *pull, e *entry) {
+	if p.sourceVector.covers(e.record.Dot) && !p.incomplete[e.record.Kind] || m.fault.dropAll {
+		p.deletions = append(p.deletions, deletion{entry: e})
 	}
 }
 
-// fallen tells whether a record fell here to one that is forgotten since: the vector has its dot, so that it or a higher one stood.
-func (m *Machine) fallen(r *Record) bool {
+// isSuperseded reports whether a record was replaced here by one that has been forgotten since. The vector covers its dot, so the record or a higher
+// one was here.
+func (m *Machine) isSuperseded(r *Record) bool {
 	s := m.kinds[r.Kind]
 	e := s.byKey[r.Key]
-	return m.vec.covers(r.Dot) && !m.lacks[r.Kind] && !m.fault.noRule && (e == nil || e.rec.Dot != r.Dot && m.order(s, r, &e.rec) > 0)
+	return m.vec.covers(r.Dot) && !m.incomplete[r.Kind] && !m.fault.acceptSuperseded && (e == nil || e.record.Dot != r.Dot && m.compareRecords(s, r, &e.record) > 0)
 }
 
-// pulled takes a record of the source, unless it fell here. What stands here falls if the source had it and has a lower one now.
-func (m *Machine) pulled(p *pull, c Carried) {
+// mergePulled merges a record of the source unless it was superseded here. If the source covers the record here and now has a lower one, the record
+// here is replaced at the end of the pull.
+func (m *Machine) mergePulled(p *pull, c ReplicatedRecord) {
 	if m.kinds[c.Record.Kind] == nil {
-		m.dropped(c.Record.Kind)
+		m.noteDropped(c.Record.Kind)
 		return
 	}
-	if m.fallen(&c.Record) && (!c.Record.Dead || !p.more || m.fault.uncover) {
-		if len(p.odd) < mostGiven {
-			p.odd[c.Record.Dot] = c
+	if m.isSuperseded(&c.Record) && (!c.Record.Deleted || !p.sourceAhead || m.fault.uncoverDeleted) {
+		if len(p.superseded) < maxMessageItems {
+			p.superseded[c.Record.Dot] = c
 		}
 		return
 	}
 	s := m.kinds[c.Record.Kind]
-	if e := s.byKey[c.Record.Key]; e != nil && e.rec.Dot != c.Record.Dot && p.base.covers(e.rec.Dot) && !p.lacks[s.ID] && !m.fault.noRule &&
-		m.order(s, &c.Record, &e.rec) < 0 {
-		p.gone = append(p.gone, fall{e, &c})
+	if e := s.byKey[c.Record.Key]; e != nil && e.record.Dot != c.Record.Dot && p.sourceVector.covers(e.record.Dot) && !p.incomplete[s.ID] && !m.fault.acceptSuperseded &&
+		m.compareRecords(s, &c.Record, &e.record) < 0 {
+		p.deletions = append(p.deletions, deletion{e, &c})
 		return
 	}
 	m.merge(c)
 }
 
-// finish joins what the sources had, once all of it was looked at.
-func (m *Machine) finish(p *pull) {
-	all := p.joint.reaches(p.mine)
-	for _, f := range p.gone {
-		e := f.e
-		if e.gone {
+// finishPull applies the deletions and joins the vector of the sources once everything was read.
+func (m *Machine) finishPull(p *pull) {
+	sourceComplete := p.commonVector.dominates(p.startVector)
+	for _, f := range p.deletions {
+		e := f.entry
+		if e.removed {
 			continue
 		}
-		// One dot under which each side has another key: neither was deleted.
-		if c, ok := p.odd[e.rec.Dot]; ok && (c.Record.Key != e.rec.Key || c.Record.Kind != e.rec.Kind) {
-			m.setAside(e)
-			if o := m.merge(Carried{Record: c.Record, Aside: true}); o != nil && !o.aside && o.rec.Dot == c.Record.Dot {
-				m.setAside(o)
+		// The same dot names different keys here and at the source, so neither record was deleted.
+		if c, ok := p.superseded[e.record.Dot]; ok && (c.Record.Key != e.record.Key || c.Record.Kind != e.record.Kind) {
+			m.markConflicting(e)
+			if o := m.merge(ReplicatedRecord{Record: c.Record, Conflicting: true}); o != nil && !o.conflicting && o.record.Dot == c.Record.Dot {
+				m.markConflicting(o)
 			}
 			continue
 		}
-		// Guards against a fall that uncovers what the source had not yet: a write that came and fell here to what is to fall now. It is known here
-		// and would not be taken again. What stays for that goes with a later walk.
-		if (e.beat > p.beats || !all && (f.by != nil || e.rec.Dead)) && !m.fault.noRule && !m.fault.uncover {
+		// Guards against removing an entry that won over a write which the source did not have yet: that write's dot is covered here, so it would
+		// not be merged again. An entry that is kept for this reason goes with a later pull.
+		if (e.contestedAt > p.contested || !sourceComplete && (f.replacement != nil || e.record.Deleted)) && !m.fault.acceptSuperseded && !m.fault.uncoverDeleted {
 			continue
 		}
-		if (p.joint.covers(e.rec.Dot) && !p.lacks[e.rec.Kind]) || m.fault.dropAll {
-			if s := m.kinds[e.rec.Kind]; f.by == nil {
-				m.drop(e)
-			} else if m.order(s, &f.by.Record, &e.rec) < 0 {
-				m.change(s, e, func() { e.rec, e.aside = f.by.Record, f.by.Aside })
+		if (p.commonVector.covers(e.record.Dot) && !p.incomplete[e.record.Kind]) || m.fault.dropAll {
+			if s := m.kinds[e.record.Kind]; f.replacement == nil {
+				m.remove(e)
+			} else if m.compareRecords(s, &f.replacement.Record, &e.record) < 0 {
+				m.update(s, e, func() { e.record, e.conflicting = f.replacement.Record, f.replacement.Conflicting })
 			}
 		}
 	}
 	raised := false
-	for name, w := range p.joint.of {
-		if m.vec.of[name] == nil && len(m.vec.of) >= mostWriters {
+	for name, w := range p.commonVector.writers {
+		if m.vec.writers[name] == nil && len(m.vec.writers) >= maxWriters {
 			continue
 		}
 		for _, k := range w.marks {
-			if m.vec.raise(name, k.era, k.number) {
-				m.raised = append(m.raised, trackKey{m.intern(name), k.era})
-				delete(m.logs, trackKey{name, k.era}) // it goes on from here
-				delete(m.stopped, trackKey{name, k.era})
+			if m.vec.raise(name, k.epoch, k.number) {
+				m.changedEpochs = append(m.changedEpochs, epochKey{m.intern(name), k.epoch})
+				delete(m.logs, epochKey{name, k.epoch}) // the log starts anew from this number
+				delete(m.blockedSince, epochKey{name, k.epoch})
 				raised = true
 			}
 		}
-		if o := m.vec.of[name]; o != nil && w.floor > o.floor && len(o.marks) > 0 && o.marks[0].era >= w.floor {
-			m.vec.ground(o, o.marks[0].era)
-			m.raised = append(m.raised, trackKey{name, o.floor})
+		if o := m.vec.writers[name]; o != nil && w.floor > o.floor && len(o.marks) > 0 && o.marks[0].epoch >= w.floor {
+			m.vec.setFloor(o, o.marks[0].epoch)
+			m.changedEpochs = append(m.changedEpochs, epochKey{name, o.floor})
 		}
 	}
-	m.barren = !raised
-	for _, id := range m.ids { // nor was what it had of a kind looked at that it was thought not to know
-		p.lacks[id] = p.lacks[id] || !slices.Contains(p.kinds, id)
+	m.lastPullUseless = !raised
+	for _, id := range m.kindIDs { // kinds that the source was believed not to know were not pulled either
+		p.incomplete[id] = p.incomplete[id] || !slices.Contains(p.kinds, id)
 	}
-	for id, is := range p.lacks {
-		if raised && is { // its vector covers what it had not
-			m.dropped(id)
+	for id, is := range p.incomplete {
+		if raised && is { // the joined vector covers records that the source lacked
+			m.noteDropped(id)
 		}
 	}
 	for _, id := range p.kinds {
 		s := m.kinds[id]
 		switch {
-		case !m.lacks[id] || m.drops[id] != p.before[id] && (!raised || !p.lacks[id] || m.drops[id] != p.before[id]+1):
-		case !p.lacks[id] && (p.joint.reaches(s.upto) || m.fault.clears):
-			s.full = false
-			m.lack(id, false)
-		case p.lacks[id] && !p.others:
-			if s.seen == nil {
-				s.seen = map[string]bool{}
+		case !m.incomplete[id] || m.dropCounts[id] != p.dropsAtStart[id] && (!raised || !p.incomplete[id] || m.dropCounts[id] != p.dropsAtStart[id]+1):
+		case !p.incomplete[id] && (p.commonVector.dominates(s.requiredVector) || m.fault.clearEarly):
+			s.fullReported = false
+			m.setIncomplete(id, false)
+		case p.incomplete[id] && !p.severalSources:
+			if s.pulledFrom == nil {
+				s.pulledFrom = map[string]bool{}
 			}
-			s.seen[p.from] = true
+			s.pulledFrom[p.source] = true
 		}
 	}
 	m.pull = nil
-	if p.whole {
-		m.event(Event{What: "caught up", Who: p.from})
+	if p.snapshot {
+		m.addEvent(Event{Type: "caught up", Member: p.source})
 	}
-	m.ask(p.from)
+	m.startExchange(p.source)
 }
--- a/core/cluster/replication/step.go
+++ b/core/cluster/replication/step.go
@@ -6,135 +6,137 @@
 	"slices"
 )
 
-// sound tells what is wrong with a record from outside.
-func (m *Machine) sound(c *Carried, hole bool) error {
+// checkRecord returns what is wrong with a received or saved record. allowOmitted permits a placeholder of a dropped record, as in a delta.
+func (m *Machine) checkRecord(c *ReplicatedRecord, allowOmitted bool) error {
 	r := &c.Record
 	s := m.kinds[r.Kind]
-	if s == nil { // of a later version: what is wrong with it, who knows it tells
-		s = &shelf{Kind: Kind{Name: "a kind that is not known", Longest: MostLongest}}
+	if s == nil { // the kind belongs to a later version; only programs that know it can check the value
+		s = &kindStore{Kind: Kind{Name: "an unknown kind", MaxRecordBytes: MaxRecordBytes}}
 	}
 	switch {
-	case c.Hole && hole && r.Kind > 0 && r.Key == "" && r.Value == nil && !r.Dead && r.Dot == Dot{}:
+	case c.Omitted && allowOmitted && r.Kind > 0 && r.Key == "" && r.Value == nil && !r.Deleted && r.Dot == Dot{}:
 		return nil
-	case c.Hole || r.Kind == 0:
-		return fmt.Errorf("%w: a record of kind %d, hole %v", errBad, r.Kind, c.Hole)
-	case r.Key == "" || size(r) > s.Longest:
-		return fmt.Errorf("%w: a record of %s of %d bytes, from 1 to %d are allowed", errBad, s.Name, size(r), s.Longest)
-	case r.Dot.Writer == "" || len(r.Dot.Writer) > mostName || r.Dot.Era == 0 || r.Dot.Number == 0 || r.Dot.Number > math.MaxInt64:
-		return fmt.Errorf("%w: a record of %s without a dot", errBad, s.Name)
-	}
-	if s.Check != nil && !r.Dead {
+	case c.Omitted || r.Kind == 0:
+		return fmt.Errorf("%w: invalid record of kind %d, omitted %v", errBadMessage, r.Kind, c.Omitted)
+	case r.Key == "" || size(r) > s.MaxRecordBytes:
+		return fmt.Errorf("%w: record of %s has %d bytes, 1 to %d are allowed", errBadMessage, s.Name, size(r), s.MaxRecordBytes)
+	case r.Dot.Writer == "" || len(r.Dot.Writer) > maxNameBytes || r.Dot.WriterEpoch == 0 || r.Dot.Number == 0 || r.Dot.Number > math.MaxInt64:
+		return fmt.Errorf("%w: record of %s without a valid dot", errBadMessage, s.Name)
+	}
+	if s.Check != nil && !r.Deleted {
 		if err := s.Check(r.Key, r.Value); err != nil {
-			return fmt.Errorf("%w: a record of %s: %w", errBad, s.Name, err)
+			return fmt.Errorf("%w: invalid record of %s: %w", errBadMessage, s.Name, err)
 		}
 	}
 	return nil
 }
 
-func entries(all []Entry) error {
-	if len(all) > mostWriters*4 {
-		return fmt.Errorf("%w: %d entries of a vector", errBad, len(all))
+// checkEntries returns what is wrong with received vector entries.
+func checkEntries(all []VectorEntry) error {
+	if len(all) > maxWriters*4 {
+		return fmt.Errorf("%w: %d vector entries are too many", errBadMessage, len(all))
 	}
 	for _, e := range all {
-		if e.Writer == "" || len(e.Writer) > mostName || e.Era == 0 || e.Number == 0 || e.Number > math.MaxInt64 {
-			return fmt.Errorf("%w: an entry of a vector of %q, %d, %d", errBad, e.Writer, e.Era, e.Number)
+		if e.Writer == "" || len(e.Writer) > maxNameBytes || e.WriterEpoch == 0 || e.Number == 0 || e.Number > math.MaxInt64 {
+			return fmt.Errorf("%w: invalid vector entry: writer %q, epoch %d, number %d", errBadMessage, e.Writer, e.WriterEpoch, e.Number)
 		}
 	}
 	return nil
 }
 
-func (a *Ask) check() error {
-	if err := entries(a.Vector); err != nil {
+// check returns what is wrong with a received vector exchange.
+func (a *VectorExchange) check() error {
+	if err := checkEntries(a.Vector); err != nil {
 		return err
 	}
-	var in [buckets]bool
-	for i, b := range a.Shown {
-		if in[b] = true; i > 0 && b <= a.Shown[i-1] {
-			return fmt.Errorf("%w: bucket %d shown after %d", errBad, b, a.Shown[i-1])
+	var in [bucketCount]bool
+	for i, b := range a.Buckets {
+		if in[b] = true; i > 0 && b <= a.Buckets[i-1] {
+			return fmt.Errorf("%w: bucket %d is listed after bucket %d", errBadMessage, b, a.Buckets[i-1])
 		}
 	}
-	if n := len(a.Digest); n > 0 && (n != buckets || len(a.Shown) > 0 || a.Answer) {
-		return fmt.Errorf("%w: a digest of %d buckets, %d are asked about, in a question alone", errBad, n, buckets)
+	if n := len(a.Digest); n > 0 && (n != bucketCount || len(a.Buckets) > 0 || a.IsResponse) {
+		return fmt.Errorf("%w: digest of %d buckets; only a request has one, and it has %d buckets", errBadMessage, n, bucketCount)
 	}
 	for _, e := range a.Vector {
 		if !in[bucketOf(e.Writer)] {
-			return fmt.Errorf("%w: an entry of %q, whose bucket isn't shown", errBad, e.Writer)
+			return fmt.Errorf("%w: vector entry of %q, whose bucket is not listed", errBadMessage, e.Writer)
 		}
 	}
 	return nil
 }
 
-// checkMessage looks through all that a message holds before any of it is used.
+// checkMessage checks everything in a message before any of it is used.
 func (m *Machine) checkMessage(msg *Message) error {
-	if err := entries(msg.Acks); err != nil {
+	if err := checkEntries(msg.Acks); err != nil {
 		return err
 	}
-	records := len(msg.Aside)
-	all := [][]Carried{msg.Aside}
+	records := len(msg.Conflicting)
+	recordLists := [][]ReplicatedRecord{msg.Conflicting}
 	for i := range msg.Deltas {
 		d := &msg.Deltas[i]
 		records += len(d.Records) + len(d.Index)
-		if d.Writer == "" || len(d.Writer) > mostName || d.Era == 0 || d.From > math.MaxInt64 || len(d.Index) == 0 {
-			return fmt.Errorf("%w: a delta of %q, %d, from %d with %d", errBad, d.Writer, d.Era, d.From, len(d.Index))
+		if d.Writer == "" || len(d.Writer) > maxNameBytes || d.WriterEpoch == 0 || d.From > math.MaxInt64 || len(d.Index) == 0 {
+			return fmt.Errorf("%w: invalid delta: writer %q, epoch %d, after number %d, %d numbers", errBadMessage, d.Writer, d.WriterEpoch, d.From, len(d.Index))
 		}
 		for _, at := range d.Index {
 			if int(at) >= len(d.Records) {
-				return fmt.Errorf("%w: a delta names record %d of %d", errBad, at, len(d.Records))
+				return fmt.Errorf("%w: delta refers to record %d of %d", errBadMessage, at, len(d.Records))
 			}
 		}
 		for i := range d.Records {
-			if err := m.sound(&d.Records[i], true); err != nil {
+			if err := m.checkRecord(&d.Records[i], true); err != nil {
 				return err
 			}
 		}
 	}
-	if msg.Ask != nil {
-		if err := msg.Ask.check(); err != nil {
+	if msg.VectorExchange != nil {
+		if err := msg.VectorExchange.check(); err != nil {
 			return err
 		}
 	}
-	if p := msg.Pull; p != nil {
-		records += len(p.Keys) + len(p.Sums) + len(p.Lists)
-		for _, r := range append(slices.Clone(p.Sums), p.Lists...) {
+	if p := msg.PullRequest; p != nil {
+		records += len(p.KeyHashes) + len(p.SumRanges) + len(p.ListRanges)
+		for _, r := range append(slices.Clone(p.SumRanges), p.ListRanges...) {
 			if !r.valid() {
-				return fmt.Errorf("%w: range %d, %x", errBad, r.Depth, r.Prefix)
+				return fmt.Errorf("%w: invalid range: depth %d, prefix %x", errBadMessage, r.Depth, r.Prefix)
 			}
 		}
-		if len(p.Sums) > pullRanges || len(p.Lists) > pullRanges {
-			return fmt.Errorf("%w: %d ranges at once", errBad, len(p.Sums)+len(p.Lists))
+		if len(p.SumRanges) > maxPullRanges || len(p.ListRanges) > maxPullRanges {
+			return fmt.Errorf("%w: %d ranges in one request are too many", errBadMessage, len(p.SumRanges)+len(p.ListRanges))
 		}
 	}
-	if g := msg.Give; g != nil {
-		if err := entries(g.Vector); err != nil {
+	if g := msg.PullResponse; g != nil {
+		if err := checkEntries(g.Vector); err != nil {
 			return err
 		}
-		records += len(g.Records) + len(g.Keys)
+		records += len(g.Records) + len(g.KeyHashes)
 		for _, s := range g.Sums {
-			if !s.Range.valid() || len(s.Sums) != 16 || len(s.Count) != 16 {
-				return fmt.Errorf("%w: sums of range %d, %x", errBad, s.Range.Depth, s.Range.Prefix)
+			if !s.Range.valid() || len(s.Sums) != 16 || len(s.Counts) != 16 {
+				return fmt.Errorf("%w: invalid sums of the range with depth %d, prefix %x", errBadMessage, s.Range.Depth, s.Range.Prefix)
 			}
 		}
 		for _, l := range g.Lists {
-			records += len(l.Keys)
-			if !l.Range.valid() || len(l.Keys) != len(l.Sums) {
-				return fmt.Errorf("%w: a list of range %d, %x", errBad, l.Range.Depth, l.Range.Prefix)
+			records += len(l.KeyHashes)
+			if !l.Range.valid() || len(l.KeyHashes) != len(l.ContentSums) {
+				return fmt.Errorf("%w: invalid listing of the range with depth %d, prefix %x", errBadMessage, l.Range.Depth, l.Range.Prefix)
 			}
 		}
-		all = append(all, g.Records)
+		recordLists = append(recordLists, g.Records)
 	}
-	kinds := max(len(msg.Lacks), len(msg.Strange), len(msg.Holds))
-	if p := msg.Pull; p != nil {
+	kinds := max(len(msg.IncompleteKinds), len(msg.UnknownKinds), len(msg.StoredUnknownKinds))
+	if p := msg.PullRequest; p != nil {
 		kinds = max(kinds, len(p.Kinds))
 	}
-	if g := msg.Give; g != nil {
+	if g := msg.PullResponse; g != nil {
 		kinds = max(kinds, len(g.Kinds))
 	}
-	if records > mostGiven || kinds > 256 || len(msg.Fell) > mostFell {
-		return fmt.Errorf("%w: %d items", errBad, records)
+	if records > maxMessageItems || kinds > 256 || len(msg.OverriddenWrites) > maxOverridden {
+		return fmt.Errorf("%w: too many items; %d of them are records, hashes and ranges", errBadMessage, records)
 	}
-	for _, rs := range all {
+	for _, rs := range recordLists {
 		for i := range rs {
-			if err := m.sound(&rs[i], false); err != nil {
+			if err := m.checkRecord(&rs[i], false); err != nil {
 				return err
 			}
 		}
@@ -142,20 +144,20 @@
 	return nil
 }
 
-// Step takes a message. It fails where anything in it isn't as it has to be, and uses none of it then.
+// Step handles a message from another member. now is in seconds. If any part of the message is invalid, Step returns an error and uses none of it.
 func (m *Machine) Step(from string, msg *Message, now float64) error {
 	m.now = max(m.now, now)
-	if _, ok := m.byName[from]; !ok || msg == nil {
-		m.stat.bad++
-		return fmt.Errorf("%w: from %q, who is no member", errBad, from)
+	if _, ok := m.members[from]; !ok || msg == nil {
+		m.stat.badMessages++
+		return fmt.Errorf("%w: sender %q is not a member", errBadMessage, from)
 	}
 	if err := m.checkMessage(msg); err != nil {
-		m.stat.bad++
+		m.stat.badMessages++
 		return fmt.Errorf("from %s: %w", from, err)
 	}
-	m.told[from] = told{msg.Lacks, msg.Strange, msg.Holds}
-	m.lower(msg.Fell)
-	for _, c := range msg.Aside {
+	m.kindReports[from] = kindReport{msg.IncompleteKinds, msg.UnknownKinds, msg.StoredUnknownKinds}
+	m.failOverridden(msg.OverriddenWrites)
+	for _, c := range msg.Conflicting {
 		if m.kinds[c.Record.Kind] == nil {
 			continue
 		}
@@ -165,53 +167,56 @@
 	}
 	grew, gap := false, false
 	for i := range msg.Deltas {
-		g, missing := m.take(from, &msg.Deltas[i])
+		g, missing := m.applyDelta(from, &msg.Deltas[i])
 		grew, gap = grew || g, gap || missing
 	}
 	for _, a := range msg.Acks {
-		if a.Writer == m.s.Name {
-			m.acked(from, a.Era, a.Number, msg.Lacks)
+		if a.Writer == m.settings.Name {
+			m.noteAck(from, a.WriterEpoch, a.Number, msg.IncompleteKinds)
 		}
 	}
 	switch {
-	case msg.Ask != nil:
-		m.asked(from, msg.Ask, msg.Lacks, grew)
+	case msg.VectorExchange != nil:
+		m.handleExchange(from, msg.VectorExchange, msg.IncompleteKinds, grew)
 	case gap:
-		m.ask(from)
+		m.startExchange(from)
 	}
-	if msg.Pull != nil {
-		m.serve(from, msg.Pull)
+	if msg.PullRequest != nil {
+		m.servePull(from, msg.PullRequest)
 	}
-	if msg.Give != nil {
-		m.given(from, msg.Give, msg.Lacks)
+	if msg.PullResponse != nil {
+		m.handlePullResponse(from, msg.PullResponse, msg.IncompleteKinds)
 	}
 	return nil
 }
 
-// ask tells a member what is here, and asks for what lacks.
-func (m *Machine) ask(to string) {
-	m.send(to, Message{Ask: m.question(), Acks: m.acksFor(to)}, buckets)
+// startExchange sends a member an exchange request, which states what is here and asks for what is missing here.
+func (m *Machine) startExchange(to string) {
+	m.send(to, Message{VectorExchange: m.newExchange(), Acks: m.acksFor(to)}, bucketCount)
 }
 
-// question is of the sums of what is here. Its vector is kept: so the answer is understood when more has come meanwhile.
-func (m *Machine) question() *Ask {
-	if n := len(m.past); n == 0 || m.past[n-1].sum != m.vec.sum {
-		m.past = append(m.past[max(0, n+1-mostPast):n:n], m.vec.clone())
+// newExchange returns an exchange request with the sums of the current vector. It keeps a copy of the vector, so that the response can be resolved
+// even if more writes arrive meanwhile.
+func (m *Machine) newExchange() *VectorExchange {
+	if n := len(m.pastVectors); n == 0 || m.pastVectors[n-1].sum != m.vec.sum {
+		m.pastVectors = append(m.pastVectors[max(0, n+1-maxPastVectors):n:n], m.vec.clone())
 	}
-	salt := m.chance.Uint64()
-	return &Ask{Sum: m.vec.sum, Salt: salt, Digest: m.vec.digest(salt), Live: m.live()}
+	salt := m.rng.Uint64()
+	return &VectorExchange{VectorSum: m.vec.sum, Salt: salt, Digest: m.vec.digest(salt), ContentSum: m.contentSum()}
 }
 
-// acksFor tells a writer of its last eras. Guards against a question with sums telling less of pending writes than one with entries.
-func (m *Machine) acksFor(name string) (acks []Entry) {
-	if w := m.vec.of[name]; w != nil {
-		for _, k := range w.marks[max(0, len(w.marks)-keptEras):] {
-			acks = append(acks, Entry{Writer: name, Era: k.era, Number: k.number})
+// acksFor returns acks for a writer's latest epochs. Guards against losing acks of pending writes, since a request with sums alone does not state
+// which of the writer's numbers are here.
+func (m *Machine) acksFor(name string) (acks []VectorEntry) {
+	if w := m.vec.writers[name]; w != nil {
+		for _, k := range w.marks[max(0, len(w.marks)-keptEpochs):] {
+			acks = append(acks, VectorEntry{Writer: name, WriterEpoch: k.epoch, Number: k.number})
 		}
 	}
 	return acks
 }
 
+// vectorBytes estimates the bytes that a vector takes in a message.
 func vectorBytes(v Vector) (n int) {
 	for _, e := range v {
 		n += len(e.Writer) + 24
@@ -219,148 +224,151 @@
 	return n
 }
 
-// take joins an interval if it goes on from what is here. Gap tells that it begins later.
-func (m *Machine) take(from string, d *Delta) (grew, gap bool) {
-	k := trackKey{d.Writer, d.Era}
-	have, to := m.vec.at(d.Writer, d.Era), d.From+uint64(len(d.Index))
-	if d.Ack && d.Writer != m.s.Name {
-		if m.acks[d.Writer] == nil {
-			m.acks[d.Writer] = map[uint64]bool{}
-			m.ackTo = append(m.ackTo, d.Writer)
+// applyDelta merges an interval if it continues what is here. grew reports whether new numbers were added, and gap whether the interval begins later.
+func (m *Machine) applyDelta(from string, d *Delta) (grew, gap bool) {
+	k := epochKey{d.Writer, d.WriterEpoch}
+	known, upTo := m.vec.numberAt(d.Writer, d.WriterEpoch), d.From+uint64(len(d.Index))
+	if d.AckRequested && d.Writer != m.settings.Name {
+		if m.acksDue[d.Writer] == nil {
+			m.acksDue[d.Writer] = map[uint64]bool{}
+			m.acksDueOrder = append(m.acksDueOrder, d.Writer)
 		}
-		m.acks[d.Writer][d.Era] = true
+		m.acksDue[d.Writer][d.WriterEpoch] = true
 	}
-	m.twins(k, d, have)
-	defer m.falls(k, d)
-	if n := m.hole(d, have); n < len(d.Index) {
-		whole := *d
-		whole.Index = d.Index[:n]
-		d, to = &whole, d.From+uint64(n)
-		defer m.stop(from, k)
+	m.checkDuplicateDots(k, d, known)
+	defer m.noteOverridden(k, d)
+	if n := m.firstOmitted(d, known); n < len(d.Index) {
+		prefix := *d
+		prefix.Index = d.Index[:n]
+		d, upTo = &prefix, d.From+uint64(n)
+		defer m.noteBlocked(from, k)
 	}
-	if have < d.From && !m.fault.joinFirst {
+	if known < d.From && !m.fault.vectorBeforeRecords {
 		return false, true
 	}
-	if to <= have || m.vec.of[d.Writer] == nil && len(m.vec.of) >= mostWriters {
+	if upTo <= known || m.vec.writers[d.Writer] == nil && len(m.vec.writers) >= maxWriters {
 		return false, false
 	}
-	at := make([]*entry, len(d.Records))
-	if !m.fault.joinFirst || m.chance.Float64() < 0.8 {
+	merged := make([]*entry, len(d.Records))
+	if !m.fault.vectorBeforeRecords || m.rng.Float64() < 0.8 {
 		for i, c := range d.Records {
 			switch {
 			case m.kinds[c.Record.Kind] == nil:
-				at[i] = m.dropped(c.Record.Kind)
-			case c.Hole: // beyond where it stops
-			case !m.fallen(&c.Record) || c.Record.Dead && !m.fault.uncover && d.hides(uint32(i), have):
-				at[i] = m.merge(c)
+				merged[i] = m.noteDropped(c.Record.Kind)
+			case c.Omitted: // lies beyond the number at which the delta was cut off
+			case !m.isSuperseded(&c.Record) || c.Record.Deleted && !m.fault.uncoverDeleted && d.coversOtherWrite(uint32(i), known):
+				merged[i] = m.merge(c)
 			}
 		}
 	}
-	skip := have - min(have, d.From)
+	skip := known - min(known, d.From)
 	keys := make([]*entry, 0, len(d.Index))
 	for _, i := range d.Index[skip:] {
-		keys = append(keys, at[i])
+		keys = append(keys, merged[i])
 	}
 	m.advance(k, d.From+skip, keys)
-	m.renew(news{k, d.From + skip, d.Ack, from})
-	if d.Writer == m.s.Name {
-		m.own(d.Era, to)
+	m.queueFresh(freshInterval{k, d.From + skip, d.AckRequested, from})
+	if d.Writer == m.settings.Name {
+		m.noteOwnNumber(d.WriterEpoch, upTo)
 	}
 	return true, false
 }
 
-// hole gives where a delta ends for this member: at a number that is not here, of a kind that is known here, and that the sender dropped.
-func (m *Machine) hole(d *Delta, have uint64) int {
+// firstOmitted returns the position at which a delta ends for this member: the first number that is not here and whose record the sender dropped
+// although its kind is known here.
+func (m *Machine) firstOmitted(d *Delta, known uint64) int {
 	for i, at := range d.Index {
-		if c := &d.Records[at]; c.Hole && d.From+uint64(i) >= have && m.kinds[c.Record.Kind] != nil {
+		if c := &d.Records[at]; c.Omitted && d.From+uint64(i) >= known && m.kinds[c.Record.Kind] != nil {
 			return i
 		}
 	}
 	return len(d.Index)
 }
 
-// stop books that a writer's era doesn't go on for a hole. Others are asked as ever; where none of them has it in time, all is taken from who dropped
-// it, and the kind is lacked here too. Guards against standing still where whoever wrote it is gone for good.
-func (m *Machine) stop(from string, k trackKey) {
-	at, ok := m.stopped[k]
+// noteBlocked records that deltas of a writer's epoch end at an omitted record. The usual exchanges with other members go on. If none of them
+// supplies the record in time, everything is pulled from the source that dropped it, and the kind becomes incomplete here too. Guards against
+// waiting forever for a record whose writer is gone for good.
+func (m *Machine) noteBlocked(source string, k epochKey) {
+	at, ok := m.blockedSince[k]
 	switch {
-	case !ok && len(m.stopped) < mostWriters:
-		m.stopped[k] = m.now
-	case ok && m.now-at > stopAfter*m.s.Interval && m.pull == nil:
-		delete(m.stopped, k)
-		m.begin(from, false)
+	case !ok && len(m.blockedSince) < maxWriters:
+		m.blockedSince[k] = m.now
+	case ok && m.now-at > blockedTimeout*m.settings.Interval && m.pull == nil:
+		delete(m.blockedSince, k)
+		m.startPull(source, false)
 	}
 }
 
-// falls books writes of a delta over which a deletion stands here, for their writer: it may have forgotten that deletion.
-func (m *Machine) falls(k trackKey, d *Delta) {
-	if k.writer == m.s.Name {
+// noteOverridden records the writes of a delta over which a tombstone wins here. Their writer is informed, since it may have forgotten that
+// tombstone.
+func (m *Machine) noteOverridden(k epochKey, d *Delta) {
+	if k.writer == m.settings.Name {
 		return
 	}
 	for i, at := range d.Index {
-		r, dot := &d.Records[at].Record, Dot{k.writer, k.era, d.From + uint64(i) + 1}
+		r, dot := &d.Records[at].Record, Dot{k.writer, k.epoch, d.From + uint64(i) + 1}
 		s := m.kinds[r.Kind]
-		if s == nil || d.Records[at].Hole || !m.vec.covers(dot) || r.Dead && r.Dot == dot {
+		if s == nil || d.Records[at].Omitted || !m.vec.covers(dot) || r.Deleted && r.Dot == dot {
 			continue
 		}
-		if e := s.byKey[r.Key]; e == nil || !e.rec.Dead || e.rec.Dot == dot {
+		if e := s.byKey[r.Key]; e == nil || !e.record.Deleted || e.record.Dot == dot {
 			continue
 		}
-		if all := m.fell[k.writer]; !slices.Contains(all, dot) {
-			if all == nil && len(m.fell) >= mostWriters {
-				clear(m.fell)
+		if all := m.overridden[k.writer]; !slices.Contains(all, dot) {
+			if all == nil && len(m.overridden) >= maxWriters {
+				clear(m.overridden)
 			}
-			m.fell[k.writer] = append(all[max(0, len(all)+1-mostFell):len(all):len(all)], dot)
-			m.fellAt = m.now
+			m.overridden[k.writer] = append(all[max(0, len(all)+1-maxOverridden):len(all):len(all)], dot)
+			m.overriddenAt = m.now
 		}
 	}
 }
 
-// lower ends writes over which a deletion stands elsewhere that is not here.
-func (m *Machine) lower(fell []Dot) {
-	if len(fell) == 0 || m.fault.countsFallen {
+// failOverridden ends pending writes over which another member holds a tombstone that is not here.
+func (m *Machine) failOverridden(dots []Dot) {
+	if len(dots) == 0 || m.fault.countOverridden {
 		return
 	}
 	for _, p := range m.pending {
-		if e := m.kinds[p.kind].byKey[p.key]; slices.Contains(fell, p.dot) && e != nil && !e.rec.Dead {
-			p.lower = true
+		if e := m.kinds[p.kind].byKey[p.key]; slices.Contains(dots, p.dot) && e != nil && !e.record.Deleted {
+			p.overridden = true
 		}
 	}
-	m.settle(false)
+	m.settlePending(false)
 }
 
-// hides tells whether a record stands for other writes over a number. A tombstone that is forgotten here is taken again then: under it a lower deletion
-// may be hidden that is not known here, and what that deleted.
-func (d *Delta) hides(at uint32, over uint64) bool {
+// coversOtherWrite reports whether the record at a position of Records is the current record of another write above a number. A tombstone that was
+// forgotten here is then merged again, because it may hide a lower deletion that is not known here and whose deleted record still is here.
+func (d *Delta) coversOtherWrite(at uint32, above uint64) bool {
 	for i, o := range d.Index {
-		if n := d.From + uint64(i) + 1; !d.Records[at].Hole && o == at && n > over && d.Records[at].Record.Dot != (Dot{d.Writer, d.Era, n}) {
+		if n := d.From + uint64(i) + 1; !d.Records[at].Omitted && o == at && n > above && d.Records[at].Record.Dot != (Dot{d.Writer, d.WriterEpoch, n}) {
 			return true
 		}
 	}
 	return false
 }
 
-// twins compares what is here under the dots of a delta that were taken before.
-func (m *Machine) twins(k trackKey, d *Delta, have uint64) {
+// checkDuplicateDots compares the records of a delta with the records here that have the same dots, and marks those that differ as conflicting.
+func (m *Machine) checkDuplicateDots(k epochKey, d *Delta, known uint64) {
 	t := m.logs[k]
 	for i, at := range d.Index {
 		n := d.From + uint64(i) + 1
-		if n > have || t == nil {
+		if n > known || t == nil {
 			return
 		}
 		r := &d.Records[at].Record
-		if n <= t.base || r.Dot != (Dot{k.writer, k.era, n}) {
+		if n <= t.base || r.Dot != (Dot{k.writer, k.epoch, n}) {
 			continue
 		}
-		e := t.keys[n-t.base-1]
-		if e == nil || e.gone || e.rec.Dot != r.Dot {
+		e := t.entries[n-t.base-1]
+		if e == nil || e.removed || e.record.Dot != r.Dot {
 			continue
 		}
-		if e.rec.Key != r.Key || e.rec.Kind != r.Kind {
-			m.setAside(e)
-			m.merge(Carried{Record: *r, Aside: true})
-			if o := m.kinds[r.Kind].byKey[r.Key]; o != nil && o.rec.Dot == r.Dot {
-				m.setAside(o)
+		if e.record.Key != r.Key || e.record.Kind != r.Kind {
+			m.markConflicting(e)
+			m.merge(ReplicatedRecord{Record: *r, Conflicting: true})
+			if o := m.kinds[r.Kind].byKey[r.Key]; o != nil && o.record.Dot == r.Dot {
+				m.markConflicting(o)
 			}
 		} else {
 			m.merge(d.Records[at])
@@ -368,306 +376,309 @@
 	}
 }
 
-// own books that somebody has own numbers that may not be here. Guards against an old disk, a lost one, and a twin: no number is given twice.
-func (m *Machine) own(era, number uint64) {
-	mine := m.vec.at(m.s.Name, era)
-	if era >= m.era && (!m.wrote || era > m.era || number > mine) {
-		if m.wrote {
-			m.event(Event{What: "twin", Who: m.s.Name, Dot: Dot{m.s.Name, era, number}})
+// noteOwnNumber records that another member has numbers of this dispatcher. Guards against giving a number twice after a restart with an old or
+// empty disk, or while another process runs under the same name.
+func (m *Machine) noteOwnNumber(epoch, number uint64) {
+	known := m.vec.numberAt(m.settings.Name, epoch)
+	if epoch >= m.epoch && (!m.wroteInEpoch || epoch > m.epoch || number > known) {
+		if m.wroteInEpoch {
+			m.addEvent(Event{Type: "twin", Member: m.settings.Name, Dot: Dot{m.settings.Name, epoch, number}})
 		}
-		m.era, m.wrote, m.eraDirty = era+1, false, true
+		m.epoch, m.wroteInEpoch, m.headerDirty = epoch+1, false, true
 	}
-	if number > mine && len(m.aims) < 4*mostEras {
-		m.aims[era] = max(m.aims[era], number)
-		m.aimsAt = m.now
+	if number > known && len(m.reportedOwn) < 4*maxEpochs {
+		m.reportedOwn[epoch] = max(m.reportedOwn[epoch], number)
+		m.reportedOwnAt = m.now
 	}
 }
 
-// asked takes what another has.
-func (m *Machine) asked(from string, a *Ask, lacks []uint8, grew bool) {
+// handleExchange handles a vector exchange of another member.
+func (m *Machine) handleExchange(from string, a *VectorExchange, incomplete []uint8, grew bool) {
 	switch {
-	case len(a.Digest) > 0 && a.Sum != m.vec.sum:
-		m.show(from, a.Salt, a.Digest)
+	case len(a.Digest) > 0 && a.VectorSum != m.vec.sum:
+		m.sendBuckets(from, a.Salt, a.Digest)
 		return
 	case len(a.Digest) > 0:
-		m.send(from, Message{Ask: &Ask{Sum: m.vec.sum, Live: m.live(), Answer: true}}, 0)
-	case len(a.Shown) == 0 && a.Below:
-		m.begin(from, false)
+		m.send(from, Message{VectorExchange: &VectorExchange{VectorSum: m.vec.sum, ContentSum: m.contentSum(), IsResponse: true}}, 0)
+	case len(a.Buckets) == 0 && a.PullNeeded:
+		m.startPull(from, false)
 		return
 	}
-	theirs, whole := m.resolve(a)
-	if !whole && len(a.Shown) == 0 {
-		return // an answer to a question of long ago
+	theirs, complete := m.resolveVector(a)
+	if !complete && len(a.Buckets) == 0 {
+		return // the response belongs to a request whose vector is no longer kept
 	}
-	m.hear(from, theirs, lacks, !a.Unkept)
-	if len(a.Shown) == 0 {
-		m.compare(from, a, lacks, theirs.sum == m.vec.sum)
+	m.noteVector(from, theirs, incomplete, !a.Unpersisted)
+	if len(a.Buckets) == 0 {
+		m.compareContentSums(from, a, incomplete, theirs.sum == m.vec.sum)
 		return
 	}
 	var msg Message
-	room, used, below, over := fillStream, 0, false, false
-	shown := a.Shown
-	if whole {
-		shown = nil
-	}
-	for _, e := range m.vec.list(shown) {
-		at := theirs.at(e.Writer, e.Era)
-		below = below || e.Floor && !theirs.rooted(e.Writer, e.Era)
-		if at >= e.Number {
+	budget, used, pullNeeded, truncated := streamBudget, 0, false, false
+	buckets := a.Buckets
+	if complete {
+		buckets = nil
+	}
+	for _, e := range m.vec.entries(buckets) {
+		theirNumber := theirs.numberAt(e.Writer, e.WriterEpoch)
+		pullNeeded = pullNeeded || e.EarlierComplete && !theirs.hasEarlierEpochs(e.Writer, e.WriterEpoch)
+		if theirNumber >= e.Number {
 			continue
 		}
-		d, took, low := m.delta(trackKey{e.Writer, e.Era}, at, room-used)
-		if below = below || low; d != nil {
-			d.Ack = d.Writer == m.s.Name && len(m.pending) > 0
+		d, bytes, belowLog := m.buildDelta(epochKey{e.Writer, e.WriterEpoch}, theirNumber, budget-used)
+		if pullNeeded = pullNeeded || belowLog; d != nil {
+			d.AckRequested = d.Writer == m.settings.Name && len(m.pending) > 0
 			msg.Deltas = append(msg.Deltas, *d)
 		}
-		if used += took; used >= room-mostName-40 {
-			over = true
+		if used += bytes; used >= budget-maxNameBytes-40 {
+			truncated = true
 			break
 		}
 	}
-	lower := !m.vec.reaches(theirs)
-	equal := whole && !lower && theirs.reaches(m.vec)
+	behind := !m.vec.dominates(theirs)
+	equal := complete && !behind && theirs.dominates(m.vec)
 	switch {
-	case !a.Answer:
-		msg.Ask = &Ask{Vector: m.vec.list(a.Shown), Shown: a.Shown, Sum: m.vec.sum, Live: m.live(), Answer: true, Below: below}
-		used += vectorBytes(msg.Ask.Vector)
-	case below:
-		msg.Ask = &Ask{Answer: true, Below: true}
-	case over:
-		msg.Ask = m.question() // so that it goes on at once
-	}
-	if len(msg.Deltas) > 0 || msg.Ask != nil {
+	case !a.IsResponse:
+		msg.VectorExchange = &VectorExchange{Vector: m.vec.entries(a.Buckets), Buckets: a.Buckets, VectorSum: m.vec.sum, ContentSum: m.contentSum(), IsResponse: true, PullNeeded: pullNeeded}
+		used += vectorBytes(msg.VectorExchange.Vector)
+	case pullNeeded:
+		msg.VectorExchange = &VectorExchange{IsResponse: true, PullNeeded: true}
+	case truncated:
+		msg.VectorExchange = m.newExchange() // request the rest at once
+	}
+	if len(msg.Deltas) > 0 || msg.VectorExchange != nil {
 		m.send(from, msg, used)
 	}
 	switch {
-	case m.away && !equal:
-		m.begin(from, true)
-	case a.Below && lower:
-		m.begin(from, false)
-	case a.Answer && lower && grew:
-		m.ask(from)
+	case m.beyondHorizon && !equal:
+		m.startPull(from, true)
+	case a.PullNeeded && behind:
+		m.startPull(from, false)
+	case a.IsResponse && behind && grew:
+		m.startExchange(from)
 	default:
-		m.compare(from, a, lacks, equal)
+		m.compareContentSums(from, a, incomplete, equal)
 	}
 }
 
-// show sends entries of the buckets that differ.
-func (m *Machine) show(to string, salt uint64, digest []byte) {
-	shown := m.vec.differs(salt, digest)
-	v := m.vec.list(shown)
-	m.send(to, Message{Ask: &Ask{Vector: v, Shown: shown, Sum: m.vec.sum, Live: m.live()}}, vectorBytes(v)+len(shown))
+// sendBuckets sends the vector entries of the buckets in which a digest differs.
+func (m *Machine) sendBuckets(to string, salt uint64, digest []byte) {
+	buckets := m.vec.differingBuckets(salt, digest)
+	v := m.vec.entries(buckets)
+	m.send(to, Message{VectorExchange: &VectorExchange{Vector: v, Buckets: buckets, VectorSum: m.vec.sum, ContentSum: m.contentSum()}}, vectorBytes(v)+len(buckets))
 }
 
-// resolve gives another's vector: what it shows in place of what is here, or was here when it was asked, if the sums prove that the rest is
-// equal. Otherwise it gives what is shown alone, and not that it is whole.
-func (m *Machine) resolve(a *Ask) (theirs *vector, whole bool) {
-	theirs = load(a.Vector)
-	for _, v := range append([]*vector{m.vec}, m.past...) {
-		if len(a.Shown) == 0 && v.sum == a.Sum {
+// resolveVector reconstructs another member's vector. It replaces the listed buckets in the vector of this member, or in the one that an earlier
+// request was made of, if the sums prove that the rest is equal. Otherwise it returns only the listed entries, and complete is false.
+func (m *Machine) resolveVector(a *VectorExchange) (theirs *vector, complete bool) {
+	theirs = vectorFrom(a.Vector)
+	for _, v := range append([]*vector{m.vec}, m.pastVectors...) {
+		if len(a.Buckets) == 0 && v.sum == a.VectorSum {
 			return v, true
 		}
-		if c := v.with(a.Shown, theirs, a.Sum); len(a.Shown) > 0 && c != nil {
+		if c := v.withBuckets(a.Buckets, theirs, a.VectorSum); len(a.Buckets) > 0 && c != nil {
 			return c, true
 		}
 	}
 	return theirs, false
 }
 
-// compare looks at whether the same stands where the vectors are equal.
-func (m *Machine) compare(from string, a *Ask, lacks []uint8, equal bool) {
+// compareContentSums checks that equal vectors come with equal records, and starts a pull if they do not.
+func (m *Machine) compareContentSums(from string, a *VectorExchange, incomplete []uint8, equal bool) {
 	if !equal {
 		return
 	}
-	m.away = false
-	mine := uint64(0)
-	for _, id := range m.ids {
-		if !slices.Contains(lacks, id) {
-			if m.lacks[id] {
-				return // its sum has what is not here
+	m.beyondHorizon = false
+	ownSum := uint64(0)
+	for _, id := range m.kindIDs {
+		if !slices.Contains(incomplete, id) {
+			if m.incomplete[id] {
+				return // the other member's sum includes records that are missing here
 			}
-			mine += m.kinds[id].tree.live
+			ownSum += m.kinds[id].tree.contentSum
 		}
 	}
-	if a.Live == mine {
-		m.unlike = 0
+	if a.ContentSum == ownSum {
+		m.mismatches = 0
 		return
 	}
-	m.unlike++
-	each := checkEach
-	if m.unlike > 1 {
-		each = checkSooner
+	m.mismatches++
+	interval := mismatchPullInterval
+	if m.mismatches > 1 {
+		interval = repeatedMismatchPullInterval
 	}
-	if m.now-m.walkAt > each*m.s.Interval {
-		m.begin(from, false)
+	if m.now-m.lastPullStart > interval*m.settings.Interval {
+		m.startPull(from, false)
 	}
 }
 
-// hear books a vector, which its sender has on its disk where it is kept.
-func (m *Machine) hear(from string, v *vector, lacks []uint8, kept bool) {
-	m.away = m.away || m.now-m.heardAt > m.s.Horizon
-	m.heard, m.heardAt = true, m.now
-	if w := v.of[m.s.Name]; w != nil {
+// noteVector handles another member's vector. persisted states whether the sender has all of it on its disk.
+func (m *Machine) noteVector(from string, v *vector, incomplete []uint8, persisted bool) {
+	m.beyondHorizon = m.beyondHorizon || m.now-m.lastContact > m.settings.Horizon
+	m.heardVector, m.lastContact = true, m.now
+	if w := v.writers[m.settings.Name]; w != nil {
 		for _, k := range w.marks {
-			m.own(k.era, k.number)
-			if kept {
-				m.acked(from, k.era, k.number, lacks)
+			m.noteOwnNumber(k.epoch, k.number)
+			if persisted {
+				m.noteAck(from, k.epoch, k.number, incomplete)
 			}
 		}
 	}
 	m.behind = 0
-	for name, w := range v.of {
+	for name, w := range v.writers {
 		for _, k := range w.marks {
-			if at := m.vec.at(name, k.era); at < k.number {
+			if at := m.vec.numberAt(name, k.epoch); at < k.number {
 				m.behind += int(min(k.number-at, math.MaxInt32))
 			}
 		}
 	}
-	if m.check == nil {
+	if m.stableCandidate == nil {
 		return
 	}
-	if kept && v.reaches(m.check) {
-		m.checked[from] = true
-		for _, id := range lacks {
-			m.checkLacks[id] = true
+	if persisted && v.dominates(m.stableCandidate) {
+		m.confirmed[from] = true
+		for _, id := range incomplete {
+			m.candidateIncomplete[id] = true
 		}
 	}
-	// Guards against folding an era whose last numbers a counted member has and this one lacks, and over eras that it lacks whole.
-	for name, w := range m.check.of {
-		if o := v.of[name]; o != nil && len(w.marks) > keptEras {
-			if !m.vec.rooted(name, o.floor) {
-				m.more[name] = true
+	// Guards against removing an epoch whose last numbers another member has and this one lacks, and against raising the floor over epochs that are
+	// missing here entirely.
+	for name, w := range m.stableCandidate.writers {
+		if o := v.writers[name]; o != nil && len(w.marks) > keptEpochs {
+			if !m.vec.hasEarlierEpochs(name, o.floor) {
+				m.keepEpochs[name] = true
 			}
-			floor := w.marks[len(w.marks)-keptEras].era
+			floor := w.marks[len(w.marks)-keptEpochs].epoch
 			for _, k := range o.marks {
-				if k.era < floor && k.number > m.check.at(name, k.era) {
-					m.more[name] = true
+				if k.epoch < floor && k.number > m.stableCandidate.numberAt(name, k.epoch) {
+					m.keepEpochs[name] = true
 				}
 			}
 		}
 	}
 }
 
-// acked books that a member has own writes up to a number on its disk.
-func (m *Machine) acked(from string, era, number uint64, lacks []uint8) {
+// noteAck records that a member has persisted this dispatcher's writes of an epoch up to a number.
+func (m *Machine) noteAck(from string, epoch, number uint64, incomplete []uint8) {
 	for _, p := range m.pending {
-		if p.dot.Era == era && p.dot.Number <= number && !slices.Contains(lacks, p.kind) {
-			p.by[from] = true
+		if p.dot.WriterEpoch == epoch && p.dot.Number <= number && !slices.Contains(incomplete, p.kind) {
+			p.ackedBy[from] = true
 		}
 	}
-	m.settle(false)
+	m.settlePending(false)
 }
 
-// got is how sure a write is by now.
-func (m *Machine) got(p *pending) (o Outcome) {
-	zones, all, counted := map[string]bool{m.s.Zone: true}, map[string]bool{m.s.Zone: true}, 1
+// outcomeOf returns how durable a pending write is by now.
+func (m *Machine) outcomeOf(p *pendingWrite) (o Outcome) {
+	zones, allZones, agreed := map[string]bool{m.settings.Zone: true}, map[string]bool{m.settings.Zone: true}, 1
 	for _, f := range m.fleet.Others {
 		if f.Alive {
-			all[f.Zone] = true
+			allZones[f.Zone] = true
 		}
-		if p.by[f.Name] {
-			if zones[f.Zone] = true; f.Counted {
-				counted++
+		if p.ackedBy[f.Name] {
+			if zones[f.Zone] = true; f.InAgreedFleet {
+				agreed++
 			}
 		}
 	}
-	o = Outcome{Dot: p.dot, Got: Here, Copies: 1 + len(p.by), Zones: len(zones), Lower: p.lower}
-	k := max(p.sure.Copies, 1)
-	if o.Copies >= k && (k > 1 || p.sure.Level == Copies) && o.Zones >= min(k, len(all)) {
-		o.Got = Copies
+	o = Outcome{Dot: p.dot, Achieved: LevelLocal, Copies: 1 + len(p.ackedBy), Zones: len(zones), Overridden: p.overridden}
+	k := max(p.concern.Copies, 1)
+	if o.Copies >= k && (k > 1 || p.concern.Level == LevelCopies) && o.Zones >= min(k, len(allZones)) {
+		o.Achieved = LevelCopies
 	}
-	if 2*counted > max(m.fleet.Of, 1) {
-		o.Got = Majority
+	if 2*agreed > max(m.fleet.AgreedSize, 1) {
+		o.Achieved = LevelMajority
 	}
-	switch p.sure.Level {
-	case Here:
+	switch p.concern.Level {
+	case LevelLocal:
 		o.Met = true
-	case Copies:
-		o.Met = o.Copies >= k && o.Zones >= min(k, len(all))
+	case LevelCopies:
+		o.Met = o.Copies >= k && o.Zones >= min(k, len(allZones))
 	default:
-		o.Met = o.Got == Majority
+		o.Met = o.Achieved == LevelMajority
 	}
-	o.Met = o.Met && !p.lower
+	o.Met = o.Met && !p.overridden
 	return o
 }
 
-// settle tells outcomes that are met, or whose time is over.
-func (m *Machine) settle(late bool) {
-	m.pending = slices.DeleteFunc(m.pending, func(p *pending) bool {
-		o := m.got(p)
-		if !o.Met && !o.Lower && (!late || m.now < p.until) {
+// settlePending reports the outcomes of writes whose concern is met or that are overridden. If expire is set, it also reports those whose deadline
+// has passed.
+func (m *Machine) settlePending(expire bool) {
+	m.pending = slices.DeleteFunc(m.pending, func(p *pendingWrite) bool {
+		o := m.outcomeOf(p)
+		if !o.Met && !o.Overridden && (!expire || m.now < p.deadline) {
 			return false
 		}
-		m.outs = append(m.outs, o)
+		m.outcomes = append(m.outcomes, o)
 		return true
 	})
 }
 
-// Tick is to be called a few times an interval.
+// Tick advances the time; now is in seconds. The driver has to call it a few times per interval.
 func (m *Machine) Tick(now float64) {
 	m.now = max(m.now, now)
-	stalled := m.now-m.ticked > stallAfter*m.s.Interval
-	if m.now-max(m.heardAt, m.ticked) > m.s.Horizon || m.now-m.heardAt > m.s.Horizon && len(m.fleet.Others) > 0 {
-		m.away = m.away || m.heard
+	stalled := m.now-m.lastTick > stallThreshold*m.settings.Interval
+	if m.now-max(m.lastContact, m.lastTick) > m.settings.Horizon || m.now-m.lastContact > m.settings.Horizon && len(m.fleet.Others) > 0 {
+		m.beyondHorizon = m.beyondHorizon || m.heardVector
 	}
-	m.ticked = m.now
-	if len(m.fleet.Others) == 0 && m.fleet.Decides {
-		m.heardAt = m.now
+	m.lastTick = m.now
+	if len(m.fleet.Others) == 0 && m.fleet.HasQuorum {
+		m.lastContact = m.now
 	}
-	if m.heardAt-m.touched > touchEach*m.s.Horizon {
-		m.eraDirty = true
+	if m.lastContact-m.savedContact > contactSaveShare*m.settings.Horizon {
+		m.headerDirty = true
 	}
-	if len(m.fell) > 0 && m.now-m.fellAt > m.s.Horizon {
-		clear(m.fell)
+	if len(m.overridden) > 0 && m.now-m.overriddenAt > m.settings.Horizon {
+		clear(m.overridden)
 	}
-	m.settle(true)
-	if len(m.aims) > 0 && m.now-m.aimsAt > m.s.Horizon {
-		clear(m.aims) // nobody has them any more
+	m.settlePending(true)
+	if len(m.reportedOwn) > 0 && m.now-m.reportedOwnAt > m.settings.Horizon {
+		clear(m.reportedOwn) // no member has these numbers any more
 	}
-	m.pump()
-	if m.now < m.due && !stalled {
+	m.advancePull()
+	if m.now < m.nextRound && !stalled {
 		return
 	}
-	m.due = m.now + m.s.Interval*(0.8+0.4*m.chance.Float64())
-	if !m.heard {
+	m.nextRound = m.now + m.settings.Interval*(0.8+0.4*m.rng.Float64())
+	if !m.heardVector {
 		for range fanout - 1 {
-			m.askNext()
+			m.exchangeWithNext()
 		}
 	}
-	m.askNext()
-	m.pushPending()
-	m.forget()
-	m.fetch()
+	m.exchangeWithNext()
+	m.resendPending()
+	m.forgetTombstones()
+	m.pullIncomplete()
 }
 
-// askNext asks the next member of the round, one of another zone now and then.
-func (m *Machine) askNext() {
-	m.round = slices.DeleteFunc(m.round, func(n string) bool { return !m.byName[n].Alive })
-	if len(m.round) == 0 {
+// exchangeWithNext starts an exchange with the next member of the round. Every crossZoneEvery-th exchange goes to a member of another zone.
+func (m *Machine) exchangeWithNext() {
+	m.roundMembers = slices.DeleteFunc(m.roundMembers, func(n string) bool { return !m.members[n].Alive })
+	if len(m.roundMembers) == 0 {
 		for _, o := range m.fleet.Others {
 			if o.Alive {
-				m.round = append(m.round, o.Name)
+				m.roundMembers = append(m.roundMembers, o.Name)
 			}
 		}
-		m.chance.Shuffle(len(m.round), func(i, j int) { m.round[i], m.round[j] = m.round[j], m.round[i] })
+		m.rng.Shuffle(len(m.roundMembers), func(i, j int) { m.roundMembers[i], m.roundMembers[j] = m.roundMembers[j], m.roundMembers[i] })
 	}
-	if len(m.round) == 0 {
+	if len(m.roundMembers) == 0 {
 		return
 	}
-	m.rounds++
-	near := m.rounds%acrossEach != 0
-	at := max(0, slices.IndexFunc(m.round, func(n string) bool { return (m.byName[n].Zone == m.s.Zone) == near }))
-	to := m.round[at]
-	m.round = slices.Delete(m.round, at, at+1)
-	m.ask(to)
+	m.exchanges++
+	near := m.exchanges%crossZoneEvery != 0
+	at := max(0, slices.IndexFunc(m.roundMembers, func(n string) bool { return (m.members[n].Zone == m.settings.Zone) == near }))
+	to := m.roundMembers[at]
+	m.roundMembers = slices.Delete(m.roundMembers, at, at+1)
+	m.startExchange(to)
 }
 
-// some draws up to n live members, of other zones first where the first has one.
-func (m *Machine) some(n int, not func(string) bool) (all []string) {
+// sampleMembers draws up to n live members that exclude does not reject. Most are of the own zone, as long as it has any left.
+func (m *Machine) sampleMembers(n int, exclude func(string) bool) (all []string) {
 	var near, far []string
 	for _, o := range m.fleet.Others {
-		if o.Alive && (not == nil || !not(o.Name)) {
-			if o.Zone == m.s.Zone {
+		if o.Alive && (exclude == nil || !exclude(o.Name)) {
+			if o.Zone == m.settings.Zone {
 				near = append(near, o.Name)
 			} else {
 				far = append(far, o.Name)
@@ -675,9 +686,9 @@
 		}
 	}
 	for _, l := range [][]string{near, far} {
-		m.chance.Shuffle(len(l), func(i, j int) { l[i], l[j] = l[j], l[i] })
+		m.rng.Shuffle(len(l), func(i, j int) { l[i], l[j] = l[j], l[i] })
 	}
-	// One of another zone in so many, so that zones are crossed seldom but surely.
+	// Every fanout-th member is of another zone, so that messages cross zones rarely but reliably.
 	for len(all) < n && len(near)+len(far) > 0 {
 		if len(far) > 0 && (len(all)%fanout == fanout-1 || len(near) == 0) {
 			all, far = append(all, far[0]), far[1:]
@@ -688,176 +699,179 @@
 	return all
 }
 
-// pushPending sends writes whose outcome is open once more, to some who have not acknowledged them.
-func (m *Machine) pushPending() {
+// resendPending sends the oldest pending write, and those after it that fit, again to some members that have not acknowledged it.
+func (m *Machine) resendPending() {
 	if len(m.pending) == 0 {
 		return
 	}
 	p := m.pending[0]
-	for _, to := range m.some(mostFanout, func(n string) bool { return p.by[n] }) {
-		if d, used, _ := m.delta(trackKey{p.dot.Writer, p.dot.Era}, p.dot.Number-1, fill); d != nil {
-			d.Ack = true
+	for _, to := range m.sampleMembers(maxFanout, func(n string) bool { return p.ackedBy[n] }) {
+		if d, used, _ := m.buildDelta(epochKey{p.dot.Writer, p.dot.WriterEpoch}, p.dot.Number-1, messageBudget); d != nil {
+			d.AckRequested = true
 			m.send(to, Message{Deltas: []Delta{*d}}, used)
 		}
 	}
 }
 
-// forget drops tombstones that all of the last agreed fleet have, or that are old, and folds eras that all have.
-func (m *Machine) forget() {
-	all := true
-	counted := 1
+// forgetTombstones removes tombstones that all members of the last agreed fleet have or that are older than the horizon. It also removes old
+// epochs that all of them have.
+func (m *Machine) forgetTombstones() {
+	allConfirmed := true
+	agreed := 1
 	for _, o := range m.fleet.Others {
-		if o.Counted {
-			counted++
-			all = all && m.checked[o.Name]
+		if o.InAgreedFleet {
+			agreed++
+			allConfirmed = allConfirmed && m.confirmed[o.Name]
 		}
 	}
-	if m.check == nil || all && counted >= m.fleet.Of {
-		if m.check != nil {
-			m.stable, m.stableLacks = m.check, m.checkLacks
-			for name, w := range m.stable.of {
-				if o := m.vec.of[name]; o != nil && !m.more[name] && len(o.marks) > keptEras && slices.Equal(w.marks, o.marks[:min(len(o.marks), len(w.marks))]) &&
+	if m.stableCandidate == nil || allConfirmed && agreed >= m.fleet.AgreedSize {
+		if m.stableCandidate != nil {
+			m.stable, m.stableIncomplete = m.stableCandidate, m.candidateIncomplete
+			for name, w := range m.stable.writers {
+				if o := m.vec.writers[name]; o != nil && !m.keepEpochs[name] && len(o.marks) > keptEpochs && slices.Equal(w.marks, o.marks[:min(len(o.marks), len(w.marks))]) &&
 					len(w.marks) == len(o.marks) {
-					m.fold(name, o, len(o.marks)-keptEras)
+					m.removeOldEpochs(name, o, len(o.marks)-keptEpochs)
 				}
 			}
 		}
-		m.check, m.checked, m.more = m.vec.clone(), map[string]bool{}, map[string]bool{}
-		m.checkLacks = m.lacks
+		m.stableCandidate, m.confirmed, m.keepEpochs = m.vec.clone(), map[string]bool{}, map[string]bool{}
+		m.candidateIncomplete = m.incomplete
 	}
-	kept := m.graves[:0]
-	for _, g := range m.graves {
+	remaining := m.tombstones[:0]
+	for _, g := range m.tombstones {
 		switch {
-		case g.e.gone || !g.e.rec.Dead || g.e.rec.Dot != g.dot:
-		case m.stable != nil && m.stable.covers(g.dot) && !m.holdsDead(g.e.rec.Kind) || m.now-g.seen > m.s.Horizon || m.fault.forgetEarly:
-			m.drop(g.e)
+		case g.entry.removed || !g.entry.record.Deleted || g.entry.record.Dot != g.dot:
+		case m.stable != nil && m.stable.covers(g.dot) && !m.keepsTombstones(g.entry.record.Kind) || m.now-g.seen > m.settings.Horizon || m.fault.forgetEarly:
+			m.remove(g.entry)
 		default:
-			kept = append(kept, g)
+			remaining = append(remaining, g)
 		}
 	}
-	clear(m.graves[len(kept):])
-	m.graves = kept
+	clear(m.tombstones[len(remaining):])
+	m.tombstones = remaining
 }
 
-// holdsDead tells whether tombstones of a kind are kept to the horizon: somebody's vector says nothing of it, who may have what was deleted. Where room
-// is short they go all the same, and a later walk settles it.
-func (m *Machine) holdsDead(kind uint8) bool {
+// keepsTombstones reports whether tombstones of a kind are kept until the horizon. This is so if the kind is incomplete at some member, whose vector
+// does not cover it and which may still have the deleted records. If room is short they are forgotten anyway, and a later pull resolves it.
+func (m *Machine) keepsTombstones(kind uint8) bool {
 	s := m.kinds[kind]
-	return m.stableLacks[kind] && 2*len(s.byKey) < s.Records && 2*s.bytes < s.Bytes
+	return m.stableIncomplete[kind] && 2*len(s.byKey) < s.MaxRecords && 2*s.bytes < s.MaxBytes
 }
 
-// Unkept tells whether the disk lags behind: a Save failed, and is still owed. Until all is kept, others' news is taken and passed on, nothing
-// is acknowledged, and no write is taken. What a Ready whose Save failed had to send is not to be sent. Writes that are open end as not met.
-func (m *Machine) Unkept(unkept bool) {
-	if unkept && !m.unkept {
+// SetUnpersisted sets whether the disk lags behind because a Save failed and is still owed. Until it is persisted, the machine still merges and
+// forwards the writes of others, but it acknowledges nothing and rejects writes. Pending writes end with an outcome that is not met. The driver
+// must not send the messages of a Ready whose Save failed.
+func (m *Machine) SetUnpersisted(unpersisted bool) {
+	if unpersisted && !m.unpersisted {
 		for _, p := range m.pending {
-			m.outs = append(m.outs, Outcome{Dot: p.dot})
+			m.outcomes = append(m.outcomes, Outcome{Dot: p.dot})
 		}
-		m.pending, m.out = nil, nil // what waits to be sent tells what is not kept
+		m.pending, m.outbox = nil, nil // the messages to be sent rely on what is not persisted
 	}
-	m.unkept = unkept && !m.fault.ackUnkept
+	m.unpersisted = unpersisted && !m.fault.ackUnpersisted
 }
 
-// Ready takes what is to be done. The driver keeps Save before it sends or tells anything else of it; Steps may go on meanwhile, and what they
-// bring is taken together the next time.
+// Ready returns what has to be done and clears it. The driver has to persist Save before it sends or reports anything else of the same Ready. It may
+// call Step meanwhile; the next Ready returns what those calls add.
 func (m *Machine) Ready() (r Ready) {
-	m.spread()
-	r.Send, r.Outcomes, r.Events = m.out, m.outs, m.events
-	m.out, m.outs, m.events = nil, nil, nil
-	if len(m.dirty) > 0 || len(m.raised) > 0 || len(m.folded) > 0 || m.eraDirty || m.lacksDirty {
-		r.Save = m.save(&r)
+	m.sendFresh()
+	r.Send, r.Outcomes, r.Events = m.outbox, m.outcomes, m.events
+	m.outbox, m.outcomes, m.events = nil, nil, nil
+	if len(m.dirty) > 0 || len(m.changedEpochs) > 0 || len(m.removedEntries) > 0 || m.headerDirty || m.incompleteDirty {
+		r.Save = m.buildSave(&r)
 	}
 	if m.fault.ackEarly {
-		r.Save, m.held = m.held, r.Save
+		r.Save, m.delayedSave = m.delayedSave, r.Save
 	}
 	return r
 }
 
-func (m *Machine) save(r *Ready) *Save {
-	s := &Save{Era: m.era, Folded: m.folded, Lacks: slices.Clone(m.lacked), Away: m.now - m.heardAt}
-	m.folded, m.eraDirty, m.lacksDirty, m.touched = nil, false, false, m.heardAt
-	if m.fault.forgets {
-		s.Lacks = nil
+// buildSave returns what has to be persisted, and adds the changed records to r.
+func (m *Machine) buildSave(r *Ready) *Save {
+	s := &Save{WriterEpoch: m.epoch, RemovedEntries: m.removedEntries, IncompleteKinds: slices.Clone(m.incompleteIDs), SinceLastContact: m.now - m.lastContact}
+	m.removedEntries, m.headerDirty, m.incompleteDirty, m.savedContact = nil, false, false, m.lastContact
+	if m.fault.loseIncomplete {
+		s.IncompleteKinds = nil
 	}
-	if m.fault.savesTouch {
-		s.Away = 0
+	if m.fault.saveZeroContact {
+		s.SinceLastContact = 0
 	}
 	for _, e := range m.dirty {
 		e.dirty = false
-		k := m.kinds[e.rec.Kind]
+		k := m.kinds[e.record.Kind]
 		s.Sync = s.Sync || k.Sync
-		if e.gone {
-			if k.byKey[e.rec.Key] == nil {
-				s.Drops = append(s.Drops, Name{e.rec.Kind, e.rec.Key})
-				if !e.rec.Dead {
-					c := e.rec
-					c.Value, c.Dead = nil, true
+		if e.removed {
+			if k.byKey[e.record.Key] == nil {
+				s.Removed = append(s.Removed, RecordKey{e.record.Kind, e.record.Key})
+				if !e.record.Deleted {
+					c := e.record
+					c.Value, c.Deleted = nil, true
 					r.Changed = append(r.Changed, c)
 				}
 			}
 			continue
 		}
-		s.Records = append(s.Records, Carried{Record: e.rec, Aside: e.aside})
-		c := e.rec
-		if e.aside {
-			c.Value, c.Dead = nil, true
+		s.Records = append(s.Records, ReplicatedRecord{Record: e.record, Conflicting: e.conflicting})
+		c := e.record
+		if e.conflicting {
+			c.Value, c.Deleted = nil, true
 		}
 		r.Changed = append(r.Changed, c)
 	}
 	m.dirty = nil
-	seen := map[trackKey]bool{}
-	for _, k := range m.raised {
-		w := m.vec.of[k.writer]
-		if n := m.vec.at(k.writer, k.era); !seen[k] && w != nil && n > 0 && n < math.MaxUint64 {
+	seen := map[epochKey]bool{}
+	for _, k := range m.changedEpochs {
+		w := m.vec.writers[k.writer]
+		if n := m.vec.numberAt(k.writer, k.epoch); !seen[k] && w != nil && n > 0 && n < math.MaxUint64 {
 			seen[k] = true
-			s.Vector = append(s.Vector, Entry{k.writer, k.era, n, w.grounded() && w.floor == k.era})
+			s.Vector = append(s.Vector, VectorEntry{k.writer, k.epoch, n, w.startsAtFloor() && w.floor == k.epoch})
 		}
 	}
-	m.raised = nil
+	m.changedEpochs = nil
 	return s
 }
 
-// spread sends what is new to a few, and tells writers what is here.
-func (m *Machine) spread() {
-	for _, w := range m.ackTo {
-		if _, ok := m.byName[w]; ok {
-			var acks []Entry
-			for era := range m.acks[w] {
-				if n := m.vec.at(w, era); n > 0 && n < math.MaxUint64 {
-					acks = append(acks, Entry{Writer: w, Era: era, Number: n})
+// sendFresh sends the acks that are due, new conflicts and new writes. Conflicts and writes go to a sample of the members.
+func (m *Machine) sendFresh() {
+	for _, w := range m.acksDueOrder {
+		if _, ok := m.members[w]; ok {
+			var acks []VectorEntry
+			for epoch := range m.acksDue[w] {
+				if n := m.vec.numberAt(w, epoch); n > 0 && n < math.MaxUint64 {
+					acks = append(acks, VectorEntry{Writer: w, WriterEpoch: epoch, Number: n})
 				}
 			}
-			slices.SortFunc(acks, func(a, b Entry) int { return int(a.Era) - int(b.Era) })
-			if len(acks) > 0 && !m.unkept {
+			slices.SortFunc(acks, func(a, b VectorEntry) int { return int(a.WriterEpoch) - int(b.WriterEpoch) })
+			if len(acks) > 0 && !m.unpersisted {
 				m.send(w, Message{Acks: acks}, 0)
 			}
 		}
 	}
-	m.ackTo = nil
-	clear(m.acks)
-	if len(m.tellAside) > 0 {
-		var all []Carried
+	m.acksDueOrder = nil
+	clear(m.acksDue)
+	if len(m.newConflicts) > 0 {
+		var conflicts []ReplicatedRecord
 		used := 0
-		for _, e := range m.tellAside {
-			if used += weigh(&e.rec); used < fill && !e.gone && e.aside {
-				all = append(all, Carried{Record: e.rec, Aside: true})
+		for _, e := range m.newConflicts {
+			if used += messageSize(&e.record); used < messageBudget && !e.removed && e.conflicting {
+				conflicts = append(conflicts, ReplicatedRecord{Record: e.record, Conflicting: true})
 			}
 		}
-		m.tellAside = nil
-		for _, to := range m.some(fanout, nil) {
-			m.send(to, Message{Aside: all}, min(used, fill))
+		m.newConflicts = nil
+		for _, to := range m.sampleMembers(fanout, nil) {
+			m.send(to, Message{Conflicting: conflicts}, min(used, messageBudget))
 		}
 	}
 	if len(m.fresh) == 0 {
 		return
 	}
-	wide := fanout
+	targetCount := fanout
 	for _, p := range m.pending {
-		if p.sure.Level == Copies {
-			wide = max(wide, min(p.sure.Copies, mostFanout))
+		if p.concern.Level == LevelCopies {
+			targetCount = max(targetCount, min(p.concern.Copies, maxFanout))
 		}
 	}
-	targets := m.some(wide, nil)
+	targets := m.sampleMembers(targetCount, nil)
 	var msg Message
 	used := 0
 	flush := func() {
@@ -870,18 +884,18 @@
 	}
 	for i := 0; i < len(m.fresh); {
 		f := &m.fresh[i]
-		d, took, _ := m.delta(f.trackKey, f.from, fill-used)
+		d, bytes, _ := m.buildDelta(f.epochKey, f.from, messageBudget-used)
 		if d == nil {
 			i++
 			continue
 		}
-		if used > 0 && used+took > fill {
+		if used > 0 && used+bytes > messageBudget {
 			flush()
 			continue
 		}
-		d.Ack = f.ack
-		msg.Deltas, used = append(msg.Deltas, *d), used+took
-		if f.from += uint64(len(d.Index)); f.from >= m.vec.at(f.writer, f.era) {
+		d.AckRequested = f.ackRequested
+		msg.Deltas, used = append(msg.Deltas, *d), used+bytes
+		if f.from += uint64(len(d.Index)); f.from >= m.vec.numberAt(f.writer, f.epoch) {
 			i++
 		} else {
 			flush()
--- a/core/cluster/variant/facts.go
+++ b/core/cluster/variant/facts.go
@@ -38,7 +38,7 @@
 
 // Kind is what replica is told of facts. Acknowledged is not synced: evidence comes anew with the next answers.
 func Kind() replication.Kind {
-	return replication.Kind{ID: ID, Name: "variants", Records: records, Bytes: size, Longest: longKey + factHead + factBeat + 2*maxWitness, Law: FactLaw, Check: CheckFact}
+	return replication.Kind{ID: ID, Name: "variants", MaxRecords: records, MaxBytes: size, MaxRecordBytes: longKey + factHead + factBeat + 2*maxWitness, MergeOrder: FactLaw, Check: CheckFact}
 }
 
 // CheckFact tells what is wrong with a record from outside.
--- a/core/cluster/variant/golden_test.go
+++ b/core/cluster/variant/golden_test.go
@@ -43,6 +43,6 @@
 		tr.Rejected(err)
 	}
 	k := variant.Kind()
-	tr.Values("kind", k.ID, k.Name, k.Records, k.Bytes, k.Longest, k.Sync)
+	tr.Values("kind", k.ID, k.Name, k.MaxRecords, k.MaxBytes, k.MaxRecordBytes, k.Sync)
 	tr.Check(t, "facts.golden")
 }
--- a/emulator/channels.go
+++ b/emulator/channels.go
@@ -146,7 +146,7 @@
 	for i := range s.Members {
 		m := &channelMember{
 			index: i, name: fmt.Sprintf("n%04d", i), zone: fmt.Sprint("z", i%s.Zones),
-			disk: &memoryDisk{vector: map[[2]any]replication.Entry{}, records: map[replication.Name]replication.Carried{}},
+			disk: &memoryDisk{vector: map[[2]any]replication.VectorEntry{}, records: map[replication.RecordKey]replication.ReplicatedRecord{}},
 		}
 		w.all, w.byName[m.name] = append(w.all, m), m
 	}
@@ -200,7 +200,7 @@
 func (w *channelsWorld) start(m *channelMember) {
 	m.life++
 	m.up, m.ids, m.readers = true, map[replication.Dot]uint64{}, map[int]*channelReader{}
-	var saved *replication.Saved
+	var saved *replication.SavedState
 	if m.disk.era > 0 {
 		saved = m.disk.saved(w.now)
 	}
@@ -229,14 +229,14 @@
 }
 
 func (w *channelsWorld) tell(m *channelMember) {
-	f := replication.Fleet{Of: len(w.all), Decides: w.majority(m)}
-	f.Narrows = f.Decides
+	f := replication.Fleet{AgreedSize: len(w.all), HasQuorum: w.majority(m)}
+	f.AcceptsRestrictions = f.HasQuorum
 	for _, o := range w.all {
 		if o != m {
-			f.Others = append(f.Others, replication.Member{Name: o.name, Zone: o.zone, Alive: o.up && o.side == m.side, Counted: true})
+			f.Others = append(f.Others, replication.Member{Name: o.name, Zone: o.zone, Alive: o.up && o.side == m.side, InAgreedFleet: true})
 		}
 	}
-	m.replica.Fleet(f, w.now)
+	m.replica.SetFleet(f, w.now)
 	m.channels.Fleet(f)
 	w.step(m)
 }
@@ -299,7 +299,7 @@
 		c := m.channels.Ready()
 		news = news || len(c.News) > 0
 		for _, p := range c.Puts {
-			dot, err := m.replica.Write(w.now, p.Record.Kind, p.Record.Key, p.Record.Value, p.Record.Dead, p.Sure)
+			dot, err := m.replica.Write(w.now, p.Record.Kind, p.Record.Key, p.Record.Value, p.Record.Deleted, p.Sure)
 			if err != nil && p.ID > 0 {
 				m.channels.Written(w.now, p.ID, replication.Outcome{}, err)
 			} else if p.ID > 0 {
--- a/emulator/memory.go
+++ b/emulator/memory.go
@@ -34,7 +34,7 @@
 	Writes   float64
 	Dead     float64 // share of the writes that delete
 	Fresh    float64 // share of the writes to keys that were never written
-	Sure     replication.Sure
+	Sure     replication.WriteConcern
 	Loss     float64 // of datagrams; streams come, once both ways are open
 	Delay    float64 // in the mean
 	Knows    float64
@@ -51,7 +51,7 @@
 // MemoryDefault is a calm fleet.
 func MemoryDefault() MemoryScenario {
 	return MemoryScenario{
-		Seed: 1, Members: 30, Zones: 3, Records: 1000, Value: 100, Writes: 10, Fresh: 0.1, Sure: replication.Sure{Level: replication.Copies, Copies: 2, Within: 5},
+		Seed: 1, Members: 30, Zones: 3, Records: 1000, Value: 100, Writes: 10, Fresh: 0.1, Sure: replication.WriteConcern{Level: replication.LevelCopies, Copies: 2, Timeout: 5},
 		Delay: 0.002, Knows: 5, Warm: 10, Span: 60, Settle: 120, TickEach: 0.1, Checks: true,
 	}
 }
@@ -108,8 +108,8 @@
 // memoryDisk is what saves have left, one upon the other.
 type memoryDisk struct {
 	era     uint64
-	vector  map[[2]any]replication.Entry
-	records map[replication.Name]replication.Carried
+	vector  map[[2]any]replication.VectorEntry
+	records map[replication.RecordKey]replication.ReplicatedRecord
 	lacks   []uint8
 	last    float64 // when the fleet was heard
 }
@@ -119,33 +119,35 @@
 }
 
 func (d *memoryDisk) save(now float64, s *replication.Save) {
-	d.last, d.era, d.lacks = now-s.Away, max(d.era, s.Era), s.Lacks
+	d.last, d.era, d.lacks = now-s.SinceLastContact, max(d.era, s.WriterEpoch), s.IncompleteKinds
 	for _, c := range s.Records {
-		d.records[replication.Name{Kind: c.Record.Kind, Key: c.Record.Key}] = c
+		d.records[replication.RecordKey{Kind: c.Record.Kind, Key: c.Record.Key}] = c
 	}
-	for _, n := range s.Drops {
+	for _, n := range s.Removed {
 		delete(d.records, n)
 	}
 	for _, e := range s.Vector {
-		d.vector[[2]any{e.Writer, e.Era}] = e
+		d.vector[[2]any{e.Writer, e.WriterEpoch}] = e
 	}
-	for _, e := range s.Folded {
-		delete(d.vector, [2]any{e.Writer, e.Era})
+	for _, e := range s.RemovedEntries {
+		delete(d.vector, [2]any{e.Writer, e.WriterEpoch})
 	}
 }
 
-func (d *memoryDisk) saved(now float64) *replication.Saved {
-	s := &replication.Saved{Era: d.era, Lacks: d.lacks, Away: now - d.last}
+func (d *memoryDisk) saved(now float64) *replication.SavedState {
+	s := &replication.SavedState{WriterEpoch: d.era, IncompleteKinds: d.lacks, SinceLastContact: now - d.last}
 	for _, e := range d.vector {
 		s.Vector = append(s.Vector, e)
 	}
-	slices.SortFunc(s.Vector, func(a, b replication.Entry) int {
-		return replication.Dot{Writer: a.Writer, Era: a.Era}.Compare(replication.Dot{Writer: b.Writer, Era: b.Era})
+	slices.SortFunc(s.Vector, func(a, b replication.VectorEntry) int {
+		return replication.Dot{Writer: a.Writer, WriterEpoch: a.WriterEpoch}.Compare(replication.Dot{Writer: b.Writer, WriterEpoch: b.WriterEpoch})
 	})
 	for _, c := range d.records {
 		s.Records = append(s.Records, c)
 	}
-	slices.SortFunc(s.Records, func(a, b replication.Carried) int { return bytes.Compare([]byte(a.Record.Key), []byte(b.Record.Key)) })
+	slices.SortFunc(s.Records, func(a, b replication.ReplicatedRecord) int {
+		return bytes.Compare([]byte(a.Record.Key), []byte(b.Record.Key))
+	})
 	return s
 }
 
@@ -158,7 +160,7 @@
 	byName  map[string]*memoryMember
 	out     *MemoryResult
 	kind    replication.Kind
-	initial *replication.Saved
+	initial *replication.SavedState
 	dots    map[replication.Dot]*written
 	best    map[int]replication.Record // by key's number: the highest of what was acknowledged, by a law written anew here
 	acked   map[replication.Dot]replication.Record
@@ -191,7 +193,7 @@
 		best: map[int]replication.Record{}, acked: map[replication.Dot]replication.Record{}, order: map[replication.Dot]int{}, deleted: map[int]replication.Record{}, tally: map[uint64]int{}, keys: s.Records,
 		out: &MemoryResult{Members: s.Members, Agree: -1, Refused: map[string]int{}, Events: map[string]int{}},
 	}
-	w.kind = replication.Kind{ID: memoryKind, Name: "played", Records: 4*s.Records + 100_000, Bytes: 1 << 30, Longest: s.Value + 100, Sync: true, Law: memoryLaw}
+	w.kind = replication.Kind{ID: memoryKind, Name: "played", MaxRecords: 4*s.Records + 100_000, MaxBytes: 1 << 30, MaxRecordBytes: s.Value + 100, Sync: true, MergeOrder: memoryLaw}
 	w.begin()
 	hits := make([][]int, len(s.Troubles))
 	for i, t := range s.Troubles { // who ends is known from the start: only those need a disk
@@ -256,19 +258,19 @@
 
 // begin makes the members, and what all of them hold to begin with.
 func (w *memoryWorld) begin() {
-	w.initial = &replication.Saved{Era: 1}
+	w.initial = &replication.SavedState{WriterEpoch: 1}
 	numbers := make([]uint64, w.Members)
 	names := func(i int) string { return fmt.Sprintf("n%04d", i) }
 	for i := range w.Records {
 		by := i % w.Members
 		numbers[by]++
-		r := replication.Record{Kind: memoryKind, Key: memoryKey(i), Value: w.value(), Dot: replication.Dot{Writer: names(by), Era: 1, Number: numbers[by]}}
-		w.initial.Records = append(w.initial.Records, replication.Carried{Record: r})
+		r := replication.Record{Kind: memoryKind, Key: memoryKey(i), Value: w.value(), Dot: replication.Dot{Writer: names(by), WriterEpoch: 1, Number: numbers[by]}}
+		w.initial.Records = append(w.initial.Records, replication.ReplicatedRecord{Record: r})
 		w.best[i] = r
 	}
 	for i, n := range numbers {
 		if n > 0 {
-			w.initial.Vector = append(w.initial.Vector, replication.Entry{Writer: names(i), Era: 1, Number: n})
+			w.initial.Vector = append(w.initial.Vector, replication.VectorEntry{Writer: names(i), WriterEpoch: 1, Number: n})
 		}
 	}
 	for i := range w.Members {
@@ -294,12 +296,12 @@
 	if m.disk != nil {
 		return
 	}
-	m.disk = &memoryDisk{era: 1, vector: map[[2]any]replication.Entry{}, records: map[replication.Name]replication.Carried{}}
-	m.disk.save(0, &replication.Save{Era: 1, Records: w.initial.Records, Vector: w.initial.Vector})
+	m.disk = &memoryDisk{era: 1, vector: map[[2]any]replication.VectorEntry{}, records: map[replication.RecordKey]replication.ReplicatedRecord{}}
+	m.disk.save(0, &replication.Save{WriterEpoch: 1, Records: w.initial.Records, Vector: w.initial.Vector})
 	m.older = m.disk.clone()
 }
 
-func (w *memoryWorld) savedOf(m *memoryMember) *replication.Saved {
+func (w *memoryWorld) savedOf(m *memoryMember) *replication.SavedState {
 	if m.disk == nil {
 		return w.initial
 	}
@@ -308,10 +310,10 @@
 
 // hashOf is what the checker knows a record by; what is deleted is as good as nothing.
 func hashOf(r *replication.Record) uint64 {
-	if r.Dead {
+	if r.Deleted {
 		return 0
 	}
-	return rendezvous.Mix(xxhash.Sum64(r.Value) ^ rendezvous.Mix(xxhash.Sum64String(r.Dot.Writer)^r.Dot.Era<<32^r.Dot.Number))
+	return rendezvous.Mix(xxhash.Sum64(r.Value) ^ rendezvous.Mix(xxhash.Sum64String(r.Dot.Writer)^r.Dot.WriterEpoch<<32^r.Dot.Number))
 }
 
 // hold keeps what stands for a key at a member, as the checker sees it: by what was told, no call to the machine.
@@ -329,7 +331,7 @@
 	m.holds[key] = hash
 }
 
-func (w *memoryWorld) start(m *memoryMember, saved *replication.Saved) {
+func (w *memoryWorld) start(m *memoryMember, saved *replication.SavedState) {
 	m.life++
 	m.gone = false
 	machine, err := replication.New(replication.Settings{Name: m.name, Zone: m.zone, Kinds: []replication.Kind{w.kind}, Seed: w.Seed + uint64(m.index)<<20 + uint64(m.life)<<40}, saved, w.now)
@@ -354,18 +356,18 @@
 func (w *memoryWorld) tell(m *memoryMember) {
 	there := func(o *memoryMember) bool { return !o.gone && o.side == m.side && !o.deaf && !o.mute }
 	n := 0
-	f := replication.Fleet{Of: len(w.all)}
+	f := replication.Fleet{AgreedSize: len(w.all)}
 	for _, o := range w.all {
 		if there(o) {
 			n++
 		}
 		if o != m {
-			f.Others = append(f.Others, replication.Member{Name: o.name, Zone: o.zone, Alive: there(o) && there(m), Counted: true})
+			f.Others = append(f.Others, replication.Member{Name: o.name, Zone: o.zone, Alive: there(o) && there(m), InAgreedFleet: true})
 		}
 	}
-	f.Decides = 2*n > len(w.all)
-	f.Narrows = f.Decides
-	w.step(m, func(x *replication.Machine) { x.Fleet(f, w.now) })
+	f.HasQuorum = 2*n > len(w.all)
+	f.AcceptsRestrictions = f.HasQuorum
+	w.step(m, func(x *replication.Machine) { x.SetFleet(f, w.now) })
 }
 
 func (w *memoryWorld) tick(m *memoryMember) {
@@ -410,7 +412,7 @@
 		}
 	}
 	for _, e := range r.Events {
-		w.out.Events[e.What]++
+		w.out.Events[e.Type]++
 	}
 }
 
@@ -438,12 +440,12 @@
 	switch {
 	case x != y:
 		return x > y
-	case a.Dead != b.Dead:
-		return a.Dead
+	case a.Deleted != b.Deleted:
+		return a.Deleted
 	case string(a.Value) != string(b.Value):
 		return string(a.Value) > string(b.Value)
-	case a.Dot.Era != b.Dot.Era:
-		return a.Dot.Era > b.Dot.Era
+	case a.Dot.WriterEpoch != b.Dot.WriterEpoch:
+		return a.Dot.WriterEpoch > b.Dot.WriterEpoch
 	case a.Dot.Number != b.Dot.Number:
 		return a.Dot.Number > b.Dot.Number
 	}
@@ -521,9 +523,9 @@
 	if b, ok := w.best[key]; ok && w.chance.Float64() < 0.9 { // most are news
 		binary.BigEndian.PutUint64(v, binary.BigEndian.Uint64(b.Value)+1)
 	}
-	r := replication.Record{Kind: memoryKind, Key: memoryKey(key), Value: v, Dead: w.chance.Float64() < w.Dead}
+	r := replication.Record{Kind: memoryKind, Key: memoryKey(key), Value: v, Deleted: w.chance.Float64() < w.Dead}
 	w.step(m, func(x *replication.Machine) {
-		dot, err := x.Write(w.now, memoryKind, r.Key, r.Value, r.Dead, w.Sure)
+		dot, err := x.Write(w.now, memoryKind, r.Key, r.Value, r.Deleted, w.Sure)
 		if err != nil {
 			w.out.Refused[err.Error()]++
 			return
@@ -532,7 +534,7 @@
 		w.acked[dot] = r
 		w.out.Written++
 		w.order[dot] = len(w.acked)
-		if d, ok := w.deleted[key]; r.Dead && (!ok || higher(&r, &d)) {
+		if d, ok := w.deleted[key]; r.Deleted && (!ok || higher(&r, &d)) {
 			w.deleted[key] = r
 		}
 		if w.now >= w.Warm {
@@ -566,7 +568,7 @@
 			w.move(m.fold, m.fold) // counted on: all are to agree once it is back
 		}
 		end = func(m *memoryMember) {
-			var saved *replication.Saved
+			var saved *replication.SavedState
 			switch t.Kind {
 			case Die:
 				saved = m.disk.saved(w.now)
@@ -574,7 +576,7 @@
 				m.disk = m.older.clone()
 				saved = m.disk.saved(w.now)
 			default:
-				m.disk = &memoryDisk{vector: map[[2]any]replication.Entry{}, records: map[replication.Name]replication.Carried{}, last: w.now}
+				m.disk = &memoryDisk{vector: map[[2]any]replication.VectorEntry{}, records: map[replication.RecordKey]replication.ReplicatedRecord{}, last: w.now}
 			}
 			was := m.fold
 			for k := range m.holds {
@@ -630,16 +632,16 @@
 			continue
 		}
 		s := m.machine.Status()
-		r.Wholes, r.Walks, r.Pulls = r.Wholes+s.Wholes, r.Walks+s.Walks, r.Pulls+s.Pulls
+		r.Wholes, r.Walks, r.Pulls = r.Wholes+s.Snapshots, r.Walks+s.DigestWalks, r.Pulls+s.Pulls
 		for _, k := range s.Kinds {
-			r.Aside += k.Aside
+			r.Aside += k.Conflicting
 		}
 		if !w.Checks {
 			continue
 		}
 		held := map[string]uint64{}
 		m.machine.Each(memoryKind, "", func(rec replication.Record) bool {
-			if !rec.Dead {
+			if !rec.Deleted {
 				held[rec.Key] = hashOf(&rec)
 			}
 			return true
@@ -665,8 +667,8 @@
 	}
 	for key, b := range w.best {
 		have, ok := w.all[0].machine.Get(memoryKind, memoryKey(key))
-		if b.Dead { // it may be forgotten by all, and something lower be written since; what was there before may not come back
-			if ok && !have.Dead && higher(&b, &have) && w.order[have.Dot] < w.order[b.Dot] {
+		if b.Deleted { // it may be forgotten by all, and something lower be written since; what was there before may not come back
+			if ok && !have.Deleted && higher(&b, &have) && w.order[have.Dot] < w.order[b.Dot] {
 				r.Lost++
 				w.fault("%s is back: %v, deleted by %v", b.Key, have.Dot, b.Dot)
 			}
--- a/emulator/memory_test.go
+++ b/emulator/memory_test.go
@@ -99,7 +99,7 @@
 	assert.NotEqual(t, one, m.fold, "the same at another key is something else")
 	m.hold(1, 0)
 	assert.Equal(t, one, m.fold)
-	low, high := replication.Record{Value: []byte("00000001a")}, replication.Record{Value: []byte("00000001a"), Dead: true}
+	low, high := replication.Record{Value: []byte("00000001a")}, replication.Record{Value: []byte("00000001a"), Deleted: true}
 	assert.True(t, higher(&high, &low))
 	assert.False(t, higher(&low, &high))
 }
--- a/internal/cluster/ask.go
+++ b/internal/cluster/ask.go
@@ -61,20 +61,20 @@
 	What  string `cbor:"1,keyasint"`
 	After uint64 `cbor:"2,keyasint,omitempty"`
 
-	Number   uint64               `cbor:"3,keyasint,omitempty"`
-	Hops     uint8                `cbor:"4,keyasint,omitempty"`
-	Turn     *lease.Turn          `cbor:"5,keyasint,omitempty"`
-	Commands []lease.Command      `cbor:"6,keyasint,omitempty"`
-	Seat     lease.Change         `cbor:"7,keyasint,omitempty"`
-	Ledger   *quota.Command       `cbor:"8,keyasint,omitempty"`
-	Whole    bool                 `cbor:"9,keyasint,omitempty"` // the ledger is to be told after it
-	Duty     string               `cbor:"10,keyasint,omitempty"`
-	Records  []replication.Record `cbor:"11,keyasint,omitempty"` // to be written; or whose keys are to be read
-	Channels *channel.Command     `cbor:"13,keyasint,omitempty"`
-	Sure     replication.Sure     `cbor:"12,keyasint,omitempty"`
-	Follow   *channel.Ask         `cbor:"14,keyasint,omitempty"`
-	Entries  []channel.Entry      `cbor:"15,keyasint,omitempty"`
-	Declare  *channel.Declaration `cbor:"16,keyasint,omitempty"`
+	Number   uint64                   `cbor:"3,keyasint,omitempty"`
+	Hops     uint8                    `cbor:"4,keyasint,omitempty"`
+	Turn     *lease.Turn              `cbor:"5,keyasint,omitempty"`
+	Commands []lease.Command          `cbor:"6,keyasint,omitempty"`
+	Seat     lease.Change             `cbor:"7,keyasint,omitempty"`
+	Ledger   *quota.Command           `cbor:"8,keyasint,omitempty"`
+	Whole    bool                     `cbor:"9,keyasint,omitempty"` // the ledger is to be told after it
+	Duty     string                   `cbor:"10,keyasint,omitempty"`
+	Records  []replication.Record     `cbor:"11,keyasint,omitempty"` // to be written; or whose keys are to be read
+	Channels *channel.Command         `cbor:"13,keyasint,omitempty"`
+	Sure     replication.WriteConcern `cbor:"12,keyasint,omitempty"`
+	Follow   *channel.Ask             `cbor:"14,keyasint,omitempty"`
+	Entries  []channel.Entry          `cbor:"15,keyasint,omitempty"`
+	Declare  *channel.Declaration     `cbor:"16,keyasint,omitempty"`
 }
 
 // Told is what a member answers.
@@ -292,7 +292,7 @@
 }
 
 // AskMemory has records written as sure as is wanted, or read.
-func AskMemory(ctx context.Context, at string, k *Keys, what string, records []replication.Record, sure replication.Sure) (t Told, err error) {
+func AskMemory(ctx context.Context, at string, k *Keys, what string, records []replication.Record, sure replication.WriteConcern) (t Told, err error) {
 	return askAt(ctx, at, k, ask{What: what, Records: records, Sure: sure})
 }
 
--- a/internal/cluster/facts.go
+++ b/internal/cluster/facts.go
@@ -90,7 +90,7 @@
 		return
 	}
 	for _, r := range all {
-		if r.Dead || r.Dot.Writer == s.memory.fleet.Name {
+		if r.Deleted || r.Dot.Writer == s.memory.fleet.Name {
 			continue
 		}
 		if f, err := variant.DecodeFact(r.Value); err == nil {
@@ -119,7 +119,7 @@
 	writes := false
 	if m.machine != nil {
 		status := m.machine.Status()
-		ready, writes = ready && !status.CatchingUp, status.Writes
+		ready, writes = ready && !status.CatchingUp, status.Writable
 	}
 	m.mu.Unlock()
 	if !ready {
@@ -133,7 +133,7 @@
 	}
 	for _, f := range s.of.Facts(mostShared) {
 		// One that finds no room, or stands already, is not told: the others keep their own keys the longer.
-		_, _ = m.write(variant.ID, variant.FactKey(&f), variant.EncodeFact(&f), false, replication.Sure{})
+		_, _ = m.write(variant.ID, variant.FactKey(&f), variant.EncodeFact(&f), false, replication.WriteConcern{})
 	}
 	if time.Since(s.swept) >= sweepEach {
 		s.swept = time.Now()
@@ -145,7 +145,7 @@
 	if s.all {
 		s.all, s.unread = false, nil
 		s.memory.each(variant.ID, func(r replication.Record) bool {
-			if f, err := variant.DecodeFact(r.Value); err == nil && !r.Dead {
+			if f, err := variant.DecodeFact(r.Value); err == nil && !r.Deleted {
 				s.unread = append(s.unread, f)
 			}
 			return true
@@ -162,12 +162,12 @@
 	var old []replication.Record
 	s.memory.each(variant.ID, func(r replication.Record) bool {
 		f, err := variant.DecodeFact(r.Value)
-		if err == nil && !r.Dead && !s.of.Keep(&f, r.Dot.Writer == s.memory.fleet.Name) {
+		if err == nil && !r.Deleted && !s.of.Keep(&f, r.Dot.Writer == s.memory.fleet.Name) {
 			old = append(old, r)
 		}
 		return len(old) < mostSwept
 	})
 	for _, r := range old {
-		_, _ = s.memory.write(variant.ID, r.Key, r.Value, true, replication.Sure{}) // it comes again at the next look
+		_, _ = s.memory.write(variant.ID, r.Key, r.Value, true, replication.WriteConcern{}) // it comes again at the next look
 	}
 }
--- a/internal/cluster/faults.go
+++ b/internal/cluster/faults.go
@@ -21,7 +21,7 @@
 )
 
 // faultKinds has a kind for tests whose acknowledged records are synced: the higher bytes stand.
-var faultKinds = []replication.Kind{{ID: 250, Name: "test", Records: 50_000, Bytes: 32 << 20, Longest: 4096, Sync: true, Law: bytes.Compare}}
+var faultKinds = []replication.Kind{{ID: 250, Name: "test", MaxRecords: 50_000, MaxBytes: 32 << 20, MaxRecordBytes: 4096, Sync: true, MergeOrder: bytes.Compare}}
 
 func init() {
 	if os.Getenv("ELDERWALL_FAULT_OLDER") != "" { // a version that doesn't know it
--- a/internal/cluster/follow.go
+++ b/internal/cluster/follow.go
@@ -122,7 +122,7 @@
 func (w *following) look(to replication.Fleet) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.decides = to.Decides; !to.Decides {
+	if w.decides = to.HasQuorum; !to.HasQuorum {
 		clear(w.holders)
 	}
 	w.machine.Fleet(to)
@@ -214,7 +214,7 @@
 // put writes records; how those with an ID end is told to the machine.
 func (w *following) put(all []channel.Put) {
 	for _, p := range all {
-		dot, err := w.fleet.memory.writeTo(w.outs, p.Record.Kind, p.Record.Key, p.Record.Value, p.Record.Dead, p.Sure)
+		dot, err := w.fleet.memory.writeTo(w.outs, p.Record.Kind, p.Record.Key, p.Record.Value, p.Record.Deleted, p.Sure)
 		switch {
 		case p.ID == 0:
 		case err != nil:
--- a/internal/cluster/follow_test.go
+++ b/internal/cluster/follow_test.go
@@ -581,7 +581,7 @@
 	k, _ := ParseKeys(c.keys[-1])
 	c.Until(soon, "what is left in the memory is the new", func() error {
 		for _, p := range c.Processes {
-			t, err := AskMemory(c.live, p.Fleet, k, AskRead, []replication.Record{{Kind: channel.EntryKind}}, replication.Sure{})
+			t, err := AskMemory(c.live, p.Fleet, k, AskRead, []replication.Record{{Kind: channel.EntryKind}}, replication.WriteConcern{})
 			if n := t.Number; err != nil || n > 2*10+1 { // and the turn of total order
 				return errors.Join(err, fmt.Errorf("%d entries", n))
 			}
@@ -664,7 +664,7 @@
 		purges.mu.Lock()
 		defer purges.mu.Unlock()
 		for _, e := range purges.all {
-			if o, err := purgefloor.Read(e.key, []byte(e.body)); err == nil && o.Time > 0 {
+			if o, err := purgefloor.ParseRecord(e.key, []byte(e.body)); err == nil && o.Time > 0 {
 				return nil
 			}
 		}
--- a/internal/cluster/golden_test.go
+++ b/internal/cluster/golden_test.go
@@ -225,8 +225,8 @@
 	made := need.Of(os.ReadFile(filepath.Join(folder, recordsFile)))(t)
 	s, saved, err := openStore(storedFile(t, recordsFile, made))
 	require.NoError(t, err)
-	saved.Away = 0           // by the time of today
-	slices.Sort(saved.Lacks) // a set: the store reads its keys in the random order of a map
+	saved.SinceLastContact = 0         // by the time of today
+	slices.Sort(saved.IncompleteKinds) // a set: the store reads its keys in the random order of a map
 	tr.Values("as read", s.era, s.age, s.skipped, saved)
 	require.NoError(t, s.close())
 	tr.Check(t, "stores/records.golden")
@@ -236,8 +236,8 @@
 	var tr goldentest.Transcript
 	goldenWire[stamp](t, &tr, "stamp", decoding)
 	goldenWire[meta](t, &tr, "meta", decoding)
-	goldenWire[replication.Entry](t, &tr, "entry of the vector", decoding)
-	goldenWire[replication.Carried](t, &tr, "record", decoding)
+	goldenWire[replication.VectorEntry](t, &tr, "entry of the vector", decoding)
+	goldenWire[replication.ReplicatedRecord](t, &tr, "record", decoding)
 	tr.Bytes("sealed", sealed([]byte("text")))
 	tr.Values("sum", sumOf("key", []byte("value")))
 	tr.Check(t, "stores/parts.golden")
--- a/internal/cluster/golden_words_test.go
+++ b/internal/cluster/golden_words_test.go
@@ -26,10 +26,10 @@
 	tr.Values("changes of seats", lease.NoChange, lease.AddLearner, lease.Promote, lease.Remove)
 	tr.Values("kinds of budgets", quota.InFlight, quota.Rate, quota.Amount, quota.RateUnits)
 	tr.Values("uses of budgets", quota.Duty, quota.UseOrigin, quota.UseRetries, quota.UseTenant, quota.UseHost)
-	tr.Values("levels of writes", replication.Here, replication.Copies, replication.Majority)
+	tr.Values("levels of writes", replication.LevelLocal, replication.LevelCopies, replication.LevelMajority)
 	tr.Values("orders of channels", channel.Latest, channel.ByKey, channel.BySender, channel.Causal, channel.Total)
 	tr.Values("words of notes", channel.Shown, channel.Gap, channel.Reset, channel.Behind, channel.Cut, channel.Turned, channel.Ended)
-	tr.Values("kinds of records", purgefloor.ID, variant.ID, channel.EntryKind, channel.WriterKind)
+	tr.Values("kinds of records", purgefloor.KindID, variant.ID, channel.EntryKind, channel.WriterKind)
 	tr.Values("kinds of seals", sealedMessage, sealedAsk, sealedTold, sealedRaft, sealedTurn, sealedAnswer, sealedSpend, sealedGive,
 		sealedMemory, sealedNotes)
 	tr.Values("questions", AskMembers, AskWatch, AskLeave, AskDuties, AskTurn, AskCommand, AskSeat, AskFound, AskRecover, AskCounts,
--- a/internal/cluster/memory.go
+++ b/internal/cluster/memory.go
@@ -46,7 +46,7 @@
 
 // openStore opens the memory of a folder. One that is spoilt is put aside and told in spoilt, and an empty one is opened: the others have the
 // rest. A folder that another process has, or that can't be written, is an error.
-func openStore(folder string) (*store, *replication.Saved, error) {
+func openStore(folder string) (*store, *replication.SavedState, error) {
 	s := &store{}
 	var err error
 	if s.records, err = openRecords(folder); errors.Is(err, errTorn) {
@@ -66,8 +66,8 @@
 	return s, saved, nil
 }
 
-func (s *store) saved(now time.Time) (*replication.Saved, error) {
-	saved := &replication.Saved{}
+func (s *store) saved(now time.Time) (*replication.SavedState, error) {
+	saved := &replication.SavedState{}
 	for key, value := range s.opened {
 		switch key[:1] {
 		case stampAt:
@@ -75,29 +75,29 @@
 			if err := decoding.Unmarshal(value, &at); err != nil {
 				return nil, fmt.Errorf("%s: %w", s.path, err)
 			}
-			saved.Era, s.era, saved.Lacks = at.Era, at.Era, append(saved.Lacks, at.Lacks...)
-			saved.Away = away(time.Unix(at.Unix, 0), now)
+			saved.WriterEpoch, s.era, saved.IncompleteKinds = at.Era, at.Era, append(saved.IncompleteKinds, at.Lacks...)
+			saved.SinceLastContact = away(time.Unix(at.Unix, 0), now)
 		case vectorAt:
-			var e replication.Entry
+			var e replication.VectorEntry
 			if err := decoding.Unmarshal(value, &e); err != nil {
 				return nil, fmt.Errorf("%s: %w", s.path, err)
 			}
 			saved.Vector = append(saved.Vector, e)
 		case recordAt:
-			var c replication.Carried
+			var c replication.ReplicatedRecord
 			if decoding.Unmarshal(value, &c) != nil {
 				s.skipped++
-				saved.Lacks = append(saved.Lacks, key[1])
+				saved.IncompleteKinds = append(saved.IncompleteKinds, key[1])
 				continue
 			}
 			saved.Records = append(saved.Records, c)
 		}
 	}
 	s.opened = nil
-	slices.SortFunc(saved.Vector, func(a, b replication.Entry) int {
-		return cmp.Or(cmp.Compare(a.Writer, b.Writer), cmp.Compare(a.Era, b.Era))
+	slices.SortFunc(saved.Vector, func(a, b replication.VectorEntry) int {
+		return cmp.Or(cmp.Compare(a.Writer, b.Writer), cmp.Compare(a.WriterEpoch, b.WriterEpoch))
 	})
-	slices.SortFunc(saved.Records, func(a, b replication.Carried) int {
+	slices.SortFunc(saved.Records, func(a, b replication.ReplicatedRecord) int {
 		return cmp.Or(cmp.Compare(a.Record.Kind, b.Record.Kind), cmp.Compare(a.Record.Key, b.Record.Key))
 	})
 	return saved, nil
@@ -105,8 +105,8 @@
 
 func recordKey(kind uint8, key string) string { return recordAt + string([]byte{kind}) + key }
 
-func entryKey(e replication.Entry) string {
-	return vectorAt + string(binary.BigEndian.AppendUint64(nil, e.Era)) + e.Writer
+func entryKey(e replication.VectorEntry) string {
+	return vectorAt + string(binary.BigEndian.AppendUint64(nil, e.WriterEpoch)) + e.Writer
 }
 
 // longestAway is as long as ever, in s: beyond any horizon.
@@ -142,13 +142,13 @@
 // owe takes changes over those that are owed.
 func (s *store) owe(in *replication.Save) error {
 	if s.owed == nil {
-		s.owed = make(map[string][]byte, len(in.Records)+len(in.Drops)+len(in.Vector)+len(in.Folded)+1)
+		s.owed = make(map[string][]byte, len(in.Records)+len(in.Removed)+len(in.Vector)+len(in.RemovedEntries)+1)
 	}
 	changes := s.owed
-	for _, e := range in.Folded { // before what replaces them
+	for _, e := range in.RemovedEntries { // before what replaces them
 		changes[entryKey(e)] = nil
 	}
-	for _, n := range in.Drops {
+	for _, n := range in.Removed {
 		changes[recordKey(n.Kind, n.Key)] = nil
 	}
 	put := func(key string, what any) error {
@@ -156,9 +156,9 @@
 		changes[key] = raw
 		return err
 	}
-	era := max(s.era, in.Era)
-	heard := time.Now().Unix() - int64(min(in.Away, longestAway))
-	err := put(stampAt, stamp{era, max(heard, 0), in.Lacks})
+	era := max(s.era, in.WriterEpoch)
+	heard := time.Now().Unix() - int64(min(in.SinceLastContact, longestAway))
+	err := put(stampAt, stamp{era, max(heard, 0), in.IncompleteKinds})
 	for i := range in.Records {
 		err = errors.Join(err, put(recordKey(in.Records[i].Record.Kind, in.Records[i].Record.Key), in.Records[i]))
 	}
--- a/internal/cluster/memory_test.go
+++ b/internal/cluster/memory_test.go
@@ -22,27 +22,27 @@
 	folder := t.TempDir()
 	s, saved, err := openStore(folder)
 	require.NoError(t, err)
-	assert.Equal(t, &replication.Saved{}, saved)
-	record := func(key, value string, number uint64) replication.Carried {
-		return replication.Carried{Record: replication.Record{Kind: 3, Key: key, Value: []byte(value), Dot: replication.Dot{Writer: "n0", Era: 1, Number: number}}}
+	assert.Equal(t, &replication.SavedState{}, saved)
+	record := func(key, value string, number uint64) replication.ReplicatedRecord {
+		return replication.ReplicatedRecord{Record: replication.Record{Kind: 3, Key: key, Value: []byte(value), Dot: replication.Dot{Writer: "n0", WriterEpoch: 1, Number: number}}}
 	}
 	require.NoError(t, s.save(&replication.Save{
-		Era: 4, Sync: true, Records: []replication.Carried{record("a", "one", 1), record("\x80\xff", "none", 2), record("c", "", 3)},
-		Vector: []replication.Entry{{Writer: "n0", Era: 1, Number: 3}, {Writer: "n0", Era: 2, Number: 1}},
+		WriterEpoch: 4, Sync: true, Records: []replication.ReplicatedRecord{record("a", "one", 1), record("\x80\xff", "none", 2), record("c", "", 3)},
+		Vector: []replication.VectorEntry{{Writer: "n0", WriterEpoch: 1, Number: 3}, {Writer: "n0", WriterEpoch: 2, Number: 1}},
 	}))
 	require.NoError(t, s.save(&replication.Save{
-		Records: []replication.Carried{record("a", "two", 4)}, Drops: []replication.Name{{Kind: 3, Key: "c"}},
-		Vector: []replication.Entry{{Writer: "n0", Era: 2, Number: 2, Floor: true}}, Folded: []replication.Entry{{Writer: "n0", Era: 1}},
+		Records: []replication.ReplicatedRecord{record("a", "two", 4)}, Removed: []replication.RecordKey{{Kind: 3, Key: "c"}},
+		Vector: []replication.VectorEntry{{Writer: "n0", WriterEpoch: 2, Number: 2, EarlierComplete: true}}, RemovedEntries: []replication.VectorEntry{{Writer: "n0", WriterEpoch: 1}},
 	}))
 	_, _, err = openStore(folder)
 	assert.Error(t, err, "another has it")
 	require.NoError(t, s.close())
 	s, saved, err = openStore(folder)
 	require.NoError(t, err)
-	assert.Less(t, saved.Away, 60.0)
-	assert.Equal(t, &replication.Saved{
-		Era: 4, Away: saved.Away, Vector: replication.Vector{{Writer: "n0", Era: 2, Number: 2, Floor: true}},
-		Records: []replication.Carried{record("a", "two", 4), record("\x80\xff", "none", 2)},
+	assert.Less(t, saved.SinceLastContact, 60.0)
+	assert.Equal(t, &replication.SavedState{
+		WriterEpoch: 4, SinceLastContact: saved.SinceLastContact, Vector: replication.Vector{{Writer: "n0", WriterEpoch: 2, Number: 2, EarlierComplete: true}},
+		Records: []replication.ReplicatedRecord{record("a", "two", 4), record("\x80\xff", "none", 2)},
 	}, saved)
 	require.NoError(t, s.close())
 	path := filepath.Join(folder, recordsFile)
@@ -50,7 +50,7 @@
 	s, saved, err = openStore(folder)
 	require.NoError(t, err)
 	assert.ErrorIs(t, s.spoilt, errTorn)
-	assert.Equal(t, &replication.Saved{}, saved)
+	assert.Equal(t, &replication.SavedState{}, saved)
 	require.NoError(t, s.close())
 	there := need.Of(filepath.Glob(path + ".old-*"))(t)
 	assert.Len(t, there, 1)
@@ -92,8 +92,8 @@
 		}
 		for i := range len(rule.rising) - 1 {
 			a, b := rule.rising[i], rule.rising[i+1]
-			assert.Negative(t, k.Law(a, b), "%s, %d", k.Name, i)
-			assert.Positive(t, k.Law(b, a), "%s, %d", k.Name, i)
+			assert.Negative(t, k.MergeOrder(a, b), "%s, %d", k.Name, i)
+			assert.Positive(t, k.MergeOrder(b, a), "%s, %d", k.Name, i)
 		}
 	}
 	assert.Contains(t, string(raw), "| any, where that says nothing | deleted over there; then the higher bytes; then the dot |\n")
@@ -111,24 +111,24 @@
 	}{{membership.Whole, false, 4}, {membership.Majority, false, 2}, {membership.Minority, false, 1}, {membership.Alone, false, 0}, {membership.Whole, true, 0}}
 	for _, row := range []struct {
 		words string
-		sure  replication.Sure
+		sure  replication.WriteConcern
 	}{{"a write is kept `here`", here}, {"a write gets `copies: 2`", two}, {"a write gets a `majority`", majority}} {
 		line := "| " + row.words + " |"
 		for _, v := range views {
 			m := need.Of(replication.New(replication.Settings{Name: "n0", Zone: "z0", Kinds: []replication.Kind{purgefloor.Kind()}}, nil, 0))(t)
-			f := replication.Fleet{Of: 5, Decides: membership.Allowed(membership.Decide, v.level, v.doubt)}
+			f := replication.Fleet{AgreedSize: 5, HasQuorum: membership.Allowed(membership.Decide, v.level, v.doubt)}
 			for i := range 4 {
-				f.Others = append(f.Others, replication.Member{Name: fmt.Sprint("n", i+1), Zone: fmt.Sprint("z", (i+1)%2), Alive: i < v.live || v.doubt, Counted: true})
+				f.Others = append(f.Others, replication.Member{Name: fmt.Sprint("n", i+1), Zone: fmt.Sprint("z", (i+1)%2), Alive: i < v.live || v.doubt, InAgreedFleet: true})
 			}
-			m.Fleet(f, 0)
-			require.NoError(t, m.Step("n1", &replication.Message{Ask: &replication.Ask{Answer: true}}, 0)) // before the cut
-			k, value, _ := purgefloor.Record(purgefloor.Floor{Group: 1, Time: 5})
-			dot, err := m.Write(1, purgefloor.ID, k, value, false, row.sure)
+			m.SetFleet(f, 0)
+			require.NoError(t, m.Step("n1", &replication.Message{VectorExchange: &replication.VectorExchange{IsResponse: true}}, 0)) // before the cut
+			k, value, _ := purgefloor.EncodeRecord(purgefloor.Floor{Group: 1, Time: 5})
+			dot, err := m.Write(1, purgefloor.KindID, k, value, false, row.sure)
 			met := false
 			if err == nil {
 				for i := range v.live {
 					from := fmt.Sprint("n", i+1)
-					require.NoError(t, m.Step(from, &replication.Message{Acks: []replication.Entry{{Writer: "n0", Era: dot.Era, Number: dot.Number}}}, 2))
+					require.NoError(t, m.Step(from, &replication.Message{Acks: []replication.VectorEntry{{Writer: "n0", WriterEpoch: dot.WriterEpoch, Number: dot.Number}}}, 2))
 				}
 				m.Tick(10)
 				out := m.Ready()
--- a/internal/cluster/promised_test.go
+++ b/internal/cluster/promised_test.go
@@ -22,12 +22,12 @@
 	m := remember(t, 5, "")
 	cuts := []processes.Fault{{What: processes.Cut, A: []int{3, 4}, B: []int{0, 1, 2}}, {What: processes.Cut, A: []int{3}, B: []int{4}}}
 	n, kept := 0, 0
-	expect := func(i int, sure replication.Sure, met, refused bool) {
+	expect := func(i int, sure replication.WriteConcern, met, refused bool) {
 		t.Helper()
 		n++
 		start := time.Now()
 		told, err := m.ask(i, AskWrite, sure, replication.Record{Kind: testKind, Key: key(n), Value: []byte("v")})
-		assert.Less(t, time.Since(start), time.Duration((sure.Within+2)*float64(time.Second)))
+		assert.Less(t, time.Since(start), time.Duration((sure.Timeout+2)*float64(time.Second)))
 		if assert.Equal(t, refused, err != nil, "n%d, %+v: %v", i, sure, err); err == nil {
 			assert.Equal(t, met, told.Ended[0].Met, "n%d, %+v", i, sure)
 			kept++
@@ -37,7 +37,7 @@
 	m.Begin(cuts[0])
 	m.until("the small part knows", []int{3, 4}, "minority", []int{3, 4})
 	m.until("the large one does", []int{0, 1, 2}, "majority", []int{0, 1, 2})
-	for _, sure := range []replication.Sure{here, two, three, majority} {
+	for _, sure := range []replication.WriteConcern{here, two, three, majority} {
 		expect(0, sure, true, false)
 	}
 	expect(3, majority, false, true)
--- a/internal/cluster/purges.go
+++ b/internal/cluster/purges.go
@@ -43,7 +43,7 @@
 func (p *purges) begin(m *memory) {
 	p.memory, p.heard, p.owed, p.tidied = m, must(lru.NewLRU[string, int64](mostHeard, nil)), map[string]purgefloor.Floor{}, time.Now()
 	p.seen = must(lru.NewLRU[string, sighting](mostHeard, nil))
-	m.follow[purgefloor.ID] = append(m.follow[purgefloor.ID], p.changed)
+	m.follow[purgefloor.KindID] = append(m.follow[purgefloor.KindID], p.changed)
 }
 
 // TakePurges has a function take purges that others tell, before the fleet is served. After gone seconds a purge needs no memory.
@@ -54,7 +54,7 @@
 // Purged takes a purge that the change log told here: it is written, unless all know it already.
 func (f *Fleet) Purged(o purgefloor.Floor) {
 	p, m := &f.memory.purges, f.memory
-	key, value, ok := purgefloor.Record(o)
+	key, value, ok := purgefloor.EncodeRecord(o)
 	if !ok {
 		return
 	}
@@ -64,10 +64,10 @@
 	if news {
 		f.Tell(PurgesChannel, key, value)
 	}
-	if stands, ok := m.get(purgefloor.ID, key); ok && purgefloor.Law(stands.Value, value) >= 0 {
+	if stands, ok := m.get(purgefloor.KindID, key); ok && purgefloor.MergeOrder(stands.Value, value) >= 0 {
 		return
 	}
-	if _, err := m.write(purgefloor.ID, key, value, false, replication.Sure{}); errors.Is(err, replication.ErrCatches) || errors.Is(err, errNoDisk) || errors.Is(err, replication.ErrUnkept) || errors.Is(err, errBusy) {
+	if _, err := m.write(purgefloor.KindID, key, value, false, replication.WriteConcern{}); errors.Is(err, replication.ErrCatchingUp) || errors.Is(err, errNoDisk) || errors.Is(err, replication.ErrUnpersisted) || errors.Is(err, errBusy) {
 		m.mu.Lock()
 		if len(p.owed) < mostOwed {
 			p.owed[key] = o
@@ -115,8 +115,8 @@
 		return
 	}
 	for _, r := range all {
-		o, err := purgefloor.Read(r.Key, r.Value)
-		if err != nil || r.Dead {
+		o, err := purgefloor.ParseRecord(r.Key, r.Value)
+		if err != nil || r.Deleted {
 			continue
 		}
 		p.memory.mu.Lock()
@@ -147,7 +147,7 @@
 		var records []replication.Record
 		for at, more := uint64(0), true; more; more = at != 0 {
 			records = records[:0]
-			at = m.scan(purgefloor.ID, at, func(r replication.Record) { records = append(records, r) })
+			at = m.scan(purgefloor.KindID, at, func(r replication.Record) { records = append(records, r) })
 			p.changed(records)
 		}
 	}
@@ -156,16 +156,16 @@
 	}
 	p.tidied = time.Now()
 	var past []replication.Record
-	p.at = m.scan(purgefloor.ID, p.at, func(r replication.Record) { // the next part at the next tick
+	p.at = m.scan(purgefloor.KindID, p.at, func(r replication.Record) { // the next part at the next tick
 		more := tidyAfter
 		if r.Dot.Writer != m.fleet.Name { // whoever wrote it lets go of it first
 			more += tidyAfter
 		}
-		if o, err := purgefloor.Read(r.Key, r.Value); err == nil && !r.Dead && p.past(r.Key, o.Time, more) {
+		if o, err := purgefloor.ParseRecord(r.Key, r.Value); err == nil && !r.Deleted && p.past(r.Key, o.Time, more) {
 			past = append(past, r)
 		}
 	})
 	for _, r := range past {
-		_, _ = m.write(purgefloor.ID, r.Key, r.Value, true, replication.Sure{}) // it comes again at the next look
+		_, _ = m.write(purgefloor.KindID, r.Key, r.Value, true, replication.WriteConcern{}) // it comes again at the next look
 	}
 }
--- a/internal/cluster/recall.go
+++ b/internal/cluster/recall.go
@@ -77,7 +77,7 @@
 		follow: map[uint8][]func([]replication.Record){}, names: map[uint64]string{},
 	}
 	for _, k := range channel.Kinds() {
-		k.Longest = min(k.Longest, replication.MostLongest)
+		k.MaxRecordBytes = min(k.MaxRecordBytes, replication.MaxRecordBytes)
 		m.kinds = append(m.kinds, k)
 	}
 	m.purges.begin(m)
@@ -96,7 +96,7 @@
 }
 
 // write has a record written, as sure as wanted: the channel tells once how it ended. An error leaves nothing behind.
-func (m *memory) write(kind uint8, key string, value []byte, dead bool, sure replication.Sure) (<-chan replication.Outcome, error) {
+func (m *memory) write(kind uint8, key string, value []byte, dead bool, sure replication.WriteConcern) (<-chan replication.Outcome, error) {
 	done := make(chan replication.Outcome, 1)
 	if _, err := m.writeTo(done, kind, key, value, dead, sure); err != nil {
 		return nil, err
@@ -105,7 +105,7 @@
 }
 
 // writeTo does the same for who hears of many writes: its channel has to take as many outcomes as may be on their way.
-func (m *memory) writeTo(done chan replication.Outcome, kind uint8, key string, value []byte, dead bool, sure replication.Sure) (dot replication.Dot, err error) {
+func (m *memory) writeTo(done chan replication.Outcome, kind uint8, key string, value []byte, dead bool, sure replication.WriteConcern) (dot replication.Dot, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.machine == nil {
@@ -233,12 +233,12 @@
 		m.fleet.following.relearn()
 	}
 	m.look() // before it is asked to write
-	m.fleet.Log.Info().Uint64("era", status.Era).Int("writers", status.Writers).Bool("kept", disk != nil).Msg("memory: remembers")
+	m.fleet.Log.Info().Uint64("era", status.WriterEpoch).Int("writers", status.Writers).Bool("kept", disk != nil).Msg("memory: remembers")
 }
 
 func (m *memory) settings(seed uint64) replication.Settings {
 	f := m.fleet
-	return replication.Settings{Name: f.Name, Zone: f.Zone, Seed: seed, Horizon: f.Memory.Horizon, Rate: float64(f.Memory.Rate), Kinds: m.kinds}
+	return replication.Settings{Name: f.Name, Zone: f.Zone, Seed: seed, Horizon: f.Memory.Horizon, CatchUpRate: float64(f.Memory.Rate), Kinds: m.kinds}
 }
 
 func (m *memory) torn(err error) {
@@ -306,7 +306,7 @@
 	known := f.machine.Members()
 	f.mu.Unlock()
 	m.looked, m.fleetNow = time.Now(), now
-	to := replication.Fleet{Of: now.of, Decides: now.decides, Narrows: now.narrows}
+	to := replication.Fleet{AgreedSize: now.of, HasQuorum: now.decides, AcceptsRestrictions: now.narrows}
 	m.at = map[string]string{}
 	m.shares.peers = 1
 	names := map[uint64]string{}
@@ -314,7 +314,7 @@
 		if o.State == membership.Left && !o.Reference {
 			continue
 		}
-		to.Others = append(to.Others, replication.Member{Name: o.Name, Zone: o.Zone, Alive: o.State.In(), Counted: o.Reference})
+		to.Others = append(to.Others, replication.Member{Name: o.Name, Zone: o.Zone, Alive: o.State.In(), InAgreedFleet: o.Reference})
 		m.at[o.Name], names[o.Boot] = o.Address, o.Name
 		if o.State.In() {
 			m.shares.peers++
@@ -322,9 +322,9 @@
 	}
 	m.mu.Lock()
 	m.names = names
-	m.machine.Fleet(to, f.dutyNow())
+	m.machine.SetFleet(to, f.dutyNow())
 	m.mu.Unlock()
-	m.purges.narrows(to.Narrows)
+	m.purges.narrows(to.AcceptsRestrictions)
 	if m.fleet.following != nil {
 		m.fleet.following.look(to)
 	}
@@ -374,12 +374,12 @@
 	m.tell(out.Changed)
 	for _, e := range out.Events {
 		line := m.fleet.Log.Info()
-		switch e.What {
+		switch e.Type {
 		case "aside", "twin", "full", "refused", "strange":
 			line = m.fleet.Log.Warn()
 		}
-		if e.Who != "" {
-			line = line.Str("who", e.Who)
+		if e.Member != "" {
+			line = line.Str("who", e.Member)
 		}
 		if e.Kind > 0 {
 			line = line.Uint8("kind", e.Kind)
@@ -387,10 +387,10 @@
 		if e.Key != "" {
 			line = line.Str("key", e.Key)
 		}
-		if e.What == "strange" {
+		if e.Type == "strange" {
 			line = line.Str("means", "others write a kind of records that this version doesn't know: none of them is kept here, and all of them are learned once it knows them")
 		}
-		line.Msg("memory: " + e.What)
+		line.Msg("memory: " + e.Type)
 	}
 }
 
@@ -419,7 +419,7 @@
 	if m.problem = ""; err != nil {
 		m.problem = err.Error()
 	}
-	m.machine.Unkept(err != nil)
+	m.machine.SetUnpersisted(err != nil)
 	m.mu.Unlock()
 	switch {
 	case err != nil && was == "":
@@ -499,7 +499,7 @@
 			}
 			sum := uint64(0)
 			m.each(r.Kind, func(o replication.Record) bool {
-				if !o.Dead {
+				if !o.Deleted {
 					t.Number++
 					sum ^= sumOf(o.Key, o.Value)
 				}
@@ -511,7 +511,7 @@
 	}
 	var waits []<-chan replication.Outcome
 	for _, r := range q.Records {
-		done, err := m.write(r.Kind, r.Key, r.Value, r.Dead, q.Sure)
+		done, err := m.write(r.Kind, r.Key, r.Value, r.Deleted, q.Sure)
 		if err != nil {
 			t.Error = err.Error() // those before it are written all the same
 			break
--- a/internal/cluster/recall_test.go
+++ b/internal/cluster/recall_test.go
@@ -45,7 +45,7 @@
 	})}
 }
 
-func (m *memoryRig) ask(i int, what string, sure replication.Sure, records ...replication.Record) (Told, error) {
+func (m *memoryRig) ask(i int, what string, sure replication.WriteConcern, records ...replication.Record) (Told, error) {
 	k := need.Of(ParseKeys(m.keys[-1]))(m)
 	ctx, cancel := context.WithTimeout(context.Background(), 6*time.Second)
 	defer cancel()
@@ -59,14 +59,14 @@
 
 // write writes keys from one number up to another at a process, and waits until it is as sure as wanted. Where that failed it is repeated with a
 // value that stands over it.
-func (m *memoryRig) write(at, from, to int, value string, sure replication.Sure) {
+func (m *memoryRig) write(at, from, to int, value string, sure replication.WriteConcern) {
 	m.Helper()
 	for from < to {
 		trial, next := 0, min(to, from+1000)
 		m.Until(soon, "records are written", func() error {
 			var all []replication.Record
 			for i := from; i < next; i++ {
-				all = append(all, replication.Record{Kind: testKind, Key: key(i), Value: fmt.Append(nil, value, trial), Dead: value == gone})
+				all = append(all, replication.Record{Kind: testKind, Key: key(i), Value: fmt.Append(nil, value, trial), Deleted: value == gone})
 			}
 			trial++
 			err := met(m.ask(at, AskWrite, sure, all...))
@@ -90,7 +90,7 @@
 
 // sum is how many records of the test's kind stand at a process, and a sum over them.
 func (m *memoryRig) sum(i int) (n, sum uint64, err error) {
-	t, err := m.ask(i, AskRead, replication.Sure{}, replication.Record{Kind: testKind})
+	t, err := m.ask(i, AskRead, replication.WriteConcern{}, replication.Record{Kind: testKind})
 	if err != nil || len(t.Records) == 0 {
 		return 0, 0, errors.Join(err, errMessage)
 	}
@@ -136,7 +136,7 @@
 }
 
 func (m *memoryRig) reads(i, of int) string {
-	t, err := m.ask(i, AskRead, replication.Sure{}, replication.Record{Kind: testKind, Key: key(of)})
+	t, err := m.ask(i, AskRead, replication.WriteConcern{}, replication.Record{Kind: testKind, Key: key(of)})
 	if err != nil || len(t.Records) == 0 {
 		return ""
 	}
@@ -154,10 +154,10 @@
 }
 
 var (
-	here     = replication.Sure{Within: 3}
-	majority = replication.Sure{Level: replication.Majority, Within: 3}
-	three    = replication.Sure{Level: replication.Copies, Copies: 3, Within: 3}
-	two      = replication.Sure{Level: replication.Copies, Copies: 2, Within: 3}
+	here     = replication.WriteConcern{Timeout: 3}
+	majority = replication.WriteConcern{Level: replication.LevelMajority, Timeout: 3}
+	three    = replication.WriteConcern{Level: replication.LevelCopies, Copies: 3, Timeout: 3}
+	two      = replication.WriteConcern{Level: replication.LevelCopies, Copies: 2, Timeout: 3}
 )
 
 func TestOneIsAwayDuringManyWrites(t *testing.T) {
@@ -167,9 +167,9 @@
 		back  func(m *memoryRig)
 		check func(s ToldMemory) bool
 	}{
-		"deltas":  {func(*memoryRig) {}, func(s ToldMemory) bool { return s.Wholes+s.Walks == 0 }},
-		"digests": {anew, func(s ToldMemory) bool { return s.Wholes == 0 && s.Walks > 0 }},
-		"whole":   {func(m *memoryRig) { m.Processes[2].Wipe(); anew(m) }, func(s ToldMemory) bool { return s.Wholes > 0 }},
+		"deltas":  {func(*memoryRig) {}, func(s ToldMemory) bool { return s.Snapshots+s.DigestWalks == 0 }},
+		"digests": {anew, func(s ToldMemory) bool { return s.Snapshots == 0 && s.DigestWalks > 0 }},
+		"whole":   {func(m *memoryRig) { m.Processes[2].Wipe(); anew(m) }, func(s ToldMemory) bool { return s.Snapshots > 0 }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := remember(t, 3, "")
@@ -184,7 +184,7 @@
 			m.Processes[2].Start()
 			m.same(many, 0, 1, 2)
 			s := m.memory(2)
-			t.Logf("caught up %v after its start, %d bytes in %d pulls", time.Since(start), s.Pulled, s.Pulls)
+			t.Logf("caught up %v after its start, %d bytes in %d pulls", time.Since(start), s.PulledBytes, s.Pulls)
 			assert.True(t, way.check(s), "%+v", s)
 			m.write(2, 0, 1, "written by who came back", majority)
 			m.serve(0, 1, 2)
@@ -221,10 +221,10 @@
 				return processes.When(s.CatchingUp || s.Behind > 0, fmt.Errorf("%+v", s))
 			})
 			if s := m.memory(2); who == 0 {
-				assert.Positive(t, s.Wholes)
-				assert.Less(t, s.Pulled, uint64(many*140), "it goes on where it was cut off: all of them take 138 bytes each")
+				assert.Positive(t, s.Snapshots)
+				assert.Less(t, s.PulledBytes, uint64(many*140), "it goes on where it was cut off: all of them take 138 bytes each")
 			} else {
-				assert.Less(t, s.Pulled, uint64(many*140), "who was killed takes all once more at most")
+				assert.Less(t, s.PulledBytes, uint64(many*140), "who was killed takes all once more at most")
 			}
 		})
 	}
@@ -254,7 +254,7 @@
 			m.same(n+10, 0, 1, 2)
 			for i := range 3 {
 				for _, k := range m.memory(i).Kinds {
-					assert.Zero(t, k.Aside)
+					assert.Zero(t, k.Conflicting)
 				}
 			}
 		})
@@ -274,7 +274,7 @@
 		m.same(3*n, 0, 1, 2)
 		assert.Equal(t, "late", m.reads(2, 0))
 		s := m.memory(0)
-		assert.Zero(t, s.kind("test").Aside)
+		assert.Zero(t, s.kind("test").Conflicting)
 	})
 	t.Run("full", func(t *testing.T) {
 		m := remember(t, 3, "")
@@ -293,7 +293,7 @@
 		require.Error(t, err)
 		m.write(0, n, 2*n, "while it was full", two)
 		m.same(2*n, 0, 1, 2) // it learns, but its word counts for nothing
-		s := need.Of(m.ask(0, AskWrite, replication.Sure{Level: replication.Copies, Copies: 3, Within: 1.5}, replication.Record{Kind: testKind, Key: key(0), Value: []byte("c")}))(t)
+		s := need.Of(m.ask(0, AskWrite, replication.WriteConcern{Level: replication.LevelCopies, Copies: 3, Timeout: 1.5}, replication.Record{Kind: testKind, Key: key(0), Value: []byte("c")}))(t)
 		require.Equal(t, 2, s.Ended[0].Copies)
 		require.False(t, s.Ended[0].Met)
 		m.serve(2)
@@ -339,7 +339,7 @@
 	for _, c := range saved.Records {
 		if c.Record.Key == key(7) {
 			c.Record.Value = []byte("another")
-			require.NoError(t, s.save(&replication.Save{Era: saved.Era, Records: []replication.Carried{c}, Sync: true}))
+			require.NoError(t, s.save(&replication.Save{WriterEpoch: saved.WriterEpoch, Records: []replication.ReplicatedRecord{c}, Sync: true}))
 		}
 	}
 	require.NoError(t, s.close())
@@ -365,7 +365,7 @@
 	m.same(1000, 0, 1)
 	m.Until(soon, "the tombstones are forgotten", func() error {
 		k := m.memory(0)
-		return processes.When(k.kind("test").Dead > 0, fmt.Errorf("%+v", k))
+		return processes.When(k.kind("test").Tombstones > 0, fmt.Errorf("%+v", k))
 	})
 	m.Processes[2].Signal(syscall.SIGCONT)
 	m.same(1010, 0, 1, 2)
@@ -396,7 +396,7 @@
 	for i := range 50 {
 		all = append(all, replication.Record{Kind: testKind, Key: key(100 + i), Value: []byte("by the twin")})
 	}
-	told, err := m.ask(4, AskWrite, replication.Sure{Level: replication.Majority, Within: 1}, all...)
+	told, err := m.ask(4, AskWrite, replication.WriteConcern{Level: replication.LevelMajority, Timeout: 1}, all...)
 	assert.True(t, err != nil || !told.Ended[0].Met, "it has no majority")
 	twice := 0 // it writes if a member answered before it was ousted; else it can't know what others have of its name, and refuses
 	if told, err = m.ask(4, AskWrite, here, all...); err == nil {
@@ -413,7 +413,7 @@
 	})
 	m.Until(soon, "the two contents are told, and used by nobody", func() error {
 		for _, i := range []int{0, 1, 2, 4} {
-			if s := m.memory(i); s.kind("test").Aside != twice {
+			if s := m.memory(i); s.kind("test").Conflicting != twice {
 				return fmt.Errorf("n%d: %+v", i, s.kind("test"))
 			}
 		}
@@ -436,13 +436,13 @@
 	older, number := []string{"ELDERWALL_FAULT_OLDER=yes"}, 0
 	purge := func(at int) {
 		number++
-		k, value, _ := purgefloor.Record(purgefloor.Floor{Object: fmt.Sprint(number), Time: time.Now().UnixMilli()})
+		k, value, _ := purgefloor.EncodeRecord(purgefloor.Floor{Object: fmt.Sprint(number), Time: time.Now().UnixMilli()})
 		m.Until(soon, "it is written", func() error {
-			return met(m.ask(at, AskWrite, majority, replication.Record{Kind: purgefloor.ID, Key: k, Value: value}))
+			return met(m.ask(at, AskWrite, majority, replication.Record{Kind: purgefloor.KindID, Key: k, Value: value}))
 		})
 		for i := range 4 {
 			m.Until(soon, "it is known", func() error {
-				told, err := m.ask(i, AskRead, replication.Sure{}, replication.Record{Kind: purgefloor.ID, Key: k})
+				told, err := m.ask(i, AskRead, replication.WriteConcern{}, replication.Record{Kind: purgefloor.KindID, Key: k})
 				return processes.When(err != nil || len(told.Records) != 1, errors.Join(err, errMessage))
 			})
 		}
@@ -451,7 +451,7 @@
 	m.write(0, 0, 500, "by one that knows it", two)
 	purge(0)
 	purge(2)
-	told := need.Of(m.ask(1, AskWrite, replication.Sure{Level: replication.Copies, Copies: 3, Within: 1}, replication.Record{Kind: testKind, Key: key(500), Value: []byte("a")}))(t)
+	told := need.Of(m.ask(1, AskWrite, replication.WriteConcern{Level: replication.LevelCopies, Copies: 3, Timeout: 1}, replication.Record{Kind: testKind, Key: key(500), Value: []byte("a")}))(t)
 	assert.Equal(t, []any{false, 2}, []any{told.Ended[0].Met, told.Ended[0].Copies}, "two know it")
 	version(nil, 2)
 	m.same(501, 0, 1, 2)
@@ -461,14 +461,14 @@
 	m.write(1, 600, 700, "while it was older", two)
 	purge(2)
 	for _, i := range []int{2, 3} {
-		assert.Equal(t, []int{testKind}, m.memory(i).Strange)
+		assert.Equal(t, []int{testKind}, m.memory(i).UnknownKinds)
 	}
 	version(nil, 2, 3)
 	m.same(600, 0, 1, 2, 3)
 	for i := range 4 {
-		m.write(i, 700+i, 701+i, "by all", replication.Sure{Level: replication.Copies, Copies: 4, Within: 3})
+		m.write(i, 700+i, 701+i, "by all", replication.WriteConcern{Level: replication.LevelCopies, Copies: 4, Timeout: 3})
 		s := m.memory(i)
-		assert.False(t, s.kind("test").Lacks || len(s.Strange) > 0)
+		assert.False(t, s.kind("test").Incomplete || len(s.UnknownKinds) > 0)
 	}
 	purge(3)
 }
@@ -492,14 +492,14 @@
 		})
 	}
 	for _, at := range []int{0, 3} {
-		k, value, _ := purgefloor.Record(purgefloor.Floor{Group: at + 1, Time: time.Now().UnixMilli()})
-		told := need.Of(m.ask(at, AskWrite, replication.Sure{Level: replication.Copies, Copies: 4, Within: 3}, replication.Record{Kind: purgefloor.ID, Key: k, Value: value}))(t)
+		k, value, _ := purgefloor.EncodeRecord(purgefloor.Floor{Group: at + 1, Time: time.Now().UnixMilli()})
+		told := need.Of(m.ask(at, AskWrite, replication.WriteConcern{Level: replication.LevelCopies, Copies: 4, Timeout: 3}, replication.Record{Kind: purgefloor.KindID, Key: k, Value: value}))(t)
 		assert.True(t, told.Ended[0].Met)
 	}
 	m.Until(soon, "all have the entries", func() error {
 		var first []byte
 		for i := range 4 {
-			told, err := m.ask(i, AskRead, replication.Sure{}, replication.Record{Kind: channel.EntryKind})
+			told, err := m.ask(i, AskRead, replication.WriteConcern{}, replication.Record{Kind: channel.EntryKind})
 			if err != nil || told.Number < 20 {
 				return fmt.Errorf("n%d: %d, %w", i, told.Number, errors.Join(err, errMessage))
 			}
@@ -533,7 +533,7 @@
 	m.Until(soon, "the fast one forgets what was deleted", func() error {
 		s := m.memory(2)
 		k := s.kind("test")
-		return processes.When(k.Dead > 0, fmt.Errorf("%+v", k))
+		return processes.When(k.Tombstones > 0, fmt.Errorf("%+v", k))
 	})
 	m.End(cut)
 	m.write(1, 600, 650, "by the slow one", majority)
@@ -562,7 +562,7 @@
 			if dead {
 				k, own = own[0], own[1:]
 			}
-			records = append(records, replication.Record{Kind: testKind, Key: k, Value: []byte(map[bool]string{true: gone, false: "v"}[dead]), Dead: dead})
+			records = append(records, replication.Record{Kind: testKind, Key: k, Value: []byte(map[bool]string{true: gone, false: "v"}[dead]), Deleted: dead})
 		}
 		c.mu.Lock()
 		for _, r := range records {
@@ -571,7 +571,7 @@
 			}
 		}
 		c.mu.Unlock()
-		told, err := c.ask(at, AskWrite, [5]replication.Sure{here, two, majority, majority, majority}[at], records...)
+		told, err := c.ask(at, AskWrite, [5]replication.WriteConcern{here, two, majority, majority, majority}[at], records...)
 		if err != nil {
 			continue
 		}
@@ -655,7 +655,7 @@
 		for _, k := range part {
 			all = append(all, replication.Record{Kind: testKind, Key: k})
 		}
-		told := need.Of(c.ask(0, AskRead, replication.Sure{}, all...))(c)
+		told := need.Of(c.ask(0, AskRead, replication.WriteConcern{}, all...))(c)
 		has := map[string]bool{}
 		for _, r := range told.Records {
 			has[r.Key] = true
@@ -677,10 +677,10 @@
 	m := remember(t, 3, "")
 	now := time.Now().UnixMilli()
 	m.Changes.Push(fmt.Sprintf(`{"seq":2,"invalidate":{"object":"7f3a9c21e0b4d655","bucket":3,"time":%d}}`, now))
-	k, value, _ := purgefloor.Record(purgefloor.Floor{Object: "7f3a9c21e0b4d655", Time: now})
+	k, value, _ := purgefloor.EncodeRecord(purgefloor.Floor{Object: "7f3a9c21e0b4d655", Time: now})
 	for i := range 3 {
 		m.Until(soon, "it is known", func() error {
-			t, err := m.ask(i, AskRead, replication.Sure{}, replication.Record{Kind: purgefloor.ID, Key: k})
+			t, err := m.ask(i, AskRead, replication.WriteConcern{}, replication.Record{Kind: purgefloor.KindID, Key: k})
 			if err == nil && (len(t.Records) != 1 || string(t.Records[0].Value) != string(value)) {
 				err = fmt.Errorf("%+v", t.Records)
 			}
@@ -688,9 +688,9 @@
 		})
 	}
 	m.Changes.Close() // silent for all
-	k2, value2, _ := purgefloor.Record(purgefloor.Floor{Object: "another", Time: now + 5})
+	k2, value2, _ := purgefloor.EncodeRecord(purgefloor.Floor{Object: "another", Time: now + 5})
 	before := m.purges()
-	need.Of(m.ask(0, AskWrite, two, replication.Record{Kind: purgefloor.ID, Key: k2, Value: value2}))(t)
+	need.Of(m.ask(0, AskWrite, two, replication.Record{Kind: purgefloor.KindID, Key: k2, Value: value2}))(t)
 	m.Until(soon, "it is taken", func() error {
 		n := m.purges()
 		return processes.When(n != before+1, fmt.Errorf("%d after %d", n, before))
@@ -707,11 +707,11 @@
 	const writers, each = 64, 20
 	folder := t.TempDir()
 	f := need.Of(Open(Settings{Listen: "127.0.0.1:0", Name: "n0", Memory: &Memory{Folder: folder, Horizon: DefaultHorizon, Rate: DefaultRate}}, 1, zerolog.Nop()))(t)
-	f.Kinds(replication.Kind{ID: 251, Name: "own", Records: 10_000, Bytes: 1 << 20, Longest: 100, Sync: true, Law: bytes.Compare})
+	f.Kinds(replication.Kind{ID: 251, Name: "own", MaxRecords: 10_000, MaxBytes: 1 << 20, MaxRecordBytes: 100, Sync: true, MergeOrder: bytes.Compare})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- f.Serve(ctx) }()
-	require.Eventually(t, func() bool { return f.memory.status().Writes }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return f.memory.status().Writable }, 5*time.Second, time.Millisecond)
 	told := make(chan replication.Record, writers*each)
 	f.memory.subscribe(251, func(all []replication.Record) {
 		for _, r := range all {
--- a/internal/cluster/transport_test.go
+++ b/internal/cluster/transport_test.go
@@ -158,7 +158,7 @@
 	go func() { defer close(from.ended); close(serves); _ = f.Serve(ctx) }()
 	<-serves
 	t.Cleanup(func() { _ = from.Close() })
-	need.Soon(t, func() bool { return f.memory.status().Writes }, "the memory takes writes")
+	need.Soon(t, func() bool { return f.memory.status().Writable }, "the memory takes writes")
 	f.following.take(&channel.Saved{Declared: []channel.Declaration{{Name: "c", Generation: 1, Order: channel.BySender, Told: true, Entries: 100, Bytes: 4 << 20, Seconds: 600, Wait: 1}}})
 	at := f.Address
 	if w != nil {
--- a/internal/cluster/variants_test.go
+++ b/internal/cluster/variants_test.go
@@ -203,7 +203,7 @@
 	ended := make(chan error)
 	go func() { ended <- f.Serve(ctx) }()
 	require.Eventually(t, func() bool {
-		return f.memory.status().kind("variants").Dead == 1
+		return f.memory.status().kind("variants").Tombstones == 1
 	}, 10*time.Second, time.Millisecond)
 	assert.Equal(t, 1, (<-noticed).Class)
 	cancel()
