--- a/client/client.go
+++ b/client/client.go
@@ -61,8 +61,8 @@
 	return f, nil
 }
 
-// Note is what a reader is told: an entry, or what became of the order, as channel.Word has it.
-type Note = channel.Note
+// Note is what a reader is told: an entry, or what became of the order, as channel.EventKind has it.
+type Note = channel.Notification
 
 // First has all that begins from now on try an address first, such as the nearest; else chance says which.
 func (f *Fleet) First(address string) {
@@ -80,12 +80,12 @@
 // Follow has a function called with each note of a channel, one after the other, until the context ends, the function fails, or the channel or
 // the order is refused. A position goes on where an earlier Follow ended; "" begins with all that is kept. Each note has the position after it: kept
 // with what came of the note, it lets a later Follow, anywhere, go on from there. After Reset and Cut, which are told, it begins anew with all that is
-// kept. It gives the last position. A channel that is withdrawn is told as Ended, with what it kept before that; then it ends with channel.ErrEnded. The
+// kept. It gives the last position. A channel that is withdrawn is told as Ended, with what it kept before that; then it ends with channel.ErrWithdrawn. The
 // position then goes on with the first entry of a channel that is declared anew under the name.
 func (f *Fleet) Follow(ctx context.Context, name string, order channel.Order, position string, take func(Note) error) (string, error) {
 	at, tries, since := 0, 0, time.Now()
 	for ctx.Err() == nil {
-		s, err := cluster.AskNotes(ctx, f.addresses[at], f.keys, channel.Ask{Channel: name, Token: position, Order: order})
+		s, err := cluster.AskNotes(ctx, f.addresses[at], f.keys, channel.OpenRequest{Channel: name, Token: position, Order: order})
 		if err == nil {
 			stop := context.AfterFunc(ctx, func() { _ = s.Close() })
 			var some bool
@@ -103,7 +103,7 @@
 		wait := rand.Float64() * min(mostWait, firstWait*float64(uint64(1)<<min(tries, 6)))
 		var no *cluster.Refusal
 		switch {
-		case errors.Is(err, channel.ErrMore), errors.Is(err, channel.ErrToken), errors.Is(err, channel.ErrChannel) && time.Since(since).Seconds() > unknown:
+		case errors.Is(err, channel.ErrOrderNotPromised), errors.Is(err, channel.ErrInvalidToken), errors.Is(err, channel.ErrUnknownChannel) && time.Since(since).Seconds() > unknown:
 			return position, err
 		case errors.As(err, &no) && no.Later > 0:
 			wait = no.Later
@@ -123,7 +123,7 @@
 			return position, some, nil
 		}
 		for _, n := range notes {
-			if n.Word == channel.Behind { // nothing has come of it: another dispatcher goes on
+			if n.Kind == channel.EventBehind { // nothing has come of it: another dispatcher goes on
 				return position, some, nil
 			}
 			if err := take(n); err != nil {
@@ -132,10 +132,10 @@
 			if some = true; n.Position != "" {
 				position = n.Position
 			}
-			switch n.Word {
-			case channel.Ended:
-				return position, some, channel.ErrEnded
-			case channel.Reset, channel.Cut:
+			switch n.Kind {
+			case channel.EventEnded:
+				return position, some, channel.ErrWithdrawn
+			case channel.EventReset, channel.EventCutOff:
 				return "", some, nil
 			}
 		}
--- a/client/publish.go
+++ b/client/publish.go
@@ -65,15 +65,15 @@
 	p.seen.Lock()
 	defer p.seen.Unlock()
 	p.state.Clock = max(p.state.Clock, n.Entry.Clock)
-	if n.Entry.Place == 0 {
+	if n.Entry.Offset == 0 {
 		p.state.After[n.Entry.Writer] = max(p.state.After[n.Entry.Writer], n.Entry.Number)
 	}
 }
 
-// Publish writes messages, and returns once all are acknowledged: at least as many dispatchers as channel.Copies have each, in total order the
+// Publish writes messages, and returns once all are acknowledged: at least as many dispatchers as channel.AckCopies have each, in total order the
 // voters' majority. What failed for another dispatcher's sake is sent to the next, under the same numbers, until the context ends; then it is pending
-// and goes out first with the next call. Errors: the context's, and channel.ErrEntry for what no dispatcher would take, channel.ErrEnded where
-// the channel is withdrawn, and channel.ErrForgotten where the writer was silent for too long: whether what is pending was ever taken isn't known then.
+// and goes out first with the next call. Errors: the context's, and channel.ErrInvalidEntry for what no dispatcher would take, channel.ErrWithdrawn where
+// the channel is withdrawn, and channel.ErrWriterForgotten where the writer was silent for too long: whether what is pending was ever taken isn't known then.
 func (p *Publisher) Publish(ctx context.Context, all ...Message) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -100,9 +100,9 @@
 			continue
 		}
 		switch {
-		case errors.Is(err, channel.ErrEntry), errors.Is(err, channel.ErrEnded):
+		case errors.Is(err, channel.ErrInvalidEntry), errors.Is(err, channel.ErrWithdrawn):
 			return err
-		case !errors.Is(err, channel.ErrForgotten):
+		case !errors.Is(err, channel.ErrWriterForgotten):
 			lost = time.Time{}
 		case lost.IsZero():
 			lost = time.Now()
@@ -146,8 +146,8 @@
 	s := &p.state
 	number := s.Last + uint64(len(s.Pending))
 	for _, m := range all {
-		if len(m.Body) > channel.MostBody || len(m.Key) > channel.LongestKey {
-			return fmt.Errorf("%w: at most %d bytes of key and %d of body", channel.ErrEntry, channel.LongestKey, channel.MostBody)
+		if len(m.Body) > channel.MaxBodyBytes || len(m.Key) > channel.MaxKeyBytes {
+			return fmt.Errorf("%w: at most %d bytes of key and %d of body", channel.ErrInvalidEntry, channel.MaxKeyBytes, channel.MaxBodyBytes)
 		}
 	}
 	for _, m := range all {
@@ -204,13 +204,13 @@
 			continue
 		}
 		for _, d := range all {
-			if d.Name == name && !d.End {
-				d.End = true
+			if d.Name == name && !d.Withdrawn {
+				d.Withdrawn = true
 				d.Generation++
 				return d.Generation, f.Declare(ctx, d)
 			}
 		}
-		err = channel.ErrChannel
+		err = channel.ErrUnknownChannel
 	}
 	return 0, err
 }
--- a/cmd/elderwall-operator/fleetchannels.go
+++ b/cmd/elderwall-operator/fleetchannels.go
@@ -44,7 +44,7 @@
 	Body       string `json:"body,omitempty"`
 }
 
-var words = map[channel.Word]string{channel.Shown: "shown", channel.Gap: "gap", channel.Reset: "reset", channel.Cut: "cut", channel.Turned: "turned", channel.Ended: "ended"}
+var words = map[channel.EventKind]string{channel.EventEntry: "shown", channel.EventGap: "gap", channel.EventReset: "reset", channel.EventCutOff: "cut", channel.EventDeclarationChanged: "turned", channel.EventEnded: "ended"}
 
 var orderWords = map[string]channel.Order{"": 0, "latest": channel.Latest, "key": channel.ByKey, "sender": channel.BySender, "causal": channel.Causal, "total": channel.Total}
 
@@ -69,9 +69,9 @@
 		position = string(raw)
 	}
 	_, err = f.Follow(ctx, c.Channel, orderWords[c.Order], position, func(n client.Note) error {
-		l := followLine{Word: words[n.Word], Writer: n.Writer, From: n.From, To: n.To, Generation: n.Generation, Late: n.Late}
+		l := followLine{Word: words[n.Kind], Writer: n.Writer, From: n.From, To: n.To, Generation: n.Generation, Late: n.Late}
 		if e := n.Entry; e != nil {
-			l.Key, l.Writer, l.Number, l.Place, l.Body = e.Key, e.Writer, e.Number, e.Place, string(e.Body)
+			l.Key, l.Writer, l.Number, l.Place, l.Body = e.Key, e.Writer, e.Number, e.Offset, string(e.Body)
 		}
 		raw, err := json.Marshal(l)
 		if err == nil {
@@ -82,7 +82,7 @@
 		}
 		return err
 	})
-	if ctx.Err() != nil || errors.Is(err, channel.ErrEnded) {
+	if ctx.Err() != nil || errors.Is(err, channel.ErrWithdrawn) {
 		return nil
 	}
 	return err
@@ -185,7 +185,7 @@
 // publishLines writes each line of an input as a message.
 func (c *publishCommand) publishLines(ctx context.Context, p *client.Publisher, from io.Reader) error {
 	in := bufio.NewScanner(from)
-	in.Buffer(nil, channel.MostBody+1)
+	in.Buffer(nil, channel.MaxBodyBytes+1)
 	for in.Scan() {
 		if err := p.Publish(ctx, client.Message{Key: c.Of, Body: []byte(in.Text())}); err != nil {
 			return err
--- a/core/cluster/channel/channels_test.go
+++ b/core/cluster/channel/channels_test.go
@@ -13,20 +13,23 @@
 	"elderwall/internal/standin/need"
 )
 
-func TestDeclarationsThatCannotBeKept(t *testing.T) {
-	ok := declared(Total, false)
+// A declaration that contradicts itself would fail only when readers are served, so Check has to report each fault and nothing else.
+func TestDeclarationCheckReportsEveryFault(t *testing.T) {
+	ok := newDeclaration(Total, false)
 	for name, tt := range map[string]struct {
 		change func(d *Declaration)
-		faults []string // all are named, none besides
+		faults []string // every fault is reported, and no other
 	}{
-		"none":                 {func(d *Declaration) {}, nil},
-		"nothing kept":         {func(d *Declaration) { d.Entries = 0 }, []string{"no gaps, but nothing", "no repeats, but nothing"}},
-		"latest without gaps":  {func(d *Declaration) { d.Order = Latest }, []string{"passes entries over"}},
-		"causal, no window":    {func(d *Declaration) { d.Order, d.Seconds, d.Told, d.Repeats, d.Wait = Causal, 0, true, true, 1 }, []string{"what came before"}},
-		"no wait":              {func(d *Declaration) { d.Order, d.Wait = BySender, 0 }, []string{"but no wait"}},
-		"a slow one told gaps": {func(d *Declaration) { d.Slow = false }, []string{"cut off"}},
-		"waits for longer":     {func(d *Declaration) { d.Seconds, d.Wait = 1, 2 }, []string{"than they are kept"}},
-		"all at once":          {func(d *Declaration) { *d = Declaration{Order: 9, Entries: -1, Wait: -1} }, []string{"name has", "no such order", "entries are kept", "the wait is", "cut off"}},
+		"none":                {func(d *Declaration) {}, nil},
+		"nothing retained":    {func(d *Declaration) { d.RetainedEntries = 0 }, []string{"gaps are not allowed, but nothing", "repeats are not allowed, but nothing"}},
+		"latest without gaps": {func(d *Declaration) { d.Order = Latest }, []string{"latest skips entries"}},
+		"causal, no window": {func(d *Declaration) {
+			d.Order, d.RetainedSeconds, d.AllowGaps, d.AllowRepeats, d.OrderWait = Causal, 0, true, true, 1
+		}, []string{"the entries before an entry could not be given"}},
+		"no wait":               {func(d *Declaration) { d.Order, d.OrderWait = BySender, 0 }, []string{"but the wait is 0"}},
+		"slow reader gets gaps": {func(d *Declaration) { d.DisconnectSlow = false }, []string{"cut off"}},
+		"waits for longer":      {func(d *Declaration) { d.RetainedSeconds, d.OrderWait = 1, 2 }, []string{"longer than the retention time"}},
+		"all at once":           {func(d *Declaration) { *d = Declaration{Order: 9, RetainedEntries: -1, OrderWait: -1} }, []string{"name has", "no such order", "retained entries has", "the wait for order has", "cut off"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := ok
@@ -48,28 +51,29 @@
 	}
 }
 
-// The name of a withdrawn channel of total order is refused to all ways in; commands of logs that were written before give what they gave.
-func TestAWithdrawnTotalOrderIsNotDeclaredAgain(t *testing.T) {
+// Declaring a withdrawn channel in total order again could lose acknowledged entries, so every new command is refused. Commands from logs that were
+// written before the rule existed must still give the same state.
+func TestTotalOrderNameNotReusedAfterWithdrawal(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
 		order   Order
 		noReuse bool
 		refused bool
 	}{
-		{"total, by a way in", Total, true, true}, {"total, of an older log", Total, false, false}, {"another order, by a way in", BySender, true, false},
+		{"total, new command", Total, true, true}, {"total, older log", Total, false, false}, {"another order, new command", BySender, true, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			l := NewLedger()
 			declare := func(generation uint64, end bool) error {
-				d := declared(tt.order, false)
-				d.Generation, d.End = generation, end
+				d := newDeclaration(tt.order, false)
+				d.Generation, d.Withdrawn = generation, end
 				return l.Apply(&Command{Declare: &d, NoReuse: tt.noReuse})
 			}
 			require.NoError(t, declare(1, false))
 			require.NoError(t, declare(2, true))
 			if err := declare(3, false); tt.refused {
-				require.ErrorIs(t, err, ErrReuse)
-				assert.True(t, l.Declarations()[0].End, "it stays withdrawn")
+				require.ErrorIs(t, err, ErrNameReuse)
+				assert.True(t, l.Declarations()[0].Withdrawn, "the channel stays withdrawn")
 			} else {
 				require.NoError(t, err)
 			}
@@ -77,319 +81,332 @@
 	}
 }
 
-func entry(w string, n uint64, size int) Entry {
+// testEntry returns an entry with a body of size bytes.
+func testEntry(w string, n uint64, size int) Entry {
 	return Entry{Channel: channelName, Writer: w, Number: n, Key: "k", Body: make([]byte, size)}
 }
 
-func TestLedger(t *testing.T) {
+// A sequencer that lost its duty may still propose, and commands may arrive twice. Neither must assign offsets. Pending entries that are not bounded
+// would make the log's snapshot too large to send.
+func TestLedgerRefusesStaleCommandsAndBoundsPending(t *testing.T) {
 	l := NewLedger()
-	d := declared(Total, false)
+	d := newDeclaration(Total, false)
 	require.NoError(t, l.Apply(&Command{Declare: &d}))
 	require.ErrorContains(t, l.Apply(&Command{Declare: &d}), "written against generation 0")
 	other := d
 	other.Generation, other.Order = 2, Causal
 	require.ErrorContains(t, l.Apply(&Command{Declare: &other}), "new name")
-	c := Command{Channel: channelName, Epoch: 5, Entries: []Entry{entry("a", 1, 1), entry("a", 3, 1), entry("b", 1, 1)}}
+	c := Command{Channel: channelName, Epoch: 5, Entries: []Entry{testEntry("a", 1, 1), testEntry("a", 3, 1), testEntry("b", 1, 1)}}
 	require.NoError(t, l.Apply(&c))
-	require.NoError(t, l.Apply(&c), "it may come twice")
-	n := l.Line(channelName)
-	require.Len(t, n.Pending, 2, "a number that skips is not taken, one that repeats neither")
-	assert.EqualValues(t, 2, n.Pending[1].Place)
-	err := l.Apply(&Command{Channel: channelName, Epoch: 4, Spread: 9})
-	require.ErrorContains(t, err, "epoch 4, 5 was seen")
-	require.ErrorContains(t, err, "spread up to 9")
+	require.NoError(t, l.Apply(&c), "a command may arrive twice")
+	n := l.Sequence(channelName)
+	require.Len(t, n.Pending, 2, "an entry that skips a number is not accepted, nor is a repeated one")
+	assert.EqualValues(t, 2, n.Pending[1].Offset)
+	err := l.Apply(&Command{Channel: channelName, Epoch: 4, ReplicatedThrough: 9})
+	require.ErrorContains(t, err, "epoch 4 is older than 5, which was seen")
+	require.ErrorContains(t, err, "replicated up to offset 9")
 	d.Generation = 2
 	require.NoError(t, l.Apply(&Command{Declare: &d}))
-	assert.Equal(t, Entry{Channel: channelName, Number: 2, Epoch: 5, Since: 1, Place: 3, Generation: 2}, l.Line(channelName).Pending[2], "the change has a place")
-	require.NoError(t, l.Apply(&Command{Channel: channelName, Epoch: 6, Spread: 3}))
-	assert.EqualValues(t, 4, l.Line(channelName).Since)
+	assert.Equal(t, Entry{Channel: channelName, Number: 2, Epoch: 5, EpochStart: 1, Offset: 3, Generation: 2}, l.Sequence(channelName).Pending[2], "the change has an offset")
+	require.NoError(t, l.Apply(&Command{Channel: channelName, Epoch: 6, ReplicatedThrough: 3}))
+	assert.EqualValues(t, 4, l.Sequence(channelName).EpochStart)
 	for k := range uint64(100) {
-		require.NoError(t, l.Apply(&Command{Channel: channelName, Epoch: 6, Entries: []Entry{entry("c", k+1, MostBody)}}))
+		require.NoError(t, l.Apply(&Command{Channel: channelName, Epoch: 6, Entries: []Entry{testEntry("c", k+1, MaxBodyBytes)}}))
 	}
 	assert.Equal(t, Restore(l.Save()), l)
-	assert.Less(t, len(l.Line(channelName).Pending)*MostBody, PendingBytes, "more waits for the records to spread")
+	assert.Less(t, len(l.Sequence(channelName).Pending)*MaxBodyBytes, MaxPendingBytes, "the bytes of a channel's pending entries are bounded")
 	all := 0
-	for c := range MostChannels - 1 { // all channels together: the log's snapshot has to fit into one stream
+	for c := range MaxChannels - 1 { // all channels together are bounded too: the log's snapshot has to fit into one stream
 		d.Name, d.Generation = fmt.Sprint("c", c), 1
 		require.NoError(t, l.Apply(&Command{Declare: &d}))
 		for k := range uint64(20) {
-			e := entry("c", k+1, MostBody)
+			e := testEntry("c", k+1, MaxBodyBytes)
 			e.Channel = d.Name
 			require.NoError(t, l.Apply(&Command{Channel: d.Name, Epoch: 6, Entries: []Entry{e}}))
 		}
-		all += len(l.Line(d.Name).Pending) * MostBody
+		all += len(l.Sequence(d.Name).Pending) * MaxBodyBytes
 	}
-	assert.LessOrEqual(t, all, AllPending, "more waits")
+	assert.LessOrEqual(t, all, MaxPendingBytesTotal, "the pending bytes of all channels are bounded")
 	assert.Positive(t, all)
 }
 
-// one is a machine with a channel and nobody else.
-func one(d Declaration) *Machine {
+// newMachine returns a machine with one declared channel and no other dispatchers.
+func newMachine(d Declaration) *Machine {
 	m := New("n0", 1)
-	m.Declare(0, []Declaration{d})
+	m.SetDeclarations(0, []Declaration{d})
 	return m
 }
 
-// learn gives a machine an entry as if it came by replication.
-func learn(m *Machine, now float64, e Entry) {
-	m.Learn(now, replication.Record{Kind: EntryKind, Key: e.key(), Value: packEntry(&e), Dot: replication.Dot{Writer: "other"}})
+// learnEntry gives a machine an entry as if another dispatcher had replicated it.
+func learnEntry(m *Machine, now float64, e Entry) {
+	m.Learn(now, replication.Record{Kind: EntryKind, Key: e.key(), Value: encodeEntry(&e), Dot: replication.Dot{Writer: "other"}})
 }
 
-func words(notes []Note) string {
+// describe formats notifications in short: entries as writer and number, gaps with their range, other events by a word.
+func describe(notes []Notification) string {
 	var b strings.Builder
 	for _, n := range notes {
-		switch n.Word {
-		case Shown:
+		switch n.Kind {
+		case EventEntry:
 			fmt.Fprint(&b, n.Entry.Writer, n.Entry.Number, " ")
-		case Gap:
+		case EventGap:
 			fmt.Fprint(&b, "gap", n.Writer, n.From, "-", n.To, " ")
 		default:
-			b.WriteString([]string{"", "", "", "reset ", "behind ", "cut ", "turned "}[n.Word])
+			b.WriteString([]string{"", "", "", "reset ", "behind ", "cut ", "changed "}[n.Kind])
 		}
 	}
 	return strings.TrimSpace(b.String())
 }
 
-// Small scope: every order in which four entries may come, in every declared order, with and without one of them.
-func TestSmallScope(t *testing.T) {
-	all := []Entry{entry("a", 1, 0), entry("a", 2, 0), entry("b", 1, 0), entry("b", 2, 0)}
+// Exhaustive check on a small scope: four entries arrive in every possible sequence, with some of them missing, under every declared order. Readers
+// must see the declared order, and every entry that arrived must be shown or reported as a gap.
+func TestOrderHoldsForEveryArrivalOrder(t *testing.T) {
+	all := []Entry{testEntry("a", 1, 0), testEntry("a", 2, 0), testEntry("b", 1, 0), testEntry("b", 2, 0)}
 	all[2].After = map[string]uint64{"a": 1}
 	all[3].After = map[string]uint64{"a": 2}
-	var perms func(p, rest []int, f func([]int))
-	perms = func(p, rest []int, f func([]int)) {
+	var permute func(p, rest []int, f func([]int))
+	permute = func(p, rest []int, f func([]int)) {
 		if f(p); len(rest) == 0 {
 			return
 		}
 		for k := range rest {
-			perms(append(p[:len(p):len(p)], rest[k]), append(append([]int{}, rest[:k]...), rest[k+1:]...), f)
+			permute(append(p[:len(p):len(p)], rest[k]), append(append([]int{}, rest[:k]...), rest[k+1:]...), f)
 		}
 	}
 	for _, o := range []Order{Latest, ByKey, BySender, Causal, Total} {
-		for _, told := range []bool{true, o == Latest} {
-			perms(nil, []int{0, 1, 2, 3}, func(p []int) {
-				m, came, seen := one(declared(o, told)), map[string]bool{}, map[string]uint64{}
-				id := need.Of(m.Open(0, Ask{Channel: channelName}))(t)
-				var notes []Note
+		for _, allowGaps := range []bool{true, o == Latest} {
+			permute(nil, []int{0, 1, 2, 3}, func(p []int) {
+				m, arrived, seen := newMachine(newDeclaration(o, allowGaps)), map[string]bool{}, map[string]uint64{}
+				id := need.Of(m.Open(0, OpenRequest{Channel: channelName}))(t)
+				var notes []Notification
 				for k, x := range p {
 					e := all[x]
-					if came[ref(e.Writer, e.Number)] = true; o == Total {
-						e.Place, e.Epoch, e.Since = uint64(x+1), 3, 1
+					if arrived[entryID(e.Writer, e.Number)] = true; o == Total {
+						e.Offset, e.Epoch, e.EpochStart = uint64(x+1), 3, 1
 					}
-					learn(m, float64(k)/10, e)
+					learnEntry(m, float64(k)/10, e)
 					notes = append(notes, m.Take(float64(k)/10, id, 9)...)
 				}
 				m.Tick(5)
 				notes = append(notes, m.Take(5, id, 9)...)
-				place := uint64(0)
+				offset := uint64(0)
 				for _, n := range notes {
-					switch e := n.Entry; n.Word {
-					case Gap:
-						require.True(t, told)
+					switch e := n.Entry; n.Kind {
+					case EventGap:
+						require.True(t, allowGaps)
 						seen[n.Writer] = max(seen[n.Writer], n.To)
-						place = max(place, n.To)
-					case Behind:
+						offset = max(offset, n.To)
+					case EventBehind:
 						require.Less(t, len(p), 4)
-					case Shown:
+					case EventEntry:
 						if o > Latest && o < Total {
 							require.Equal(t, seen[e.Writer]+1, e.Number, "%v %v", o, p)
 						} else if o == Total {
-							require.Equal(t, place+1, e.Place, "%v", p)
+							require.Equal(t, offset+1, e.Offset, "%v", p)
 						}
 						for w, k := range all[map[string]int{"a": -1, "b": 1}[e.Writer]+int(e.Number)].After {
 							require.True(t, o != Causal || seen[w] >= k, "%v", p)
 						}
-						seen[e.Writer], place = e.Number, e.Place
-						delete(came, ref(e.Writer, e.Number))
+						seen[e.Writer], offset = e.Number, e.Offset
+						delete(arrived, entryID(e.Writer, e.Number))
 					}
 				}
-				if told && o > Latest || len(p) == 4 && o > Latest {
-					require.Empty(t, came, "%v told %v %v: all that came is shown, or a gap is told", o, told, p)
+				if allowGaps && o > Latest || len(p) == 4 && o > Latest {
+					require.Empty(t, arrived, "%v gaps allowed %v %v: every entry that arrived is shown or reported as a gap", o, allowGaps, p)
 				}
 			})
 		}
 	}
 }
 
-func TestPositions(t *testing.T) {
-	full := func(d Declaration, n uint64) *Machine {
-		m := one(d)
-		m.Fleet(replication.Fleet{HasQuorum: true, Others: []replication.Member{{Name: "n7", Alive: true}}})
+// A reader may open at a dispatcher that is ahead of its position, behind it, or in another epoch. It must continue exactly there or be notified why
+// it can't, and a damaged token must be refused.
+func TestOpenAtPosition(t *testing.T) {
+	filled := func(d Declaration, n uint64) *Machine {
+		m := newMachine(d)
+		m.SetFleet(replication.Fleet{HasQuorum: true, Others: []replication.Member{{Name: "n7", Alive: true}}})
 		for k := range n {
-			e := entry("a", k+1, 0)
+			e := testEntry("a", k+1, 0)
 			if d.Order == Total {
-				e.Epoch, e.Since, e.Place = 3, 1, k+1
+				e.Epoch, e.EpochStart, e.Offset = 3, 1, k+1
 			}
-			learn(m, 0, e)
+			learnEntry(m, 0, e)
 		}
 		return m
 	}
 	seen := func(n uint64) Position {
 		return Position{Channel: channelName, Generation: 1, Seen: map[string]uint64{"a": n}}
 	}
-	at := func(ep, n uint64) Position { return Position{Channel: channelName, Generation: 1, Epoch: ep, Place: n} }
+	at := func(ep, n uint64) Position {
+		return Position{Channel: channelName, Generation: 1, Epoch: ep, Offset: n}
+	}
 	for name, tt := range map[string]struct {
 		d           Declaration
 		p           Position
 		first, last string
 	}{
-		"in the window":            {declared(BySender, false), seen(97), "a98 a99 a100", ""},
-		"ahead":                    {declared(BySender, false), seen(101), "", "behind"},
-		"ahead of a place":         {declared(Total, false), at(3, 101), "", "behind"},
-		"of a later generation":    {declared(BySender, false), Position{Channel: channelName, Generation: 2}, "", "behind"},
-		"of an epoch to come":      {declared(Total, false), at(4, 101), "", "behind"},
-		"of an epoch unknown here": {declared(Total, false), at(4, 50), "", "behind"},
-		"of a lost epoch":          {declared(Total, false), at(2, 50), "reset", ""},
-		"behind, told":             {few(declared(BySender, true)), seen(10), "gap0-0 a37 a38", ""},
-		"behind, never":            {few(declared(Causal, false)), seen(10), "cut", ""},
-		"behind a place, never":    {few(declared(Total, false)), at(3, 10), "cut", ""},
-		"where the window begins ": {few(declared(Total, false)), at(3, 36), "37 38 39", ""},
+		"in the window":                      {newDeclaration(BySender, false), seen(97), "a98 a99 a100", ""},
+		"ahead":                              {newDeclaration(BySender, false), seen(101), "", "behind"},
+		"ahead of an offset":                 {newDeclaration(Total, false), at(3, 101), "", "behind"},
+		"of a later generation":              {newDeclaration(BySender, false), Position{Channel: channelName, Generation: 2}, "", "behind"},
+		"of a later epoch":                   {newDeclaration(Total, false), at(4, 101), "", "behind"},
+		"of an epoch that is unknown here":   {newDeclaration(Total, false), at(4, 50), "", "behind"},
+		"of a lost epoch":                    {newDeclaration(Total, false), at(2, 50), "reset", ""},
+		"behind, gaps allowed":               {withFewRetained(newDeclaration(BySender, true)), seen(10), "gap0-0 a37 a38", ""},
+		"behind, gaps not allowed":           {withFewRetained(newDeclaration(Causal, false)), seen(10), "cut", ""},
+		"behind an offset, gaps not allowed": {withFewRetained(newDeclaration(Total, false)), at(3, 10), "cut", ""},
+		"at the start of the window":         {withFewRetained(newDeclaration(Total, false)), at(3, 36), "37 38 39", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := full(tt.d, 100)
-			id := need.Of(m.Open(1, Ask{Channel: channelName, Token: tt.p.Token()}))(t)
-			assert.Equal(t, strings.TrimSpace(tt.first), strings.TrimSpace(strings.ReplaceAll(words(m.Take(1.5, id, 3)), map[bool]string{true: "a", false: "~"}[tt.d.Order == Total], "")))
+			m := filled(tt.d, 100)
+			id := need.Of(m.Open(1, OpenRequest{Channel: channelName, Token: tt.p.Token()}))(t)
+			assert.Equal(t, strings.TrimSpace(tt.first), strings.TrimSpace(strings.ReplaceAll(describe(m.Take(1.5, id, 3)), map[bool]string{true: "a", false: "~"}[tt.d.Order == Total], "")))
 			notes := m.Take(3.1, id, 1)
 			if tt.last != "" {
-				require.Equal(t, tt.last, words(notes))
-				assert.Equal(t, []string{"n7"}, notes[0].Where)
+				require.Equal(t, tt.last, describe(notes))
+				assert.Equal(t, []string{"n7"}, notes[0].Dispatchers)
 			}
 		})
 	}
 	p := seen(3)
-	good := p.Token()
-	for k := range good {
-		b := []byte(good)
+	valid := p.Token()
+	for k := range valid {
+		b := []byte(valid)
 		b[k] ^= 1
-		_, err := ReadToken(string(b))
-		require.ErrorIs(t, err, ErrToken, "any letter spoilt")
+		_, err := ParseToken(string(b))
+		require.ErrorIs(t, err, ErrInvalidToken, "a changed byte is detected")
 	}
-	m := full(declared(ByKey, true), 1)
-	_, err := m.Open(1, Ask{Channel: channelName, Order: Causal})
-	require.ErrorIs(t, err, ErrMore)
+	m := filled(newDeclaration(ByKey, true), 1)
+	_, err := m.Open(1, OpenRequest{Channel: channelName, Order: Causal})
+	require.ErrorIs(t, err, ErrOrderNotPromised)
 	require.ErrorContains(t, err, "promises key")
-	need.Of(m.Open(1, Ask{Channel: channelName, Order: Latest}))(t)
+	need.Of(m.Open(1, OpenRequest{Channel: channelName, Order: Latest}))(t)
 }
 
-// Readers of a killed dispatcher come in one after the other, and a slow one costs nobody anything.
-func TestManyAndSlowReaders(t *testing.T) {
-	for _, d := range []Declaration{few(declared(BySender, true)), few(declared(BySender, false))} {
-		m := one(d)
-		slow := need.Of(m.Open(0, Ask{Channel: channelName}))(t)
-		in, due := 0, make([]float64, 1000)
-		most := 0
-		for now := 1.0; in < 1000; now += 0.1 {
+// After a dispatcher is killed, all its readers reconnect elsewhere at once; they have to be admitted at a limited rate. A slow reader must not make the
+// log keep more than declared: it is notified of a gap or cut off, and evicted entries are deleted everywhere.
+func TestOpenIsRateLimitedAndSlowReadersAreSkippedOrCutOff(t *testing.T) {
+	for _, d := range []Declaration{withFewRetained(newDeclaration(BySender, true)), withFewRetained(newDeclaration(BySender, false))} {
+		m := newMachine(d)
+		slow := need.Of(m.Open(0, OpenRequest{Channel: channelName}))(t)
+		admitted, retryAt := 0, make([]float64, 1000)
+		mostAtOnce := 0
+		for now := 1.0; admitted < 1000; now += 0.1 {
 			require.Less(t, now, 60.0)
-			at := in
+			before := admitted
 			m.Tick(now)
-			for k := range due {
-				if due[k] < 0 || due[k] > now {
+			for k := range retryAt {
+				if retryAt[k] < 0 || retryAt[k] > now {
 					continue
 				}
-				_, err := m.Open(now, Ask{Channel: channelName})
-				if later := (*Later)(nil); errors.As(err, &later) {
-					due[k] = now + later.Seconds
+				_, err := m.Open(now, OpenRequest{Channel: channelName})
+				if later := (*RetryLaterError)(nil); errors.As(err, &later) {
+					retryAt[k] = now + later.Seconds
 					continue
 				}
 				require.NoError(t, err)
-				due[k] = -1
-				in++
+				retryAt[k] = -1
+				admitted++
 			}
-			most = max(most, in-at)
+			mostAtOnce = max(mostAtOnce, admitted-before)
 		}
-		assert.LessOrEqual(t, most, 51)
+		assert.LessOrEqual(t, mostAtOnce, 51)
 		for k := range uint64(100) {
-			learn(m, 70, entry("a", k+1, 0))
+			learnEntry(m, 70, testEntry("a", k+1, 0))
 		}
 		assert.Len(t, m.channels[channelName].items, 64)
-		assert.Equal(t, map[bool]string{true: "gap0-0 a37", false: "cut"}[d.Told], words(m.Take(70, slow, 2)))
+		assert.Equal(t, map[bool]string{true: "gap0-0 a37", false: "cut"}[d.AllowGaps], describe(m.Take(70, slow, 2)))
 		m.Tick(71)
-		tombs := 0
+		tombstones := 0
 		for _, p := range m.Ready().Puts {
 			if p.Record.Deleted {
-				tombs++
+				tombstones++
 				m.Learn(71, p.Record)
 			}
 		}
-		assert.Equal(t, 36, tombs, "what fell out is let go everywhere")
-		learn(m, 72, entry("a", 5, 0))
-		assert.Len(t, m.channels[channelName].items, 64, "and doesn't come back")
+		assert.Equal(t, 36, tombstones, "evicted entries are deleted everywhere")
+		learnEntry(m, 72, testEntry("a", 5, 0))
+		assert.Len(t, m.channels[channelName].items, 64, "a deleted entry does not come back")
 	}
 }
 
-// What one alone has is not shown, nor known after a start, until another has it: it is written anew, by its writer or without.
-func TestShownOnceKept(t *testing.T) {
+// An entry that only one dispatcher has may be lost with its disk. It must not be shown or acknowledged, also after a restart, until another dispatcher
+// has it; the dispatcher writes it again whether or not its writer sends it again.
+func TestEntryShownOnlyOnceReplicated(t *testing.T) {
 	for _, o := range []Order{Latest, ByKey, BySender, Causal} {
 		var disk replication.Record
 		for start, resends := range []bool{true, true, false} {
-			m := one(declared(o, o == Latest))
-			id := need.Of(m.Open(0, Ask{Channel: channelName}))(t)
+			m := newMachine(newDeclaration(o, o == Latest))
+			id := need.Of(m.Open(0, OpenRequest{Channel: channelName}))(t)
 			if start > 0 {
-				m.Learn(0, disk) // before it is told who else there is
+				m.Learn(0, disk) // before the fleet is known
 			}
-			m.Fleet(replication.Fleet{AgreedSize: 2})
+			m.SetFleet(replication.Fleet{AgreedSize: 2})
 			if resends {
-				state := need.Of(m.Write(0, entry("a", 1, 0)))(t)
-				require.Equal(t, OnWay, state, "no other is known to have it")
+				state := need.Of(m.Write(0, testEntry("a", 1, 0)))(t)
+				require.Equal(t, WriteInFlight, state, "no other dispatcher is known to have it")
 			}
 			m.Tick(1)
 			puts := m.Ready().Puts
 			require.Len(t, puts, 1)
-			require.True(t, start == 0 || entryLaw(puts[0].Record.Value, disk.Value) > 0, "it stands over itself")
+			require.True(t, start == 0 || entryMergeOrder(puts[0].Record.Value, disk.Value) > 0, "the new record wins over the earlier one")
 			disk = puts[0].Record
 			disk.Dot = replication.Dot{Writer: "n0", WriterEpoch: uint64(start), Number: 1}
 			m.Learn(1, disk)
 			assert.Empty(t, m.Take(1, id, 9))
-			m.Written(2, puts[0].ID, replication.Outcome{Met: start == 2, Copies: 1}, nil)
-			assert.Equal(t, map[bool]string{true: "a1"}[start == 2], words(m.Take(2, id, 9)))
+			m.PutCompleted(2, puts[0].ID, replication.Outcome{Met: start == 2, Copies: 1}, nil)
+			assert.Equal(t, map[bool]string{true: "a1"}[start == 2], describe(m.Take(2, id, 9)))
 		}
-		m := one(declared(o, o == Latest))
-		m.Fleet(replication.Fleet{AgreedSize: 2})
+		m := newMachine(newDeclaration(o, o == Latest))
+		m.SetFleet(replication.Fleet{AgreedSize: 2})
 		disk.Dot.Writer = "n1"
 		m.Learn(0, disk)
-		state := need.Of(m.Write(0, entry("a", 1, 0)))(t)
-		assert.Equal(t, Known, state, "who wrote it has it, too")
+		state := need.Of(m.Write(0, testEntry("a", 1, 0)))(t)
+		assert.Equal(t, WriteAcknowledged, state, "the dispatcher that wrote the record has it, too")
 	}
 }
 
-// A change takes effect at one entry: what is taken under it waits for it.
-func TestTurned(t *testing.T) {
-	m := one(declared(BySender, false))
-	id := need.Of(m.Open(0, Ask{Channel: channelName}))(t)
+// A change of the declaration must take effect at the same entry for all readers. An entry accepted under the new declaration that arrives before it has
+// to wait for it.
+func TestEntryWaitsForItsDeclaration(t *testing.T) {
+	m := newMachine(newDeclaration(BySender, false))
+	id := need.Of(m.Open(0, OpenRequest{Channel: channelName}))(t)
 	for k, g := range []uint64{1, 2} {
-		e := entry("a", uint64(k+1), 0)
+		e := testEntry("a", uint64(k+1), 0)
 		e.Generation = g
-		learn(m, 0, e)
+		learnEntry(m, 0, e)
 	}
-	assert.Equal(t, "a1", words(m.Take(0, id, 9)))
-	d := declared(Causal, true)
+	assert.Equal(t, "a1", describe(m.Take(0, id, 9)))
+	d := newDeclaration(Causal, true)
 	d.Generation = 2
-	m.Declare(1, []Declaration{d})
-	assert.Equal(t, "turned a2", words(m.Take(1, id, 9)))
+	m.SetDeclarations(1, []Declaration{d})
+	assert.Equal(t, "changed a2", describe(m.Take(1, id, 9)))
 }
 
+// BenchmarkThousandReaders measures the delivery of one entry to 1000 readers that keep up.
 func BenchmarkThousandReaders(b *testing.B) {
 	for _, o := range []Order{BySender, Causal, Total} {
 		b.Run(o.String(), func(b *testing.B) {
-			d := declared(o, true)
-			d.Entries = 1000
-			m := one(d)
+			d := newDeclaration(o, true)
+			d.RetainedEntries = 1000
+			m := newMachine(d)
 			var ids []uint64
 			for k := range 1000 {
-				id := need.Of(m.Open(float64(k), Ask{Channel: channelName}))(b)
+				id := need.Of(m.Open(float64(k), OpenRequest{Channel: channelName}))(b)
 				ids = append(ids, id)
 			}
 			b.ReportAllocs()
 			n := uint64(0)
 			for b.Loop() {
 				n++
-				e := entry(fmt.Sprint("w", n%10), (n-1)/10+1, 200)
+				e := testEntry(fmt.Sprint("w", n%10), (n-1)/10+1, 200)
 				if n%10 == 0 {
 					e.Number = n / 10
 				}
 				if o == Total {
-					e.Epoch, e.Since, e.Place = 3, 1, n
+					e.Epoch, e.EpochStart, e.Offset = 3, 1, n
 				}
-				learn(m, 2000, e)
+				learnEntry(m, 2000, e)
 				for _, id := range ids {
 					if len(m.Take(2000, id, 8)) != 1 {
 						b.Fatal("not shown")
--- a/core/cluster/channel/codec.go
+++ b/core/cluster/channel/codec.go
@@ -14,22 +14,25 @@
 	"elderwall/core/cluster/replication"
 )
 
-// Errors of a token and of an entry from outside.
+// Errors for invalid input from outside.
 var (
-	ErrToken = errors.New("spoilt position")
-	ErrEntry = errors.New("spoilt entry")
+	// ErrInvalidToken is returned for a position token that cannot be decoded or belongs to another channel.
+	ErrInvalidToken = errors.New("spoilt position")
+	// ErrInvalidEntry is returned for an entry or a record that breaks the format or the limits.
+	ErrInvalidEntry = errors.New("spoilt entry")
 )
 
-// Kinds are those that replica has to be given.
+// Kinds returns the kinds of records that the replication machine has to be set up with.
 func Kinds() []replication.Kind {
 	return []replication.Kind{
-		{ID: EntryKind, Name: "entry", MaxRecords: 400_000, MaxBytes: 256 << 20, MaxRecordBytes: replication.MaxRecordBytes, Sync: true, MergeOrder: entryLaw, Check: checkEntry},
-		{ID: WriterKind, Name: "writer", MaxRecords: 2 * MostChannels * (MostWriters + 1), MaxBytes: 8 << 20, MaxRecordBytes: 512, Sync: true, MergeOrder: numberLaw, Check: checkNumber},
+		{ID: EntryKind, Name: "entry", MaxRecords: 400_000, MaxBytes: 256 << 20, MaxRecordBytes: replication.MaxRecordBytes, Sync: true, MergeOrder: entryMergeOrder, Check: checkEntry},
+		{ID: WriterKind, Name: "writer", MaxRecords: 2 * MaxChannels * (MaxWriters + 1), MaxBytes: 8 << 20, MaxRecordBytes: 512, Sync: true, MergeOrder: numberMergeOrder, Check: checkNumber},
 	}
 }
 
-// entryLaw: nothing that was let go comes back; of two the higher stamp.
-func entryLaw(a, b []byte) int {
+// entryMergeOrder ranks the values of an entry's record. An empty value, a tombstone, wins over any other, so that nothing deleted comes back; of
+// two entries the one with the higher stamp wins.
+func entryMergeOrder(a, b []byte) int {
 	if len(a) == 0 || len(b) == 0 {
 		return cmp.Compare(min(len(b), 1), min(len(a), 1))
 	}
@@ -38,223 +41,240 @@
 	return cmp.Compare(x, y)
 }
 
-// numberLaw: the higher epoch, then the higher number.
-func numberLaw(a, b []byte) int {
-	x, y := reading{b: a}, reading{b: b}
+// numberMergeOrder ranks the values of a writer's record: the higher epoch wins, then the higher number.
+func numberMergeOrder(a, b []byte) int {
+	x, y := decoder{rest: a}, decoder{rest: b}
 	return cmp.Or(cmp.Compare(x.number(), y.number()), cmp.Compare(x.number(), y.number()))
 }
 
+// checkEntry validates a record of EntryKind that came from outside.
 func checkEntry(key string, value []byte) error {
-	if _, err := readKey(key); err != nil {
+	if _, err := parseKey(key); err != nil {
 		return err
 	}
 	if len(value) == 0 { // a tombstone
 		return nil
 	}
-	e, err := unpackEntry(value)
+	e, err := decodeEntry(value)
 	if err == nil && e.key() != key {
-		err = fmt.Errorf("%w: under another key", ErrEntry)
+		err = fmt.Errorf("%w: the record has another entry's key", ErrInvalidEntry)
 	}
 	return err
 }
 
+// checkNumber validates a record of WriterKind that came from outside.
 func checkNumber(key string, value []byte) error {
-	parts, err := readKey(key)
-	r := reading{b: value}
+	parts, err := parseKey(key)
+	r := decoder{rest: value}
 	r.number()
 	r.number()
-	if err == nil && (len(value) > 0 && r.bad || len(r.b) > 0 || parts.number != 0) {
-		err = ErrEntry
+	if err == nil && (len(value) > 0 && r.failed || len(r.rest) > 0 || parts.number != 0) {
+		err = ErrInvalidEntry
 	}
 	return err
 }
 
-func (e *Entry) size() int { return len(e.Body) + len(e.Key) + len(e.Writer) + after(e.After) + 32 }
+// size returns the bytes that an entry counts for in limits and retention.
+func (e *Entry) size() int {
+	return len(e.Body) + len(e.Key) + len(e.Writer) + afterBytes(e.After) + 32
+}
 
-// Size is how many bytes an entry takes on the wire, or some more.
+// Size returns an upper bound for the bytes that an entry takes on the wire.
 func (e *Entry) Size() int { return e.size() + len(e.Channel) + 40 }
 
-// after is how many bytes of what an entry comes after there are.
-func after(all map[string]uint64) (n int) {
+// afterBytes returns the bytes that an entry's After counts for: each writer's name and 10 more for its number.
+func afterBytes(all map[string]uint64) (n int) {
 	for w := range all {
 		n += len(w) + 10
 	}
 	return n
 }
 
-// lane is whose numbers put the entry in order: its writer's, or the channel's places.
+// lane returns the numbered lane to which the entry belongs and its number there. In total order the lane is "" and the number is the offset; in the
+// other orders each writer is a lane of its own.
 func (e *Entry) lane() (string, uint64) {
-	if e.Place > 0 {
-		return "", e.Place
+	if e.Offset > 0 {
+		return "", e.Offset
 	}
 	return e.Writer, e.Number
 }
 
+// key returns the key of the entry's record.
 func (e *Entry) key() string {
 	w, n := e.lane()
 	if w != "" {
-		return makeKey(e.Channel, w, n, e.Life)
+		return makeKey(e.Channel, w, n, e.Incarnation)
 	}
 	return makeKey(e.Channel, w, n, e.Epoch)
 }
 
-// check tells what is wrong with an entry that a writer sent.
+// check validates an entry that a writer sent. Its error wraps ErrInvalidEntry.
 func (e *Entry) check() error {
 	switch {
-	case e.Channel == "" || len(e.Channel) > LongestName:
-		return fmt.Errorf("%w: a channel has 1 to %d bytes", ErrEntry, LongestName)
-	case e.Writer == "" || len(e.Writer) > LongestName:
-		return fmt.Errorf("%w: a writer has 1 to %d bytes", ErrEntry, LongestName)
+	case e.Channel == "" || len(e.Channel) > MaxNameBytes:
+		return fmt.Errorf("%w: the channel's name has to have 1 to %d bytes", ErrInvalidEntry, MaxNameBytes)
+	case e.Writer == "" || len(e.Writer) > MaxNameBytes:
+		return fmt.Errorf("%w: a writer's name has to have 1 to %d bytes", ErrInvalidEntry, MaxNameBytes)
 	case e.Number == 0 || e.Number >= 1<<60:
-		return fmt.Errorf("%w: numbers begin with 1", ErrEntry)
-	case len(e.Key) > LongestKey || len(e.Body) > MostBody:
-		return fmt.Errorf("%w: at most %d bytes of key and %d of body", ErrEntry, LongestKey, MostBody)
-	case len(e.After) > MostWriters:
-		return fmt.Errorf("%w: after more than %d writers", ErrEntry, MostWriters)
+		return fmt.Errorf("%w: the number has to be from 1 to 2^60-1", ErrInvalidEntry)
+	case len(e.Key) > MaxKeyBytes || len(e.Body) > MaxBodyBytes:
+		return fmt.Errorf("%w: the key may have %d bytes and the body %d", ErrInvalidEntry, MaxKeyBytes, MaxBodyBytes)
+	case len(e.After) > MaxWriters:
+		return fmt.Errorf("%w: it depends on more than %d writers", ErrInvalidEntry, MaxWriters)
 	}
 	for w := range e.After {
-		if len(w) > LongestName {
-			return fmt.Errorf("%w: a writer has 1 to %d bytes", ErrEntry, LongestName)
+		if len(w) > MaxNameBytes {
+			return fmt.Errorf("%w: a writer's name has to have 1 to %d bytes", ErrInvalidEntry, MaxNameBytes)
 		}
 	}
-	if n := after(e.After); n > MostAfter {
-		return fmt.Errorf("%w: what it comes after has %d bytes, at most %d", ErrEntry, n, MostAfter)
+	if n := afterBytes(e.After); n > MaxAfterBytes {
+		return fmt.Errorf("%w: its dependencies have %d bytes, the limit is %d", ErrInvalidEntry, n, MaxAfterBytes)
 	}
 	return nil
 }
 
+// makeKey returns the key of a record.
 func makeKey(channel, writer string, number, epoch uint64) string {
-	b := text(text(nil, channel), writer)
+	b := appendText(appendText(nil, channel), writer)
 	return string(binary.AppendUvarint(binary.BigEndian.AppendUint64(b, number), epoch))
 }
 
-// recordKey is a record's key taken apart.
+// recordKey holds the parts of a record's key.
 type recordKey struct {
-	channel, writer string // no writer: of the whole channel
+	channel, writer string // the writer is "" for a record of a channel in total order
 	number          uint64
-	epoch           uint64 // the incarnation of the channel where there is a writer
+	epoch           uint64 // the channel's incarnation where there is a writer, otherwise the sequencer's epoch
 }
 
-// readKey takes a key of makeKey apart. Its error is ErrEntry.
-func readKey(key string) (recordKey, error) {
-	r := reading{b: []byte(key)}
-	channel, writer := r.text(LongestName), r.text(LongestName)
-	if len(r.b) < 8 {
-		return recordKey{}, ErrEntry
+// parseKey splits a key that makeKey built. Its error is ErrInvalidEntry.
+func parseKey(key string) (recordKey, error) {
+	r := decoder{rest: []byte(key)}
+	channel, writer := r.text(MaxNameBytes), r.text(MaxNameBytes)
+	if len(r.rest) < 8 {
+		return recordKey{}, ErrInvalidEntry
 	}
-	number := binary.BigEndian.Uint64(r.b)
-	r.b = r.b[8:]
+	number := binary.BigEndian.Uint64(r.rest)
+	r.rest = r.rest[8:]
 	epoch := r.number()
-	if r.bad || len(r.b) > 0 || channel == "" {
-		return recordKey{}, ErrEntry
+	if r.failed || len(r.rest) > 0 || channel == "" {
+		return recordKey{}, ErrInvalidEntry
 	}
 	return recordKey{channel: channel, writer: writer, number: number, epoch: epoch}, nil
 }
 
-func text(b []byte, s string) []byte { return append(binary.AppendUvarint(b, uint64(len(s))), s...) }
+// appendText appends the length of a string and the string.
+func appendText(b []byte, s string) []byte {
+	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
+}
 
-func vector(b []byte, v map[string]uint64) []byte {
+// appendVector appends numbers by writer, sorted by writer so that the encoding is unique.
+func appendVector(b []byte, v map[string]uint64) []byte {
 	b = binary.AppendUvarint(b, uint64(len(v)))
 	for _, w := range slices.Sorted(maps.Keys(v)) {
-		b = binary.AppendUvarint(text(b, w), v[w])
+		b = binary.AppendUvarint(appendText(b, w), v[w])
 	}
 	return b
 }
 
-// reading takes apart what came from outside: the first fault spoils all.
-type reading struct {
-	b   []byte
-	bad bool
+// decoder decodes input from outside. After the first fault, failed is set and the result must not be used.
+type decoder struct {
+	rest   []byte // the bytes not yet decoded
+	failed bool
 }
 
-func (r *reading) number() uint64 {
-	x, n := binary.Uvarint(r.b)
+// number decodes an unsigned varint.
+func (r *decoder) number() uint64 {
+	x, n := binary.Uvarint(r.rest)
 	if n <= 0 {
-		r.b, r.bad = nil, true
+		r.rest, r.failed = nil, true
 		return 0
 	}
-	r.b = r.b[n:]
+	r.rest = r.rest[n:]
 	return x
 }
 
-func (r *reading) text(most int) string {
+// text decodes a string of at most limit bytes.
+func (r *decoder) text(limit int) string {
 	n := r.number()
-	if n > uint64(min(most, len(r.b))) {
-		r.b, r.bad = nil, true
+	if n > uint64(min(limit, len(r.rest))) {
+		r.rest, r.failed = nil, true
 		return ""
 	}
-	s := string(r.b[:n])
-	r.b = r.b[n:]
+	s := string(r.rest[:n])
+	r.rest = r.rest[n:]
 	return s
 }
 
-func (r *reading) vector() map[string]uint64 {
+// vector decodes numbers by writer.
+func (r *decoder) vector() map[string]uint64 {
 	n := r.number()
-	if n > MostWriters*2 {
-		r.bad = true
+	if n > MaxWriters*2 {
+		r.failed = true
 	}
-	if n == 0 || r.bad {
+	if n == 0 || r.failed {
 		return nil
 	}
 	v := map[string]uint64{}
 	for range n {
-		w := r.text(LongestName)
+		w := r.text(MaxNameBytes)
 		v[w] = r.number()
 	}
 	return v
 }
 
-// packEntry begins with the stamp: the law reads no more.
-func packEntry(e *Entry) []byte {
+// encodeEntry encodes an entry as a record's value. The stamp comes first, since the merge order reads only that.
+func encodeEntry(e *Entry) []byte {
 	b := make([]byte, 0, e.size()+len(e.Channel)+24*len(e.After)+16)
-	b = text(text(text(binary.AppendUvarint(b, e.Stamp), e.Channel), e.Key), e.Writer)
-	for _, x := range []uint64{e.Number, e.Epoch, e.Place, e.Generation, e.Since, e.Clock, e.Life} {
+	b = appendText(appendText(appendText(binary.AppendUvarint(b, e.Stamp), e.Channel), e.Key), e.Writer)
+	for _, x := range []uint64{e.Number, e.Epoch, e.Offset, e.Generation, e.EpochStart, e.Clock, e.Incarnation} {
 		b = binary.AppendUvarint(b, x)
 	}
-	return append(vector(b, e.After), e.Body...)
+	return append(appendVector(b, e.After), e.Body...)
 }
 
-func unpackEntry(b []byte) (*Entry, error) {
-	r := reading{b: b}
-	e := &Entry{Stamp: r.number(), Channel: r.text(LongestName), Key: r.text(LongestKey), Writer: r.text(LongestName)}
-	for _, x := range []*uint64{&e.Number, &e.Epoch, &e.Place, &e.Generation, &e.Since, &e.Clock, &e.Life} {
+// decodeEntry decodes and validates a value of encodeEntry. Its error is or wraps ErrInvalidEntry.
+func decodeEntry(b []byte) (*Entry, error) {
+	r := decoder{rest: b}
+	e := &Entry{Stamp: r.number(), Channel: r.text(MaxNameBytes), Key: r.text(MaxKeyBytes), Writer: r.text(MaxNameBytes)}
+	for _, x := range []*uint64{&e.Number, &e.Epoch, &e.Offset, &e.Generation, &e.EpochStart, &e.Clock, &e.Incarnation} {
 		*x = r.number()
 	}
 	e.After = r.vector()
-	if e.Body = r.b; r.bad {
-		return nil, ErrEntry
+	if e.Body = r.rest; r.failed {
+		return nil, ErrInvalidEntry
 	}
-	if e.Writer == "" && e.Place > 0 { // a change of the declaration
+	if e.Writer == "" && e.Offset > 0 { // a change of the declaration
 		return e, nil
 	}
 	return e, e.check()
 }
 
-// Token packs a position for a reader to keep.
+// Token encodes a position with a checksum for a reader to keep.
 func (p *Position) Token() string {
-	b := text(make([]byte, 0, 64+24*len(p.Seen)), p.Channel)
-	for _, x := range []uint64{p.Generation, p.Epoch, p.Place, p.Gone, p.Ended} {
+	b := appendText(make([]byte, 0, 64+24*len(p.Seen)), p.Channel)
+	for _, x := range []uint64{p.Generation, p.Epoch, p.Offset, p.ForgottenThrough, p.EndedGeneration} {
 		b = binary.AppendUvarint(b, x)
 	}
-	b = vector(b, p.Seen)
+	b = appendVector(b, p.Seen)
 	return base64.RawURLEncoding.EncodeToString(binary.BigEndian.AppendUint64(b, xxhash.Sum64(b)))
 }
 
-// ReadToken unpacks a token; ErrToken if it is spoilt.
-func ReadToken(s string) (Position, error) {
-	if len(s) > MostToken {
-		return Position{}, ErrToken
+// ParseToken decodes a token that Token built. Its error is ErrInvalidToken.
+func ParseToken(s string) (Position, error) {
+	if len(s) > MaxTokenBytes {
+		return Position{}, ErrInvalidToken
 	}
 	b, err := base64.RawURLEncoding.Strict().DecodeString(s)
 	if err != nil || len(b) < 8 || xxhash.Sum64(b[:len(b)-8]) != binary.BigEndian.Uint64(b[len(b)-8:]) {
-		return Position{}, ErrToken
+		return Position{}, ErrInvalidToken
 	}
-	r := reading{b: b[:len(b)-8]}
-	p := Position{Channel: r.text(LongestName), Generation: r.number(), Epoch: r.number(), Place: r.number(), Gone: r.number(), Ended: r.number()}
-	if p.Seen = r.vector(); r.bad || len(r.b) > 0 {
-		return Position{}, ErrToken
+	r := decoder{rest: b[:len(b)-8]}
+	p := Position{Channel: r.text(MaxNameBytes), Generation: r.number(), Epoch: r.number(), Offset: r.number(), ForgottenThrough: r.number(), EndedGeneration: r.number()}
+	if p.Seen = r.vector(); r.failed || len(r.rest) > 0 {
+		return Position{}, ErrInvalidToken
 	}
 	return p, nil
 }
 
-func number(ep, n uint64) []byte { return binary.AppendUvarint(binary.AppendUvarint(nil, ep), n) }
+// encodeNumber encodes the value of a writer's record: an epoch and a number.
+func encodeNumber(ep, n uint64) []byte { return binary.AppendUvarint(binary.AppendUvarint(nil, ep), n) }
--- a/core/cluster/channel/contract_test.go
+++ b/core/cluster/channel/contract_test.go
@@ -10,8 +10,8 @@
 	"elderwall/internal/contract"
 )
 
-// The laws are orders over what may be written and over what may not, and rubbish is refused.
-func TestLaws(t *testing.T) {
+// The merge orders must be total orders over valid and invalid values alike, and invalid values must be refused.
+func TestMergeOrders(t *testing.T) {
 	for _, k := range Kinds() {
 		t.Run(k.Name, func(t *testing.T) {
 			contract.Kind[[]byte]{
@@ -27,74 +27,74 @@
 	}
 }
 
-// Each order is as declared for who writes and reads at any dispatcher, while records come in any order and are lost now and then.
-func TestChannels(t *testing.T) {
-	for _, d := range []Declaration{declared(Latest, true), declared(ByKey, false), declared(BySender, false), declared(Causal, false), declared(Total, false)} {
+// Writers and readers at any dispatcher must see the declared order, while records arrive in any order and some are lost for a time.
+func TestChannelContract(t *testing.T) {
+	for _, d := range []Declaration{newDeclaration(Latest, true), newDeclaration(ByKey, false), newDeclaration(BySender, false), newDeclaration(Causal, false), newDeclaration(Total, false)} {
 		t.Run(d.Order.String(), func(t *testing.T) {
 			t.Parallel()
 			seed := uint64(0)
-			contract.Channels{Name: d.Order.String(), Order: d.Order.String(), Gaps: d.Told, Make: func(_ testing.TB, n int) contract.Channel {
+			contract.Channels{Name: d.Order.String(), Order: d.Order.String(), Gaps: d.AllowGaps, Make: func(_ testing.TB, n int) contract.Channel {
 				seed++
-				w := newWorld(seed, d, n, 0, 0, "")
-				w.nodes[w.holder].m.Hold(w.clock(w.holder), channelName, w.token)
-				return &played{w: w, ids: make([]uint64, n)}
+				w := newSimulation(seed, d, n, 0, 0, "")
+				w.nodes[w.sequencer].machine.SetSequencerEpoch(w.clock(w.sequencer), channelName, w.fencingToken)
+				return &contractChannel{world: w, readerIDs: make([]uint64, n)}
 			}}.Hold(t)
 		})
 	}
 }
 
-// played is a channel of machines over records that spread.
-type played struct {
-	w     *world
-	ids   []uint64 // of each dispatcher's reader
-	clock uint64
+// contractChannel is a channel for the contract suite: the machines of a simulation, between which records are replicated.
+type contractChannel struct {
+	world     *simulation
+	readerIDs []uint64 // of each dispatcher's reader, 0 if it has not opened
+	clock     uint64
 }
 
-func (p *played) Write(at int, n contract.Note) error {
+func (p *contractChannel) Write(at int, n contract.Note) error {
 	p.clock++
-	e := Entry{Channel: channelName, Key: n.Key, Writer: n.Writer, Number: n.Number, After: n.After, Clock: p.clock, Body: []byte(ref(n.Writer, n.Number))}
+	e := Entry{Channel: channelName, Key: n.Key, Writer: n.Writer, Number: n.Number, After: n.After, Clock: p.clock, Body: []byte(entryID(n.Writer, n.Number))}
 	var err error
-	var last State
+	var last WriteState
 	for range 400 {
-		var state State
-		if p.w.d.Order == Total { // whoever is not the holder hands it on
-			at = p.w.holder
+		var state WriteState
+		if p.world.declaration.Order == Total { // other dispatchers pass the entry to the sequencer
+			at = p.world.sequencer
 		}
-		state, err = p.w.nodes[at].m.Write(p.w.clock(at), e)
+		state, err = p.world.nodes[at].machine.Write(p.world.clock(at), e)
 		last = state
-		if err == nil && (state == Known || state == OnWay && p.w.d.Order != Total) {
+		if err == nil && (state == WriteAcknowledged || state == WriteInFlight && p.world.declaration.Order != Total) {
 			return nil
 		}
-		p.w.step()
+		p.world.step()
 	}
-	return errors.Join(err, fmt.Errorf("%v is not taken: %v", n, last))
+	return errors.Join(err, fmt.Errorf("%v is not accepted: %v", n, last))
 }
 
-func (p *played) Read(at int) (shown []contract.Note, told bool) {
-	m := p.w.nodes[at].m
-	if p.ids[at] == 0 {
-		id, err := m.Open(p.w.clock(at), Ask{Channel: channelName})
+func (p *contractChannel) Read(at int) (shown []contract.Note, told bool) {
+	m := p.world.nodes[at].machine
+	if p.readerIDs[at] == 0 {
+		id, err := m.Open(p.world.clock(at), OpenRequest{Channel: channelName})
 		if err != nil {
 			return nil, false
 		}
-		p.ids[at] = id
+		p.readerIDs[at] = id
 	}
-	for _, note := range m.Take(p.w.clock(at), p.ids[at], 1000) {
+	for _, note := range m.Take(p.world.clock(at), p.readerIDs[at], 1000) {
 		switch {
-		case note.Word == Shown:
+		case note.Kind == EventEntry:
 			shown = append(shown, contract.Note{
 				Key: note.Entry.Key, Writer: note.Entry.Writer, Number: note.Entry.Number, After: note.Entry.After,
 				Late: note.Late,
 			})
-		case note.Word != Shown && note.Word != Turned:
+		case note.Kind != EventEntry && note.Kind != EventDeclarationChanged:
 			told = true
 		}
 	}
 	return shown, told
 }
 
-func (p *played) Pass(*rand.Rand) { p.w.step() }
+func (p *contractChannel) Pass(*rand.Rand) { p.world.step() }
 
-func (p *played) Settle() {
-	p.w.steps(200)
+func (p *contractChannel) Settle() {
+	p.world.steps(200)
 }
--- a/core/cluster/channel/ledger.go
+++ b/core/cluster/channel/ledger.go
@@ -8,179 +8,182 @@
 	"slices"
 )
 
-// Bounds and figures.
+// Limits and settings of channels.
 const (
-	MostChannels = 64
-	MostNames    = 2 * MostChannels // with those that ended: so nothing of them comes back
-	LongestName  = 100              // bytes of a channel's or a writer's
-	LongestKey   = 256              // bytes
-	MostBody     = 16 << 10         // bytes of an entry
-	MostAfter    = 14_000           // bytes of what an entry comes after, 10 more for each writer: with the body under what replica carries
-	MostEntries  = 100_000          // kept of a channel
-	MostBytes    = 64 << 20         // kept of a channel
-	MostSeconds  = 7 * 86400        // s kept
-	MostWait     = 60.0             // s that order may hold a reader back
-	MostWriters  = 256              // of a channel, but for Total: a position names each
-	MostGone     = 512              // names of a channel that were let go and are remembered
-	AllGone      = 2048             // of all channels together: 260 KiB with the longest names
-	MostForget   = 64               // names of a command
-	MostSilence  = 30 * 86400.0
-	MostTakers   = 4096      // writers of a channel of Total that the ledger remembers
-	MostPending  = 256       // entries of a channel put in order and not yet spread: what the voters' log bears
-	PendingBytes = 256 << 10 // of those
-	AllTakers    = 4096      // writers of all channels of Total together: 470 KiB with the longest names
-	AllPending   = 384 << 10 // bytes of all channels' together: the voters' log sends all of its state at once, in 2 MiB with all that is in it
-	MostReaders  = 2000      // of a dispatcher
-	MostFlight   = 4096      // entries of a dispatcher on their way to be kept
-	MostToken    = 48 << 10  // bytes of a position's token
-	MostTake     = 1024      // notes at once
-	takeBytes    = 64 << 10  // bytes of those and their positions, but for one that is longer: a reader that takes none keeps a frame of them
+	MaxChannels             = 64
+	MaxChannelNames         = 2 * MaxChannels // includes the names of withdrawn channels, which are remembered so that none of their entries comes back
+	MaxNameBytes            = 100             // bytes of a channel's or a writer's name
+	MaxKeyBytes             = 256             // bytes of an entry's key
+	MaxBodyBytes            = 16 << 10        // bytes of an entry's body
+	MaxAfterBytes           = 14_000          // bytes of an entry's After, counting 10 more for each writer: with the body this stays below what replication carries
+	MaxRetainedEntries      = 100_000         // entries of a channel
+	MaxRetainedBytes        = 64 << 20        // bytes of a channel
+	MaxRetainedSeconds      = 7 * 86400       // seconds
+	MaxOrderWait            = 60.0            // seconds
+	MaxWriters              = 256             // writers of a channel, except in total order: a position names each of them
+	MaxForgotten            = 512             // forgotten writers of a channel that are listed by name
+	MaxForgottenTotal       = 2048            // forgotten writers of all channels that are listed by name: 260 KiB with the longest names
+	MaxForgetBatch          = 64              // names in one command
+	MaxWriterExpiry         = 30 * 86400.0    // seconds
+	MaxSequenceWriters      = 4096            // writers of a channel in total order that the ledger remembers
+	MaxPending              = 256             // entries of a channel that have an offset and are not yet replicated: the voters' log has to hold them
+	MaxPendingBytes         = 256 << 10       // bytes of a channel's pending entries
+	MaxSequenceWritersTotal = 4096            // writers of all channels in total order that the ledger remembers: 470 KiB with the longest names
+	MaxPendingBytesTotal    = 384 << 10       // bytes of all channels' pending entries: the voters' log sends its whole state in one message of at most 2 MiB
+	MaxReaders              = 2000            // readers at one dispatcher
+	MaxInFlight             = 4096            // entries of one dispatcher that are being replicated
+	MaxTokenBytes           = 48 << 10        // bytes of a position's token
+	MaxTake                 = 1024            // notifications of one Take
+	maxTakeBytes            = 64 << 10        // bytes of entries and positions of one Take, exceeded by at most one entry: this bounds the frame that is kept for a reader that takes nothing
 
-	Duty        = "channel:" // and the channel's name: who holds it puts Total in order, its token is the epoch
-	Copies      = 2          // that have an entry before it is acknowledged
-	Within      = 2.0        // s by which a writer hears how sure its entry is
-	opensEach   = 100.0      // readers a second that are let in, so that those of a killed dispatcher don't come as a herd
-	opensBurst  = 50.0
-	batch       = 64       // entries of a command
-	batchBytes  = 64 << 10 // bytes of a command's bodies, but for one entry that is longer
-	againAfter  = 1.0      // s after which a command that nothing came of is proposed again
-	mostTrims   = 256      // tombstones handed out at once
-	mostWaiting = 10_000   // readers that the spread of waits reckons with
-	attempts    = 1 << 20  // to spread an entry under one epoch
-	leastKept   = 64       // entries that stay for readers in step, where less is declared
-	leastTime   = 1.0      // s, the same
-	forgetEach  = 1.0      // s between looks at whose name may go
-	endKept     = 10.0     // s for which what a withdrawn channel kept stays, so that readers are given it
-	endMost     = 60.0     // s after which a withdrawn channel of Total has ended, whether or not its last place came
+	DutyPrefix           = "channel:" // followed by the channel's name: the duty whose holder sequences a channel in total order; its fencing token is the epoch
+	AckCopies            = 2          // dispatchers that have an entry before it is acknowledged
+	AckTimeout           = 2.0        // seconds within which a writer learns whether its entry is replicated
+	openRate             = 100.0      // readers admitted per second, so that the readers of a killed dispatcher do not all reconnect at once
+	openBurst            = 50.0       // readers admitted at once after a quiet time
+	batchEntries         = 64         // entries in one command
+	batchBytes           = 64 << 10   // bytes of entries in one command, exceeded only by a single larger entry
+	reproposeAfter       = 1.0        // seconds after which a command without effect is proposed again
+	maxTombstonesPerTick = 256        // tombstones written in one Tick
+	maxRecentRefusals    = 10_000     // refused readers that the retry delay accounts for
+	stampsPerEpoch       = 1 << 20    // stamps that each epoch of the sequencer has for writing its entries
+	minRetainedEntries   = 64         // entries retained for readers that keep up, even where fewer are declared
+	minRetainedSeconds   = 1.0        // seconds retained for readers that keep up, even where less is declared
+	expiryCheckInterval  = 1.0        // seconds between checks for writers to forget
+	withdrawnRetention   = 10.0       // seconds for which a withdrawn channel keeps its entries, so that readers still get them
+	maxWithdrawalDelay   = 60.0       // seconds after which a withdrawn channel in total order ends even if its last offset has not arrived
 )
 
-// Check tells all that is wrong with a declaration: what contradicts itself and what nobody could keep.
+// Check reports every fault of a declaration: promises that contradict each other and promises that cannot be kept.
 func (d *Declaration) Check() error {
 	var all []error
-	bad := func(is bool, f string, a ...any) {
+	faultIf := func(is bool, f string, a ...any) {
 		if is {
 			all = append(all, fmt.Errorf("channel %.20q: "+f, append([]any{d.Name}, a...)...))
 		}
 	}
-	none := d.Entries == 0 || d.Bytes == 0 || d.Seconds == 0
-	bad(d.Name == "" || len(d.Name) > LongestName, "a name has 1 to %d bytes", LongestName)
-	bad(d.Order < Latest || d.Order > Total, "no such order")
-	bad(d.Entries < 0 || d.Entries > MostEntries, "from 0 to %d entries are kept", MostEntries)
-	bad(d.Bytes < 0 || d.Bytes > MostBytes, "from 0 to %d bytes are kept", MostBytes)
-	bad(!(d.Seconds >= 0 && d.Seconds <= MostSeconds), "from 0 to %d s are kept", MostSeconds)
-	bad(!(d.Wait >= 0 && d.Wait <= MostWait), "the wait is from 0 to %g s", MostWait)
-	bad(!d.Told && none, "no gaps, but nothing is kept: what one missed could not be given")
-	bad(!d.Told && d.Order == Latest, "no gaps, but the order latest passes entries over")
-	bad(!d.Told && !d.Slow, "no gaps, but a slow reader is told one: it has to be cut off")
-	bad(!d.Repeats && none, "no repeats, but nothing is kept: there is no window to know them by")
-	bad(d.Order == Latest && none, "the newest of each key, but nothing is kept")
-	bad(d.Order == Causal && none, "causal order, but nothing is kept: what came before an entry could not be given")
-	bad(d.Order > Latest && d.Wait == 0, "order %s, but no wait: each entry that comes out of turn would break off", d.Order)
-	bad(d.Seconds > 0 && d.Wait > d.Seconds, "entries are held back for longer than they are kept")
-	bad(!(d.Forget >= 0 && d.Forget <= MostSilence), "a writer's name goes after up to %g s", MostSilence)
-	bad(d.Forget > 0 && d.Order >= Causal, "order %s, but names of writers go: in causal order an entry may come after any, total order forgets by itself", min(d.Order, Total))
-	bad(d.Bytes > 0 && d.Bytes < MostBody, "less is kept than one entry may have (%d bytes)", MostBody)
+	nothingRetained := d.RetainedEntries == 0 || d.RetainedBytes == 0 || d.RetainedSeconds == 0
+	faultIf(d.Name == "" || len(d.Name) > MaxNameBytes, "the name has to have 1 to %d bytes", MaxNameBytes)
+	faultIf(d.Order < Latest || d.Order > Total, "no such order")
+	faultIf(d.RetainedEntries < 0 || d.RetainedEntries > MaxRetainedEntries, "the number of retained entries has to be from 0 to %d", MaxRetainedEntries)
+	faultIf(d.RetainedBytes < 0 || d.RetainedBytes > MaxRetainedBytes, "the retained bytes have to be from 0 to %d", MaxRetainedBytes)
+	faultIf(!(d.RetainedSeconds >= 0 && d.RetainedSeconds <= MaxRetainedSeconds), "the retention time has to be from 0 to %d s", MaxRetainedSeconds)
+	faultIf(!(d.OrderWait >= 0 && d.OrderWait <= MaxOrderWait), "the wait for order has to be from 0 to %g s", MaxOrderWait)
+	faultIf(!d.AllowGaps && nothingRetained, "gaps are not allowed, but nothing is retained: an entry that a reader missed could not be given to it")
+	faultIf(!d.AllowGaps && d.Order == Latest, "gaps are not allowed, but the order latest skips entries")
+	faultIf(!d.AllowGaps && !d.DisconnectSlow, "gaps are not allowed, but a slow reader would get one: it has to be cut off")
+	faultIf(!d.AllowRepeats && nothingRetained, "repeats are not allowed, but nothing is retained: there is no window in which to detect them")
+	faultIf(d.Order == Latest && nothingRetained, "the order is latest, but nothing is retained: the newest entry of a key could not be given")
+	faultIf(d.Order == Causal && nothingRetained, "the order is causal, but nothing is retained: the entries before an entry could not be given")
+	faultIf(d.Order > Latest && d.OrderWait == 0, "the order is %s, but the wait is 0: each entry that arrives out of order would end the stream", d.Order)
+	faultIf(d.RetainedSeconds > 0 && d.OrderWait > d.RetainedSeconds, "the wait for order is longer than the retention time")
+	faultIf(!(d.WriterExpiry >= 0 && d.WriterExpiry <= MaxWriterExpiry), "the time after which a writer is forgotten has to be from 0 to %g s", MaxWriterExpiry)
+	faultIf(d.WriterExpiry > 0 && d.Order >= Causal, "the order is %s, but writers are to be forgotten: in causal order an entry may depend on any writer, and total order forgets writers by itself", min(d.Order, Total))
+	faultIf(d.RetainedBytes > 0 && d.RetainedBytes < MaxBodyBytes, "the retained bytes are fewer than the body of one entry may have (%d bytes)", MaxBodyBytes)
 	return errors.Join(all...)
 }
 
-// Command is one entry of the ledger: a declaration, or what the holder of a channel's duty puts in order. It may come twice.
+// Command is one change of the ledger: a declaration, writers to forget, or entries and progress from a channel's sequencer. Applying a command
+// twice has the same effect as applying it once.
 type Command struct {
-	Declare *Declaration `cbor:"1,keyasint,omitempty"` // its Generation is one above the one that it was written against
-	Channel string       `cbor:"2,keyasint,omitempty"`
-	Epoch   uint64       `cbor:"3,keyasint,omitempty"` // token of the duty
-	Entries []Entry      `cbor:"4,keyasint,omitempty"` // put in order as they stand; those known by writer and number are passed over
-	Spread  uint64       `cbor:"5,keyasint,omitempty"` // a majority has the records up to this place
-	Forget  []Gone       `cbor:"6,keyasint,omitempty"` // writers whose names go; of no channel of Total
-	Life    uint64       `cbor:"7,keyasint,omitempty"` // the declaration's Since as it was then
-	// NoReuse refuses a declaration under the name of a withdrawn channel of total order. All ways in set it; without it stand the commands of logs
-	// that were written before, which must give the same state when they are read again.
+	Declare           *Declaration      `cbor:"1,keyasint,omitempty"` // its Generation is one above that of the declaration that it replaces
+	Channel           string            `cbor:"2,keyasint,omitempty"`
+	Epoch             uint64            `cbor:"3,keyasint,omitempty"` // fencing token of the sequencer's duty
+	Entries           []Entry           `cbor:"4,keyasint,omitempty"` // entries to be given offsets in this order; those already known by writer and number are skipped
+	ReplicatedThrough uint64            `cbor:"5,keyasint,omitempty"` // a majority has the records up to this offset
+	Forget            []ForgottenWriter `cbor:"6,keyasint,omitempty"` // writers to forget; not for channels in total order
+	Incarnation       uint64            `cbor:"7,keyasint,omitempty"` // the declaration's WithdrawnGeneration when the command was proposed
+	// NoReuse refuses a declaration under the name of a withdrawn channel in total order. Every new command sets it. Commands in logs that were
+	// written before the field existed lack it and must give the same state when they are replayed.
 	NoReuse bool `cbor:"8,keyasint,omitempty"`
 }
 
-// Taken is how far a writer's numbers were taken, and the place of the last.
-type Taken struct {
+// WriterProgress is the number of a writer's last sequenced entry and its offset.
+type WriterProgress struct {
 	Number uint64 `cbor:"1,keyasint" json:"Number"`
-	Place  uint64 `cbor:"2,keyasint" json:"Place"`
+	Offset uint64 `cbor:"2,keyasint" json:"Place"`
 }
 
-// Line is what the ledger has of a channel of total order. Who gets one does not change it.
-type Line struct {
-	Channel string           `cbor:"1,keyasint" json:"Channel"`
-	Epoch   uint64           `cbor:"2,keyasint" json:"Epoch"`   // highest seen
-	Since   uint64           `cbor:"3,keyasint" json:"Since"`   // its first place
-	Next    uint64           `cbor:"4,keyasint" json:"Next"`    // place
-	Spread  uint64           `cbor:"5,keyasint" json:"Spread"`  // up to here the bodies were let go
-	Pending []Entry          `cbor:"6,keyasint" json:"Pending"` // in order, not yet known to be spread
-	Writers map[string]Taken `cbor:"7,keyasint" json:"Writers"`
+// Sequence is the ledger's state of a channel in total order. Receivers must not modify it.
+type Sequence struct {
+	Channel           string                    `cbor:"1,keyasint" json:"Channel"`
+	Epoch             uint64                    `cbor:"2,keyasint" json:"Epoch"`   // highest epoch of a sequencer seen
+	EpochStart        uint64                    `cbor:"3,keyasint" json:"Since"`   // first offset of that epoch
+	NextOffset        uint64                    `cbor:"4,keyasint" json:"Next"`    // offset of the next entry
+	ReplicatedThrough uint64                    `cbor:"5,keyasint" json:"Spread"`  // up to this offset the entries are replicated and no longer in Pending
+	Pending           []Entry                   `cbor:"6,keyasint" json:"Pending"` // entries with offsets that are not yet known to be replicated
+	Writers           map[string]WriterProgress `cbor:"7,keyasint" json:"Writers"`
 }
 
-// Ledger is the agreed part of channels: kept by the voters' log. What is in it a majority has.
+// Ledger is the part of the channels' state that the voters agree on. It is the state machine of the voters' log, so a majority has whatever is in
+// it. It is not safe for concurrent use.
 type Ledger struct {
-	declared map[string]Declaration
-	lines    map[string]*Line
-	silent   map[string]*Silent
-	gone     uint64 // names that were ever let go
+	declared       map[string]Declaration
+	sequences      map[string]*Sequence
+	forgotten      map[string]*ForgottenWriters
+	forgottenCount uint64 // writers ever forgotten, in all channels
 }
 
-// NewLedger is empty.
+// NewLedger returns an empty ledger.
 func NewLedger() *Ledger {
-	return &Ledger{declared: map[string]Declaration{}, lines: map[string]*Line{}, silent: map[string]*Silent{}}
+	return &Ledger{declared: map[string]Declaration{}, sequences: map[string]*Sequence{}, forgotten: map[string]*ForgottenWriters{}}
 }
 
-// Silent is who was let go after one of them, by channel, and how many that are in all.
-func (l *Ledger) Silent(after uint64) (all []Silent, gone uint64) {
-	for _, name := range slices.Sorted(maps.Keys(l.silent)) {
-		s := *l.silent[name]
-		k, _ := slices.BinarySearchFunc(s.Gone, after+1, func(g Gone, at uint64) int { return cmp.Compare(g.At, at) })
-		if s.Gone = slices.Clone(s.Gone[k:]); len(s.Gone) > 0 || s.Rolled > after {
+// ForgottenWriters returns, by channel, the forgotten writers with a Sequence above after, and the number of writers ever forgotten.
+func (l *Ledger) ForgottenWriters(after uint64) (all []ForgottenWriters, count uint64) {
+	for _, name := range slices.Sorted(maps.Keys(l.forgotten)) {
+		s := *l.forgotten[name]
+		k, _ := slices.BinarySearchFunc(s.Writers, after+1, func(g ForgottenWriter, at uint64) int { return cmp.Compare(g.Sequence, at) })
+		if s.Writers = slices.Clone(s.Writers[k:]); len(s.Writers) > 0 || s.EvictedThrough > after {
 			all = append(all, s)
 		}
 	}
-	return all, l.gone
+	return all, l.forgottenCount
 }
 
-// letGo books names that go. The oldest are remembered no more, those of the channel with most of them first.
-func (l *Ledger) letGo(name string, all []Gone) {
-	s := l.silent[name]
+// forgetWriters records writers as forgotten. Above the limits it drops the oldest ones from the lists, first from the channel that lists most.
+func (l *Ledger) forgetWriters(name string, all []ForgottenWriter) {
+	s := l.forgotten[name]
 	if s == nil {
-		s = &Silent{Channel: name}
-		l.silent[name] = s
+		s = &ForgottenWriters{Channel: name}
+		l.forgotten[name] = s
 	}
 	for _, g := range all {
-		if k := slices.IndexFunc(s.Gone, func(o Gone) bool { return o.Writer == g.Writer }); k >= 0 {
-			if s.Gone[k].Number >= g.Number { // it came twice
+		if k := slices.IndexFunc(s.Writers, func(o ForgottenWriter) bool { return o.Writer == g.Writer }); k >= 0 {
+			if s.Writers[k].Number >= g.Number { // the command was applied before
 				continue
 			}
-			s.Gone = slices.Delete(s.Gone, k, k+1)
+			s.Writers = slices.Delete(s.Writers, k, k+1)
 		}
-		l.gone++
-		g.At = l.gone
-		s.Gone = append(s.Gone, g)
+		l.forgottenCount++
+		g.Sequence = l.forgottenCount
+		s.Writers = append(s.Writers, g)
 	}
 	sum := 0
-	for _, o := range l.silent {
-		o.roll(len(o.Gone) - MostGone)
-		sum += len(o.Gone)
+	for _, o := range l.forgotten {
+		o.evictOldest(len(o.Writers) - MaxForgotten)
+		sum += len(o.Writers)
 	}
-	for ; sum > AllGone; sum-- {
-		most := s
-		for _, n := range slices.Sorted(maps.Keys(l.silent)) {
-			if o := l.silent[n]; len(o.Gone) > len(most.Gone) {
-				most = o
+	for ; sum > MaxForgottenTotal; sum-- {
+		largest := s
+		for _, n := range slices.Sorted(maps.Keys(l.forgotten)) {
+			if o := l.forgotten[n]; len(o.Writers) > len(largest.Writers) {
+				largest = o
 			}
 		}
-		most.roll(1)
+		largest.evictOldest(1)
 	}
 }
 
-func (s *Silent) roll(n int) {
+// evictOldest drops the n oldest writers from the list.
+func (s *ForgottenWriters) evictOldest(n int) {
 	for ; n > 0; n-- {
-		s.Rolled, s.Clock = s.Gone[0].At, max(s.Clock, s.Gone[0].Clock)
-		s.Gone = slices.Delete(s.Gone, 0, 1)
+		s.EvictedThrough, s.EvictedClock = s.Writers[0].Sequence, max(s.EvictedClock, s.Writers[0].Clock)
+		s.Writers = slices.Delete(s.Writers, 0, 1)
 	}
 }
 
-// Declarations are those that stand, by name.
+// Declarations returns the current declarations sorted by name, withdrawn channels included.
 func (l *Ledger) Declarations() []Declaration {
 	var all []Declaration
 	for _, n := range slices.Sorted(maps.Keys(l.declared)) {
@@ -189,229 +192,232 @@
 	return all
 }
 
-// Line is a copy of what stands for a channel of total order, nil if it is none.
-func (l *Ledger) Line(name string) *Line {
-	n := l.lines[name]
+// Sequence returns a copy of the state of a channel in total order, or nil if there is no such channel.
+func (l *Ledger) Sequence(name string) *Sequence {
+	n := l.sequences[name]
 	if n == nil {
 		return nil
 	}
 	return n.clone()
 }
 
-func (n *Line) clone() *Line {
+func (n *Sequence) clone() *Sequence {
 	c := *n
 	c.Pending, c.Writers = slices.Clone(n.Pending), maps.Clone(n.Writers)
 	return &c
 }
 
-// Check tells all that is wrong with a command from outside, as the ledger stands.
+// Check reports every fault of a command from outside against the current state of the ledger.
 func (l *Ledger) Check(c *Command) error {
 	var all []error
 	if c.Declare != nil {
 		all = append(all, c.Declare.Check())
 		was, ok := l.declared[c.Declare.Name]
-		if c.Declare.End && (!ok || was.End) {
-			all = append(all, fmt.Errorf("channel %.20q: there is none to be ended", c.Declare.Name))
+		if c.Declare.Withdrawn && (!ok || was.Withdrawn) {
+			all = append(all, fmt.Errorf("channel %.20q: there is no such channel to withdraw", c.Declare.Name))
 		}
-		if c.NoReuse && ok && was.End && was.Order == Total && !c.Declare.End {
-			all = append(all, fmt.Errorf("channel %.20q: %w", c.Declare.Name, ErrReuse))
+		if c.NoReuse && ok && was.Withdrawn && was.Order == Total && !c.Declare.Withdrawn {
+			all = append(all, fmt.Errorf("channel %.20q: %w", c.Declare.Name, ErrNameReuse))
 		}
 		if c.Declare.Generation != was.Generation+1 {
-			all = append(all, fmt.Errorf("channel %.20q: written against generation %d, it has %d", c.Declare.Name, int64(c.Declare.Generation)-1, was.Generation))
+			all = append(all, fmt.Errorf("channel %.20q: written against generation %d, the current one is %d", c.Declare.Name, int64(c.Declare.Generation)-1, was.Generation))
 		}
 		if ok && (was.Order == Total) != (c.Declare.Order == Total) {
-			all = append(all, fmt.Errorf("channel %.20q: places and vectors can't be compared: a change to or from total order needs a new name", was.Name))
+			all = append(all, fmt.Errorf("channel %.20q: offsets and version vectors can't be compared: a change to or from total order needs a new name", was.Name))
 		}
-		stand := 0
+		active := 0
 		for _, d := range l.declared {
-			stand += map[bool]int{false: 1}[d.End]
+			active += map[bool]int{false: 1}[d.Withdrawn]
 		}
-		if !c.Declare.End && (!ok || was.End) && stand >= MostChannels {
-			all = append(all, fmt.Errorf("there are %d channels already", MostChannels))
+		if !c.Declare.Withdrawn && (!ok || was.Withdrawn) && active >= MaxChannels {
+			all = append(all, fmt.Errorf("there are %d channels already", MaxChannels))
 		}
-		if !ok && len(l.declared) >= MostNames {
-			all = append(all, fmt.Errorf("there were %d channels: the name of one that ended may be taken, in its next generation", MostNames))
+		if !ok && len(l.declared) >= MaxChannelNames {
+			all = append(all, fmt.Errorf("there are %d channel names already: declare the name of a withdrawn channel in its next generation", MaxChannelNames))
 		}
-		if n := l.lines[c.Declare.Name]; n != nil && len(n.Pending) >= MostPending {
-			all = append(all, fmt.Errorf("channel %.20q: too much waits to be spread", c.Declare.Name))
+		if n := l.sequences[c.Declare.Name]; n != nil && len(n.Pending) >= MaxPending {
+			all = append(all, fmt.Errorf("channel %.20q: too many entries are not yet replicated", c.Declare.Name))
 		}
 		if c.Channel != "" {
-			all = append(all, errors.New("one command declares and puts in order"))
+			all = append(all, errors.New("one command has both a declaration and a channel's commands"))
 		}
 		return errors.Join(all...)
 	}
 	if len(c.Forget) > 0 {
 		d, ok := l.declared[c.Channel]
-		if !ok || d.End || d.Forget == 0 || d.Since != c.Life || len(c.Entries) > 0 || c.Spread > 0 {
-			all = append(all, fmt.Errorf("channel %.20q: no names go in it", c.Channel))
+		if !ok || d.Withdrawn || d.WriterExpiry == 0 || d.WithdrawnGeneration != c.Incarnation || len(c.Entries) > 0 || c.ReplicatedThrough > 0 {
+			all = append(all, fmt.Errorf("channel %.20q: its writers can't be forgotten by this command", c.Channel))
 		}
-		if len(c.Forget) > MostForget {
-			all = append(all, fmt.Errorf("%d names at once", len(c.Forget)))
+		if len(c.Forget) > MaxForgetBatch {
+			all = append(all, fmt.Errorf("%d writers to forget in one command", len(c.Forget)))
 		}
 		for _, g := range c.Forget {
-			if g.Writer == "" || len(g.Writer) > LongestName || g.Number == 0 {
-				all = append(all, fmt.Errorf("channel %.20q: no name of a writer: %.20q", c.Channel, g.Writer))
+			if g.Writer == "" || len(g.Writer) > MaxNameBytes || g.Number == 0 {
+				all = append(all, fmt.Errorf("channel %.20q: invalid writer name or number: %.20q", c.Channel, g.Writer))
 			}
 		}
 		return errors.Join(all...)
 	}
-	n := l.lines[c.Channel]
+	n := l.sequences[c.Channel]
 	if n == nil {
-		return fmt.Errorf("channel %.20q: no channel of total order", c.Channel)
+		return fmt.Errorf("channel %.20q: not a channel in total order", c.Channel)
 	}
 	if c.Epoch == 0 || c.Epoch < n.Epoch {
-		all = append(all, fmt.Errorf("channel %q: epoch %d, %d was seen", c.Channel, c.Epoch, n.Epoch))
+		all = append(all, fmt.Errorf("channel %q: epoch %d is older than %d, which was seen", c.Channel, c.Epoch, n.Epoch))
 	}
-	if d := l.declared[c.Channel]; len(c.Entries) > 0 && (d.End || d.Since != c.Life) {
-		all = append(all, fmt.Errorf("channel %q: %w", c.Channel, ErrEnded))
+	if d := l.declared[c.Channel]; len(c.Entries) > 0 && (d.Withdrawn || d.WithdrawnGeneration != c.Incarnation) {
+		all = append(all, fmt.Errorf("channel %q: %w", c.Channel, ErrWithdrawn))
 	}
-	if c.Spread >= n.Next {
-		all = append(all, fmt.Errorf("channel %q: spread up to %d, the next place is %d", c.Channel, c.Spread, n.Next))
+	if c.ReplicatedThrough >= n.NextOffset {
+		all = append(all, fmt.Errorf("channel %q: replicated up to offset %d, but the next offset is %d", c.Channel, c.ReplicatedThrough, n.NextOffset))
 	}
-	if len(c.Entries) > MostPending {
-		all = append(all, fmt.Errorf("channel %q: %d entries at once", c.Channel, len(c.Entries)))
+	if len(c.Entries) > MaxPending {
+		all = append(all, fmt.Errorf("channel %q: %d entries in one command", c.Channel, len(c.Entries)))
 	}
 	for i := range c.Entries {
 		if err := c.Entries[i].check(); err != nil || c.Entries[i].Channel != c.Channel {
-			all = append(all, errors.Join(err, fmt.Errorf("entry %d is not taken", i)))
+			all = append(all, errors.Join(err, fmt.Errorf("entry %d is not valid in this command", i)))
 		}
 	}
 	return errors.Join(all...)
 }
 
-// Apply does a command, or refuses it whole with all its faults. Of entries it takes what it can: Line tells which.
+// Apply executes a command, or refuses all of it and returns every fault that Check finds. Of the command's entries it accepts those that it can;
+// Sequence shows which.
 func (l *Ledger) Apply(c *Command) error {
 	if err := l.Check(c); err != nil {
 		return err
 	}
 	if len(c.Forget) > 0 {
-		l.letGo(c.Channel, c.Forget)
+		l.forgetWriters(c.Channel, c.Forget)
 		return nil
 	}
 	if c.Declare != nil {
 		d, was := *c.Declare, l.declared[c.Declare.Name]
-		if d.Since, d.Place = was.Since, was.Place; was.End {
-			if d.Since = was.Generation; d.Order == Total {
-				d.Place = l.lines[d.Name].Next
+		if d.WithdrawnGeneration, d.FirstOffset = was.WithdrawnGeneration, was.FirstOffset; was.Withdrawn {
+			if d.WithdrawnGeneration = was.Generation; d.Order == Total {
+				d.FirstOffset = l.sequences[d.Name].NextOffset
 			}
 		}
-		if d.End {
-			delete(l.silent, d.Name)
+		if d.Withdrawn {
+			delete(l.forgotten, d.Name)
 		}
 		l.declared[d.Name] = d
 		if d.Order != Total {
 			return nil
 		}
-		n := l.lines[d.Name]
+		n := l.sequences[d.Name]
 		if n == nil {
-			n = &Line{Channel: d.Name, Since: 1, Next: 1, Writers: map[string]Taken{}}
-			l.lines[d.Name] = n
+			n = &Sequence{Channel: d.Name, EpochStart: 1, NextOffset: 1, Writers: map[string]WriterProgress{}}
+			l.sequences[d.Name] = n
 		}
-		if d.End || was.End { // who writes again begins anew
+		if d.Withdrawn || was.Withdrawn { // writers start again from number 1
 			clear(n.Writers)
 		}
-		if d.Generation > 1 { // all readers see the change at this place
-			n.put(Entry{Channel: d.Name, Number: d.Generation}, d.Generation)
+		if d.Generation > 1 { // all readers see the change at this offset
+			n.appendPending(Entry{Channel: d.Name, Number: d.Generation}, d.Generation)
 		}
 		return nil
 	}
-	n, d := l.lines[c.Channel], l.declared[c.Channel]
+	n, d := l.sequences[c.Channel], l.declared[c.Channel]
 	if c.Epoch > n.Epoch {
-		n.Epoch, n.Since = c.Epoch, n.Next
+		n.Epoch, n.EpochStart = c.Epoch, n.NextOffset
 	}
-	n.Spread = max(n.Spread, c.Spread)
-	n.Pending = slices.DeleteFunc(n.Pending, func(e Entry) bool { return e.Place <= n.Spread })
-	size, all, takers := n.pending(), 0, 0
-	for _, o := range l.lines {
-		all, takers = all+o.pending(), takers+len(o.Writers)
+	n.ReplicatedThrough = max(n.ReplicatedThrough, c.ReplicatedThrough)
+	n.Pending = slices.DeleteFunc(n.Pending, func(e Entry) bool { return e.Offset <= n.ReplicatedThrough })
+	size, totalBytes, writers := n.pendingBytes(), 0, 0
+	for _, o := range l.sequences {
+		totalBytes, writers = totalBytes+o.pendingBytes(), writers+len(o.Writers)
 	}
 	for _, e := range c.Entries {
 		was, ok := n.Writers[e.Writer]
-		held := len(n.Writers)
+		before := len(n.Writers)
 		if e.Number != was.Number+1 {
-			continue // known, or one before it is missing: its writer sends it again
+			continue // the entry is known already, or one before it is missing and the writer sends it again
 		}
-		if size, all = size+e.size(), all+e.size(); len(n.Pending) >= MostPending || size > PendingBytes || all > AllPending {
-			break // its writer hears nothing of it, and sends it again
+		if size, totalBytes = size+e.size(), totalBytes+e.size(); len(n.Pending) >= MaxPending || size > MaxPendingBytes || totalBytes > MaxPendingBytesTotal {
+			break // the writer gets no acknowledgement and sends it again
 		}
-		if !ok && (len(n.Writers) >= MostTakers || takers >= AllTakers) && !n.forget(uint64(d.Entries)) {
+		if !ok && (len(n.Writers) >= MaxSequenceWriters || writers >= MaxSequenceWritersTotal) && !n.evictOldestWriter(uint64(d.RetainedEntries)) {
 			continue
 		}
-		takers -= held
-		n.Writers[e.Writer] = Taken{e.Number, n.Next}
-		takers += len(n.Writers)
-		n.put(e, d.Generation)
+		writers -= before
+		n.Writers[e.Writer] = WriterProgress{e.Number, n.NextOffset}
+		writers += len(n.Writers)
+		n.appendPending(e, d.Generation)
 	}
 	return nil
 }
 
-// pending is how many bytes wait to be spread.
-func (n *Line) pending() (size int) {
+// pendingBytes returns the bytes of the entries that are not yet replicated.
+func (n *Sequence) pendingBytes() (size int) {
 	for i := range n.Pending {
 		size += n.Pending[i].size()
 	}
 	return size
 }
 
-func (n *Line) put(e Entry, generation uint64) {
-	e.Epoch, e.Since, e.Place, e.Generation, e.Stamp, e.After = n.Epoch, n.Since, n.Next, generation, 0, nil
-	n.Next++
+// appendPending gives an entry the next offset and adds it to the pending entries.
+func (n *Sequence) appendPending(e Entry, generation uint64) {
+	e.Epoch, e.EpochStart, e.Offset, e.Generation, e.Stamp, e.After = n.Epoch, n.EpochStart, n.NextOffset, generation, 0, nil
+	n.NextOffset++
 	n.Pending = append(n.Pending, e)
 }
 
-// forget lets go of the writer that was silent for longest, if none of its entries is within what is kept: so no repeat comes into the window.
-func (n *Line) forget(kept uint64) bool {
+// evictOldestWriter removes the writer with the oldest last entry, unless that entry is still retained: otherwise a repeated entry could be accepted
+// within the retained entries. It reports whether it removed a writer.
+func (n *Sequence) evictOldestWriter(retained uint64) bool {
 	if len(n.Writers) == 0 {
 		return false
 	}
 	name := ""
 	for w, t := range n.Writers {
-		if o := n.Writers[name]; name == "" || t.Place < o.Place {
+		if o := n.Writers[name]; name == "" || t.Offset < o.Offset {
 			name = w
 		}
 	}
-	if n.Writers[name].Place+kept >= n.Next {
+	if n.Writers[name].Offset+retained >= n.NextOffset {
 		return false
 	}
 	delete(n.Writers, name)
 	return true
 }
 
-// Saved is a ledger as a snapshot keeps it.
-type Saved struct {
-	Declared []Declaration `cbor:"1,keyasint" json:"Declared"`
-	Lines    []Line        `cbor:"2,keyasint" json:"Lines"`
-	Silent   []Silent      `cbor:"3,keyasint,omitempty" json:"Silent"`
-	Gone     uint64        `cbor:"4,keyasint,omitempty" json:"Gone"` // names that were ever let go
+// LedgerSnapshot is the state of a ledger as the snapshots of the voters' log store it.
+type LedgerSnapshot struct {
+	Declared         []Declaration      `cbor:"1,keyasint" json:"Declared"`
+	Sequences        []Sequence         `cbor:"2,keyasint" json:"Lines"`
+	ForgottenWriters []ForgottenWriters `cbor:"3,keyasint,omitempty" json:"Silent"`
+	ForgottenCount   uint64             `cbor:"4,keyasint,omitempty" json:"Gone"` // writers ever forgotten, in all channels
 }
 
-// Save gives all of it; nothing that changes is shared with it.
-func (l *Ledger) Save() Saved {
-	s := Saved{Declared: l.Declarations()}
-	s.Silent, s.Gone = l.Silent(0)
-	for _, n := range slices.Sorted(maps.Keys(l.lines)) {
-		s.Lines = append(s.Lines, *l.lines[n].clone())
+// Save returns the ledger's state. The snapshot shares no data that later changes.
+func (l *Ledger) Save() LedgerSnapshot {
+	s := LedgerSnapshot{Declared: l.Declarations()}
+	s.ForgottenWriters, s.ForgottenCount = l.ForgottenWriters(0)
+	for _, n := range slices.Sorted(maps.Keys(l.sequences)) {
+		s.Sequences = append(s.Sequences, *l.sequences[n].clone())
 	}
 	return s
 }
 
-// Restore makes a ledger of what was saved.
-func Restore(s Saved) *Ledger {
+// Restore returns a ledger with the state of a snapshot.
+func Restore(s LedgerSnapshot) *Ledger {
 	l := NewLedger()
 	for _, d := range s.Declared {
 		l.declared[d.Name] = d
 	}
-	l.gone = s.Gone
-	for _, o := range s.Silent {
-		o.Gone = slices.Clone(o.Gone)
-		l.silent[o.Channel] = &o
+	l.forgottenCount = s.ForgottenCount
+	for _, o := range s.ForgottenWriters {
+		o.Writers = slices.Clone(o.Writers)
+		l.forgotten[o.Channel] = &o
 	}
-	for i := range s.Lines {
-		n := s.Lines[i].clone()
+	for i := range s.Sequences {
+		n := s.Sequences[i].clone()
 		if n.Writers == nil {
-			n.Writers = map[string]Taken{}
+			n.Writers = map[string]WriterProgress{}
 		}
-		l.lines[n.Channel] = n
+		l.sequences[n.Channel] = n
 	}
 	return l
 }
--- a/core/cluster/channel/machine.go
+++ b/core/cluster/channel/machine.go
@@ -12,326 +12,345 @@
 	"elderwall/core/cluster/replication"
 )
 
-// Errors of a write and of opening. None leaves anything behind.
+// Errors of Write and Open, and of commands. A call that returns one leaves nothing behind.
 var (
-	ErrChannel = errors.New("no such channel")
-	ErrSkips   = errors.New("a number before it is missing here")
-	ErrAfter   = errors.New("what it comes after is not known here yet")
-	ErrFull    = errors.New("too much is on its way")
-	ErrCut     = errors.New("no majority is seen: nothing is put in order")
-	ErrMore    = errors.New("a higher order than is declared")
-	ErrWriters = errors.New("the channel has too many writers")
-	ErrEnded   = errors.New("the channel was withdrawn")
-	// ErrReuse refuses a declaration that could lose acknowledged entries (docs/channels.md, "Left alone").
-	ErrReuse = errors.New("a channel of total order that was withdrawn is not declared again under its name: declare another name")
-	// ErrForgotten tells that a name was let go: whether what it wrote last was kept is not known any more. A new name may go on, with the channel's clock.
-	ErrForgotten = errors.New("the writer was silent for too long, its name is forgotten: take another")
+	ErrUnknownChannel    = errors.New("no such channel")
+	ErrNumberSkipped     = errors.New("a number before it is missing here")
+	ErrMissingDependency = errors.New("what it comes after is not known here yet")
+	ErrFull              = errors.New("too much is on its way")
+	ErrNoMajority        = errors.New("no majority is seen: nothing is put in order")
+	ErrOrderNotPromised  = errors.New("a higher order than is declared")
+	ErrTooManyWriters    = errors.New("the channel has too many writers")
+	ErrWithdrawn         = errors.New("the channel was withdrawn")
+	// ErrNameReuse refuses to declare a withdrawn channel in total order again. That could lose acknowledged entries (docs/channels.md, "Left alone").
+	ErrNameReuse = errors.New("a withdrawn channel in total order can't be declared again under its name: declare another name")
+	// ErrWriterForgotten means that the writer's name may be forgotten, so whether its last entries were kept is no longer known. The client may
+	// continue under a new name with the channel's clock.
+	ErrWriterForgotten = errors.New("the writer was silent for too long, its name is forgotten: take another")
 )
 
-// Later refuses a reader for so many seconds: those of a killed dispatcher come one after the other.
-type Later struct{ Seconds float64 }
+// RetryLaterError tells a refused reader after how many seconds to try again. It spreads the readers of a killed dispatcher over time.
+type RetryLaterError struct{ Seconds float64 }
 
-func (l *Later) Error() string { return fmt.Sprintf("too many readers at once: in %.1f s", l.Seconds) }
+func (l *RetryLaterError) Error() string {
+	return fmt.Sprintf("too many readers at once: retry in %.1f s", l.Seconds)
+}
 
-// State is what became of a write.
-type State uint8
+// WriteState is the result of a Write.
+type WriteState uint8
 
-// The states.
+// The states of a write.
 const (
-	OnWay     State = 1 + iota // an Ack follows
-	Known                      // acknowledged before: nothing is written twice
-	Elsewhere                  // the holder of the channel's duty has to be handed the entry
+	WriteInFlight     WriteState = 1 + iota // the entry is being replicated or sequenced; an Ack follows
+	WriteAcknowledged                       // the entry was acknowledged before and is not written again
+	WriteNotSequencer                       // the caller has to pass the entry to the channel's sequencer
 )
 
-// Ack tells a writer, in its numbers' order, how sure an entry is. One that is not Met may be sent again.
+// Ack reports to a writer whether an entry is durable. The acks of one writer come in the order of its numbers; an entry that is not Met may be sent
+// again.
 type Ack struct {
 	Channel, Writer string
 	Number          uint64
-	Met             bool
-	Copies          int
+	Met             bool // the entry's write concern was met
+	Copies          int  // dispatchers known to have the entry, where known
 	Err             error
 }
 
-// Put is a record for replica; what becomes of one with an ID is told by Written.
+// Put is a record to be written by replication. The caller reports the result of one with an ID by PutCompleted.
 type Put struct {
-	ID     uint64
-	Record replication.Record
-	Sure   replication.WriteConcern
+	ID      uint64 // 0 if no result is expected
+	Record  replication.Record
+	Concern replication.WriteConcern
 }
 
-// Ready is what is to be done.
+// Ready is the work that the caller has to carry out.
 type Ready struct {
 	Puts     []Put
-	Commands []Command // for the voters' log
+	Commands []Command // to be proposed to the voters' log
 	Acks     []Ack
-	News     []string // channels whose readers have something to take
-	Relearn  bool     // all records of channels have to be learned anew
+	Updated  []string // channels whose readers should call Take
+	Relearn  bool     // the caller has to pass all records of channels to Learn again
 }
 
-// Ask is what a reader wants.
-type Ask struct {
+// OpenRequest describes a reader that wants to open a channel.
+type OpenRequest struct {
 	Channel string `cbor:"Channel"`
-	Token   string `cbor:"Token"` // "" for all that is kept
-	Order   Order  `cbor:"Order"` // 0 for what is declared
-	Now     bool   `cbor:"Now"`   // with no token: only what comes from now on
-}
-
-// item is one place of a channel's log at this dispatcher: an entry, a gap, or a change of the declaration.
-type item struct {
-	e          *Entry
-	writer     string // of a gap
-	from, to   uint64
-	generation uint64
-	late       bool
-	mark       bool // a change of the declaration
-	over       bool // the channel's end
-	sure       bool // another has it, or a writer was told that it is kept
-	at         float64
-	size       int
-	pos        string
-}
-
-type held struct {
-	e    *Entry
-	at   float64
-	sure bool
-}
-
-type flight struct {
-	number, id uint64
+	Token   string `cbor:"Token"` // position to continue from; "" for all retained entries
+	Order   Order  `cbor:"Order"` // 0 for the declared order
+	FromNow bool   `cbor:"Now"`   // without a token: only entries from now on
+}
+
+// logItem is one item of a channel's log at this dispatcher: an entry, a gap, or a change of the declaration.
+type logItem struct {
+	entry             *Entry
+	writer            string // of a gap
+	from, to          uint64 // of a gap: first and last number; to is also set for a declaration change in total order
+	generation        uint64
+	late              bool    // a newer entry of its key is before it in the log
+	declarationChange bool    // the item is a change of the declaration
+	end               bool    // the item is the channel's end
+	replicated        bool    // another dispatcher has the entry, or its writer got an acknowledgement
+	appendedAt        float64 // seconds
+	size              int     // bytes
+	token             string  // of the position after the item
+}
+
+// heldEntry is an entry that is not in the log yet.
+type heldEntry struct {
+	entry      *Entry
+	heldAt     float64 // seconds
+	replicated bool    // as in logItem
+}
+
+// inFlightWrite is a writer's entry that is being replicated.
+type inFlightWrite struct {
+	number, id uint64 // the writer's number and the ID of the Put
 	done       bool
 	outcome    replication.Outcome
 	err        error
 }
 
-type epoch struct{ epoch, since uint64 }
+// epochRange is an epoch of the sequencer and its first offset.
+type epochRange struct{ epoch, start uint64 }
 
+// channel is the state of one channel at this dispatcher. Maps that are keyed by lane (see Entry.lane) have a lane for each writer or, in total order,
+// the single lane "", whose numbers are offsets.
 type channel struct {
-	d      Declaration
-	known  bool
-	items  []item
-	first  uint64                     // offset of the first
-	vec    map[string]uint64          // up to here each writer's numbers are in the log
-	clock  map[string]uint64          // of each writer's last
-	base   map[string]uint64          // up to here they fell out of it
-	floor  map[string]uint64          // up to here others let them go
-	held   map[string]map[uint64]held // not in turn yet
-	oldest float64                    // since when one is held, 0 for none
-	newest map[string]*Entry
-	bytes  int
-	stamp  uint64
-	turned uint64 // generation of the log's end
-	epoch  uint64 // the same of Total
-	basis  string // token of the log's beginning
-	epochs []epoch
-	taken  map[string]uint64 // of Total: writers' numbers that were seen
-	flight map[string][]*flight
-	dead   map[string]uint64  // up to here tombstones came
-	loose  map[string]float64 // keys that fell out and have no tombstone yet; when to write it again
-	marks  map[string]bool    // writers whose mark is to be written
-	// Of writers that were let go: by name, those remembered.
-	gone        map[string]Gone
-	silent      uint64 // of all that were let go, up to this one they are known here
-	rolled      uint64 // and up to this one not remembered
-	rolledClock uint64
-	heard       bool               // what was let go before this dispatcher began is known
-	idle        map[string]float64 // since when each writer is silent
-	looked      float64
-	// Of a channel that was withdrawn.
-	life    uint64 // the declaration's Since
-	ended   uint64 // generation of the end that has come here, 0 for none
-	endedAt float64
-	ending  float64 // since when the end is declared
-	news    bool
-	// At the holder of the duty.
-	holds    uint64
-	line     *Line
-	queue    []Entry
-	proposed float64
-	again    uint64
-	spread   map[uint64]bool // places on their way; whether they are spread
-}
-
+	declaration       Declaration
+	declared          bool // the declaration has arrived
+	items             []logItem
+	firstIndex        uint64                          // index of items[0], counting all items that were ever in the log
+	logged            map[string]uint64               // by lane, the number up to which entries were appended to the log
+	lastClock         map[string]uint64               // by lane, the clock of the last entry in the log
+	evicted           map[string]uint64               // by lane, the number up to which entries are no longer retained here
+	evictedElsewhere  map[string]uint64               // by lane, the number up to which other dispatchers no longer retain entries
+	held              map[string]map[uint64]heldEntry // entries not in the log yet, by lane and number
+	oldestHeldAt      float64                         // when the oldest held entry arrived, 0 if none is held
+	newestByKey       map[string]*Entry
+	bytes             int                         // size of all items
+	highestStamp      uint64                      // highest stamp seen in the channel
+	logGeneration     uint64                      // generation of the declaration at the end of the log
+	logEpoch          uint64                      // in total order, the sequencer's epoch at the end of the log
+	startToken        string                      // token of the position before the first item
+	epochs            []epochRange                // known epochs, sorted
+	sequencedNumbers  map[string]uint64           // in total order, the highest number seen of each writer
+	inFlight          map[string][]*inFlightWrite // by writer, in the order in which they were sent
+	tombstonedThrough map[string]uint64           // by lane, the number up to which tombstones were received
+	pendingTombstones map[string]float64          // keys that need a tombstone, with the time at which to write it again
+	pendingEvictions  map[string]bool             // lanes whose evicted number is to be written as a record of WriterKind
+	// Forgotten writers.
+	forgotten        map[string]ForgottenWriter // those still listed, by name
+	forgottenThrough uint64                     // highest Sequence of a forgotten writer that is known here
+	evictedThrough   uint64                     // forgotten writers with a Sequence up to this one are no longer listed
+	evictedClock     uint64                     // highest clock of those
+	forgottenLoaded  bool                       // the writers forgotten before this dispatcher started are known
+	lastActive       map[string]float64         // when each writer's last entry or gap was appended
+	expiryCheckedAt  float64                    // last check for writers to forget
+	// Withdrawal.
+	incarnation     uint64  // the declaration's WithdrawnGeneration
+	endedGeneration uint64  // generation of the withdrawal that took effect here, 0 for none
+	endedAt         float64 // when it took effect
+	withdrawnAt     float64 // when the current declaration arrived, used if it is a withdrawal
+	updated         bool    // readers should call Take
+	// At the sequencer only.
+	sequencerEpoch     uint64          // fencing token of the duty, 0 if this dispatcher does not hold it
+	sequence           *Sequence       // the ledger's state, nil until it has been read
+	queue              []Entry         // entries to be proposed
+	proposedAt         float64         // when the last command was proposed, 0 if none is outstanding
+	replicationAttempt uint64          // counts the writes of entries in this epoch, part of their stamps
+	offsetsReplicated  map[uint64]bool // offsets written for replication; true once a majority has the record
+}
+
+// reader is an open reader of a channel.
 type reader struct {
-	c       *channel
-	wish    Order
-	cursor  uint64
-	seen    map[string]uint64 // nil once the log's own positions hold
-	place   Position
-	had     map[string]*Entry // by key the newest that it had seen when it came
-	started bool
-	fresh   uint64 // with no token: what its writers wrote before is no gap up to this offset
-	gone    uint64 // of its position
-	life    uint64
-	gen     uint64
-	opened  float64
-}
-
-type wait struct {
+	channel          *channel
+	order            Order             // order that the reader asked for
+	cursor           uint64            // index of the next log item to take
+	seen             map[string]uint64 // by lane, the highest number seen; nil once the reader is at the end of the log and the items' own tokens apply
+	position         Position          // position from the token; in total order, updated as the reader advances
+	newestSeen       map[string]*Entry // by key, the newest entry that the reader had seen when it opened
+	started          bool              // cursor is set
+	openedAtIndex    uint64            // without a token, the end index at opening: a missing beginning of a lane before it is not reported as a gap
+	forgottenThrough uint64            // for the position's token
+	incarnation      uint64            // of the channel at opening
+	generation       uint64            // of the declaration that the reader knows, 0 for none
+	openedAt         float64
+}
+
+// pendingPut is the entry of a Put whose result is awaited. Entries in total order have an offset, others a writer and a number.
+type pendingPut struct {
 	channel, writer string
 	number          uint64
-	place           uint64
+	offset          uint64
 }
 
-// Machine is a dispatcher's part of channels.
+// Machine runs the channels of one dispatcher. It is a state machine without I/O: the caller passes in records, requests and the time and carries
+// out Ready. It is not safe for concurrent use. In all methods now is in seconds on the caller's monotonic clock.
 type Machine struct {
-	name     string
-	rng      *rand.Rand
-	channels map[string]*channel
-	readers  map[uint64]*reader
-	next     uint64
-	others   []string
-	alone    bool // the last agreed fleet has no other; not so until it is told
-	trims    bool
-	decides  bool
-	waits    map[uint64]wait
-	flights  int
-	ready    Ready
-	room     float64 // for readers that open
-	roomAt   float64
-	refused  float64 // of late
-	spoilt   int
-	gone     uint64 // names let go that are known here
-}
-
-// New makes the machine of a dispatcher.
+	name             string
+	rng              *rand.Rand
+	channels         map[string]*channel
+	readers          map[uint64]*reader
+	nextID           uint64
+	liveOthers       []string
+	alone            bool // the last agreed fleet has no other dispatcher; false until the fleet is known
+	writesTombstones bool // this dispatcher is the first by name of those alive
+	hasQuorum        bool // this dispatcher sees a majority
+	pendingPuts      map[uint64]pendingPut
+	inFlight         int // writes of all channels that are being replicated
+	ready            Ready
+	openTokens       float64 // token bucket for readers that open
+	openTokensAt     float64 // when openTokens was last refilled
+	recentRefusals   float64 // refused readers, decaying with each Tick
+	invalidRecords   int
+	forgottenCount   uint64 // writers of all channels known to be forgotten
+}
+
+// New returns the machine of a dispatcher. The seed drives the random retry delays of refused readers.
 func New(name string, seed uint64) *Machine {
 	return &Machine{
-		name: name, rng: rand.New(rand.NewPCG(seed, 47)), channels: map[string]*channel{}, readers: map[uint64]*reader{}, next: 1,
-		waits: map[uint64]wait{}, trims: true, room: opensBurst,
+		name: name, rng: rand.New(rand.NewPCG(seed, 47)), channels: map[string]*channel{}, readers: map[uint64]*reader{}, nextID: 1,
+		pendingPuts: map[uint64]pendingPut{}, writesTombstones: true, openTokens: openBurst,
 	}
 }
 
-// Spoilt is how many records made no sense.
-func (m *Machine) Spoilt() int { return m.spoilt }
+// InvalidRecords returns how many records were dropped because they could not be decoded or belong to no possible channel.
+func (m *Machine) InvalidRecords() int { return m.invalidRecords }
 
-// Fleet tells who else is there and whether a majority is seen. The first by name writes the tombstones: of two in a cut both may.
-func (m *Machine) Fleet(f replication.Fleet) {
-	m.others, m.trims, m.decides, m.alone = nil, true, f.HasQuorum, f.AgreedSize <= 1
+// SetFleet sets which other dispatchers are alive and whether a majority is seen. The first by name writes the tombstones; in a network partition one
+// dispatcher on each side may do so.
+func (m *Machine) SetFleet(f replication.Fleet) {
+	m.liveOthers, m.writesTombstones, m.hasQuorum, m.alone = nil, true, f.HasQuorum, f.AgreedSize <= 1
 	for _, o := range f.Others {
 		if o.Alive {
-			m.others = append(m.others, o.Name)
-			m.trims = m.trims && m.name < o.Name
+			m.liveOthers = append(m.liveOthers, o.Name)
+			m.writesTombstones = m.writesTombstones && m.name < o.Name
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.channels)) {
 		if !f.HasQuorum {
-			m.unqueue(m.channels[name])
+			m.refuseQueued(m.channels[name])
 		}
 	}
 }
 
-func (m *Machine) channel(name string) *channel {
+// channelFor returns the state of a channel and creates it if needed. It returns nil if there are too many channels.
+func (m *Machine) channelFor(name string) *channel {
 	c := m.channels[name]
-	if c == nil && len(m.channels) < 2*MostChannels {
+	if c == nil && len(m.channels) < 2*MaxChannels {
 		c = &channel{
-			first: 1, vec: map[string]uint64{}, clock: map[string]uint64{}, base: map[string]uint64{}, floor: map[string]uint64{}, held: map[string]map[uint64]held{},
-			newest: map[string]*Entry{}, taken: map[string]uint64{}, flight: map[string][]*flight{}, loose: map[string]float64{}, marks: map[string]bool{},
-			spread: map[uint64]bool{}, dead: map[string]uint64{}, gone: map[string]Gone{}, idle: map[string]float64{},
+			firstIndex: 1, logged: map[string]uint64{}, lastClock: map[string]uint64{}, evicted: map[string]uint64{}, evictedElsewhere: map[string]uint64{}, held: map[string]map[uint64]heldEntry{},
+			newestByKey: map[string]*Entry{}, sequencedNumbers: map[string]uint64{}, inFlight: map[string][]*inFlightWrite{}, pendingTombstones: map[string]float64{}, pendingEvictions: map[string]bool{},
+			offsetsReplicated: map[uint64]bool{}, tombstonedThrough: map[string]uint64{}, forgotten: map[string]ForgottenWriter{}, lastActive: map[string]float64{},
 		}
 		m.channels[name] = c
 	}
 	return c
 }
 
-// Declare takes the agreed declarations in. But for Total the change is an entry of its own in the log, before all that was taken under it.
-func (m *Machine) Declare(now float64, all []Declaration) {
+// SetDeclarations applies the declarations that the voters agreed on. A changed declaration becomes an item of the log, before all entries that were
+// accepted under it. In total order that item comes with the ledger's sequence instead.
+func (m *Machine) SetDeclarations(now float64, all []Declaration) {
 	for _, d := range all {
-		c := m.channel(d.Name)
-		if c == nil || d.Check() != nil || c.known && d.Generation <= c.d.Generation {
+		c := m.channelFor(d.Name)
+		if c == nil || d.Check() != nil || c.declared && d.Generation <= c.declaration.Generation {
 			continue
 		}
-		was := c.known
-		if c.d, c.known = d, true; d.End || d.Since != c.life {
-			m.unqueue(c)
+		was := c.declared
+		if c.declaration, c.declared = d, true; d.Withdrawn || d.WithdrawnGeneration != c.incarnation {
+			m.refuseQueued(c)
 		}
-		if d.Since != c.life { // it ended, and was declared anew: what came before it was known here is looked through again
-			m.clear(c, d.Since)
-			if d.Place > 0 {
-				c.vec[""] = max(c.vec[""], d.Place-1)
-				c.base[""] = max(c.base[""], d.Place-1)
+		if d.WithdrawnGeneration != c.incarnation { // the channel was withdrawn and declared again: records that arrived before this declaration are learned again
+			m.discardEntries(c, d.WithdrawnGeneration)
+			if d.FirstOffset > 0 {
+				c.logged[""] = max(c.logged[""], d.FirstOffset-1)
+				c.evicted[""] = max(c.evicted[""], d.FirstOffset-1)
 			}
-			c.turned, c.ended, c.ending, m.ready.Relearn = d.Generation, 0, 0, true
-			c.basis = c.token()
+			c.logGeneration, c.endedGeneration, c.withdrawnAt, m.ready.Relearn = d.Generation, 0, 0, true
+			c.startToken = c.token()
 		}
 		if d.Order != Total {
-			if c.turned = d.Generation; was && !d.End {
-				c.append(item{generation: d.Generation, at: now, mark: true})
+			if c.logGeneration = d.Generation; was && !d.Withdrawn {
+				c.append(logItem{generation: d.Generation, appendedAt: now, declarationChange: true})
 			}
 		}
 		if !was {
-			c.basis = c.token()
+			c.startToken = c.token()
 		}
 		m.advance(now, c)
-		if c.ending = now; d.End && (d.Order != Total || !was) {
-			if m.finish(now, c); !was { // it may go at the others already: a part of it is not shown
-				m.clear(c, c.life)
+		if c.withdrawnAt = now; d.Withdrawn && (d.Order != Total || !was) {
+			if m.endChannel(now, c); !was { // other dispatchers may be deleting its entries already, so none are delivered rather than only some
+				m.discardEntries(c, c.incarnation)
 			}
 		}
 	}
 }
 
+// position returns the position at the end of the log.
 func (c *channel) position() Position {
-	p := Position{Channel: c.d.Name, Generation: c.turned, Gone: c.silent}
-	if c.d.Order == Total {
-		p.Epoch, p.Place = c.epoch, c.vec[""]
+	p := Position{Channel: c.declaration.Name, Generation: c.logGeneration, ForgottenThrough: c.forgottenThrough}
+	if c.declaration.Order == Total {
+		p.Epoch, p.Offset = c.logEpoch, c.logged[""]
 	} else {
-		p.Seen = c.vec
+		p.Seen = c.logged
 	}
 	return p
 }
 
+// token returns the token of the position at the end of the log.
 func (c *channel) token() string {
 	p := c.position()
 	return p.Token()
 }
 
-func (c *channel) append(i item) {
-	i.pos = c.token()
+// append adds an item to the log. The numbers in logged already include it.
+func (c *channel) append(i logItem) {
+	i.token = c.token()
 	c.items = append(c.items, i)
 	c.bytes += i.size
-	c.news = true
+	c.updated = true
 }
 
-func (c *channel) end() uint64 { return c.first + uint64(len(c.items)) }
+// endIndex returns the index after the last item of the log.
+func (c *channel) endIndex() uint64 { return c.firstIndex + uint64(len(c.items)) }
 
-// Learn takes a record in that replica has got, from others or from oneself.
+// Learn applies a record that replication has stored, whether another dispatcher or this one wrote it.
 func (m *Machine) Learn(now float64, r replication.Record) {
-	key, err := readKey(r.Key)
+	key, err := parseKey(r.Key)
 	writer, number, ep := key.writer, key.number, key.epoch
 	var c *channel
 	if err == nil {
-		c = m.channel(key.channel)
+		c = m.channelFor(key.channel)
 	}
 	switch {
 	case c == nil:
-		m.spoilt++
+		m.invalidRecords++
 		return
-	case writer != "" && m.void(c, r, ep):
+	case writer != "" && m.discardStale(c, r, ep):
 		if r.Deleted {
-			delete(c.loose, r.Key)
+			delete(c.pendingTombstones, r.Key)
 		}
 		return
 	case r.Kind == WriterKind && r.Deleted:
-		delete(c.loose, r.Key)
+		delete(c.pendingTombstones, r.Key)
 		return
 	case r.Kind == WriterKind:
-		if !m.learnWriter(now, c, r, writer) {
+		if !m.learnEviction(now, c, r, writer) {
 			return
 		}
 	case r.Kind == EntryKind && (r.Deleted || len(r.Value) == 0):
-		delete(c.loose, r.Key)
-		if writer != "" && c.forgot(writer, number) {
+		delete(c.pendingTombstones, r.Key)
+		if writer != "" && c.isForgotten(writer, number) {
 			return
 		}
-		c.wake(now, writer, number)
-		c.unhold(writer, number)
-		c.dead[writer] = max(c.dead[writer], number)
-		c.raise(writer, number, ep)
+		c.reviveWriter(now, writer, number)
+		c.discardUnreplicated(writer, number)
+		c.tombstonedThrough[writer] = max(c.tombstonedThrough[writer], number)
+		c.raiseEvictedElsewhere(writer, number, ep)
 	case r.Kind == EntryKind:
-		e, err := unpackEntry(r.Value)
+		e, err := decodeEntry(r.Value)
 		if err != nil || e.key() != r.Key {
-			m.spoilt++
+			m.invalidRecords++
 			return
 		}
 		c.insert(now, e, r.Dot.Writer != m.name)
@@ -339,198 +358,205 @@
 	m.advance(now, c)
 }
 
-// learnWriter takes the record of how far a writer's messages were let go; false if it changes nothing.
-func (m *Machine) learnWriter(now float64, c *channel, r replication.Record, writer string) bool {
-	v := reading{b: r.Value}
+// learnEviction applies a record of WriterKind, which holds the number up to which a writer's entries are no longer retained. It returns false if it
+// changes nothing.
+func (m *Machine) learnEviction(now float64, c *channel, r replication.Record, writer string) bool {
+	v := decoder{rest: r.Value}
 	ep, number := v.number(), v.number()
-	if v.bad {
-		m.spoilt++
+	if v.failed {
+		m.invalidRecords++
 		return false
 	}
-	if c.forgot(writer, number) {
-		c.loose[r.Key] = max(c.loose[r.Key], 0)
+	if c.isForgotten(writer, number) {
+		c.pendingTombstones[r.Key] = max(c.pendingTombstones[r.Key], 0)
 		return false
 	}
-	c.wake(now, writer, number)
-	c.raise(writer, number, ep)
+	c.reviveWriter(now, writer, number)
+	c.raiseEvictedElsewhere(writer, number, ep)
 	return true
 }
 
-// raise: others have let all up to a number go.
-func (c *channel) raise(writer string, number, ep uint64) {
-	if writer == "" && !c.valid(ep, number) {
+// raiseEvictedElsewhere notes that other dispatchers no longer retain a lane's entries up to a number.
+func (c *channel) raiseEvictedElsewhere(writer string, number, epoch uint64) {
+	if writer == "" && !c.offsetValid(epoch, number) {
 		return
 	}
-	if number > c.floor[writer] && number > c.vec[writer] {
-		c.floor[writer] = number
+	if number > c.evictedElsewhere[writer] && number > c.logged[writer] {
+		c.evictedElsewhere[writer] = number
 	}
-	if number >= c.base[writer] {
-		delete(c.marks, writer)
+	if number >= c.evicted[writer] {
+		delete(c.pendingEvictions, writer)
 	}
 }
 
-// valid is false for a place of an epoch that a later one has taken back.
-func (c *channel) valid(ep, place uint64) bool {
+// offsetValid reports whether an offset of an epoch still exists. It does not if a later epoch starts at or before the offset, or if the offset is
+// before the epoch's own start.
+func (c *channel) offsetValid(epoch, offset uint64) bool {
 	for _, o := range c.epochs {
-		if o.epoch > ep && place >= o.since || o.epoch == ep && place > 0 && place < o.since {
+		if o.epoch > epoch && offset >= o.start || o.epoch == epoch && offset > 0 && offset < o.start {
 			return false
 		}
 	}
 	return true
 }
 
-func (c *channel) epochAt(place uint64) uint64 {
+// epochAt returns the highest known epoch that starts at or before an offset.
+func (c *channel) epochAt(offset uint64) uint64 {
 	ep := uint64(0)
 	for _, o := range c.epochs {
-		if o.since <= place {
+		if o.start <= offset {
 			ep = max(ep, o.epoch)
 		}
 	}
 	return ep
 }
 
-// insert takes an entry in; those that come again change nothing but how sure and how new it is.
+// insert accepts an entry from a record. An entry that is already known changes only whether it counts as replicated and the highest stamp. foreign
+// means that another dispatcher wrote the record.
 func (c *channel) insert(now float64, e *Entry, foreign bool) {
 	w, n := e.lane()
-	if c.known && (w == "") != (c.d.Order == Total) {
+	if c.declared && (w == "") != (c.declaration.Order == Total) {
 		return
 	}
-	c.stamp = max(c.stamp, e.Stamp)
+	c.highestStamp = max(c.highestStamp, e.Stamp)
 	if w != "" {
-		if c.forgot(w, n) {
-			c.loose[e.key()] = max(c.loose[e.key()], 0)
+		if c.isForgotten(w, n) {
+			c.pendingTombstones[e.key()] = max(c.pendingTombstones[e.key()], 0)
 			return
 		}
-		c.wake(now, w, n)
-	} else if c.known && (c.life > 0 && e.Generation <= c.life || c.ended > 0) {
-		if e.Generation <= max(c.life, c.ended) { // else it is learned anew once its declaration is known
-			c.loose[e.key()] = 0
+		c.reviveWriter(now, w, n)
+	} else if c.declared && (c.incarnation > 0 && e.Generation <= c.incarnation || c.endedGeneration > 0) {
+		if e.Generation <= max(c.incarnation, c.endedGeneration) { // a later generation is learned again once its declaration is known
+			c.pendingTombstones[e.key()] = 0
 		}
 		return
 	}
 	if w == "" {
-		if !c.enter(e.Epoch, e.Since) || !c.valid(e.Epoch, n) {
+		if !c.addEpoch(e.Epoch, e.EpochStart) || !c.offsetValid(e.Epoch, n) {
 			return
 		}
-		if len(c.taken) > 2*MostTakers {
-			clear(c.taken)
+		if len(c.sequencedNumbers) > 2*MaxSequenceWriters {
+			clear(c.sequencedNumbers)
 		}
-		c.taken[e.Writer] = max(c.taken[e.Writer], e.Number)
+		c.sequencedNumbers[e.Writer] = max(c.sequencedNumbers[e.Writer], e.Number)
 	}
-	if n <= c.vec[w] {
-		i := c.find(w, n)
+	if n <= c.logged[w] {
+		i := c.findItem(w, n)
 		if i == nil {
 			return
 		}
-		if i.sure = i.sure || foreign; i.e == nil && c.d.Order == Latest {
-			// It was told as a gap, but may be the newest of its key.
-			c.newer(e)
-			c.append(item{e: e, generation: c.turned, sure: foreign, at: now, size: e.size(), late: c.newest[e.Key] != e})
+		if i.replicated = i.replicated || foreign; i.entry == nil && c.declaration.Order == Latest {
+			// The entry was reported as a gap, but it may be the newest of its key.
+			c.updateNewest(e)
+			c.append(logItem{entry: e, generation: c.logGeneration, replicated: foreign, appendedAt: now, size: e.size(), late: c.newestByKey[e.Key] != e})
 		}
 		return
 	}
 	if c.held[w] == nil {
-		c.held[w] = map[uint64]held{}
+		c.held[w] = map[uint64]heldEntry{}
 	}
 	if h, ok := c.held[w][n]; ok {
-		h.sure = h.sure || foreign
+		h.replicated = h.replicated || foreign
 		c.held[w][n] = h
 		return
 	}
-	c.held[w][n] = held{e, now, foreign}
+	c.held[w][n] = heldEntry{e, now, foreign}
 }
 
-// find is what stands in the log for a number; an entry before a gap. Rare: a look through what is kept.
-func (c *channel) find(w string, n uint64) *item {
-	var gap *item
+// findItem returns the log item that covers a number, preferring an entry over a gap, or nil. It scans the log and is called rarely.
+func (c *channel) findItem(w string, n uint64) *logItem {
+	var gap *logItem
 	for k := len(c.items) - 1; k >= 0; k-- {
 		i := &c.items[k]
-		if i.e != nil {
-			if x, y := i.e.lane(); x == w && y == n {
+		if i.entry != nil {
+			if x, y := i.entry.lane(); x == w && y == n {
 				return i
 			}
-		} else if !i.mark && i.to > 0 && i.writer == w && i.from <= n && n <= i.to {
+		} else if !i.declarationChange && i.to > 0 && i.writer == w && i.from <= n && n <= i.to {
 			gap = i
 		}
 	}
 	return gap
 }
 
-// enter makes an epoch known. What older ones have from its first place on is lost: the voters' log was.
-func (c *channel) enter(ep, since uint64) bool {
-	if since == 0 {
+// addEpoch records an epoch with its first offset. Entries of older epochs from that offset on are void, because the voters' log was lost. It returns
+// false if the start is 0 or differs from the start that is already known.
+func (c *channel) addEpoch(epoch, start uint64) bool {
+	if start == 0 {
 		return false
 	}
 	for _, o := range c.epochs {
-		if o.epoch == ep {
-			return o.since == since
+		if o.epoch == epoch {
+			return o.start == start
 		}
 	}
-	c.epochs = append(c.epochs, epoch{ep, since})
-	slices.SortFunc(c.epochs, func(a, b epoch) int { return int(int64(a.epoch) - int64(b.epoch)) })
-	if len(c.epochs) > 64 { // the oldest says nothing more about what is kept, or little
+	c.epochs = append(c.epochs, epochRange{epoch, start})
+	slices.SortFunc(c.epochs, func(a, b epochRange) int { return int(int64(a.epoch) - int64(b.epoch)) })
+	if len(c.epochs) > 64 { // the oldest epoch says little or nothing about the retained entries any more
 		c.epochs = c.epochs[1:]
 	}
 	for n, h := range c.held[""] {
-		if !c.valid(h.e.Epoch, n) {
-			c.loose[h.e.key()] = 0
+		if !c.offsetValid(h.entry.Epoch, n) {
+			c.pendingTombstones[h.entry.key()] = 0
 			delete(c.held[""], n)
 		}
 	}
-	if !c.valid(c.epoch, c.vec[""]) {
-		c.truncate(since)
+	if !c.offsetValid(c.logEpoch, c.logged[""]) {
+		c.truncate(start)
 	}
 	return true
 }
 
-func (c *channel) truncate(since uint64) {
+// truncate removes the log's entries from an offset on, in total order, after their epoch was superseded.
+func (c *channel) truncate(start uint64) {
 	keep := len(c.items)
-	for keep > 0 && (c.items[keep-1].e != nil && c.items[keep-1].e.Place >= since || c.items[keep-1].to >= since) {
+	for keep > 0 && (c.items[keep-1].entry != nil && c.items[keep-1].entry.Offset >= start || c.items[keep-1].to >= start) {
 		keep--
-		if c.bytes -= c.items[keep].size; c.items[keep].e != nil {
-			c.loose[c.items[keep].e.key()] = 0
+		if c.bytes -= c.items[keep].size; c.items[keep].entry != nil {
+			c.pendingTombstones[c.items[keep].entry.key()] = 0
 		}
 	}
 	clear(c.items[keep:])
 	c.items = c.items[:keep]
-	c.vec[""], c.epoch = since-1, c.epochAt(since-1)
-	c.base[""] = min(c.base[""], since-1)
-	c.floor[""] = min(c.floor[""], since-1)
-	c.dead[""] = min(c.dead[""], since-1)
-	c.news = true
-	clear(c.taken)
-	clear(c.newest)
+	c.logged[""], c.logEpoch = start-1, c.epochAt(start-1)
+	c.evicted[""] = min(c.evicted[""], start-1)
+	c.evictedElsewhere[""] = min(c.evictedElsewhere[""], start-1)
+	c.tombstonedThrough[""] = min(c.tombstonedThrough[""], start-1)
+	c.updated = true
+	clear(c.sequencedNumbers)
+	clear(c.newestByKey)
 	for _, i := range c.items {
-		if i.e != nil {
-			c.taken[i.e.Writer] = max(c.taken[i.e.Writer], i.e.Number)
-			c.newer(i.e)
+		if i.entry != nil {
+			c.sequencedNumbers[i.entry.Writer] = max(c.sequencedNumbers[i.entry.Writer], i.entry.Number)
+			c.updateNewest(i.entry)
 		}
 	}
 	if keep == 0 {
-		c.basis = c.token()
+		c.startToken = c.token()
 	}
 }
 
-// law settles which of two entries of a key is newer: by place, or by clock, number and writer.
-func law(a, b *Entry) int {
-	return cmp.Or(cmp.Compare(a.Place, b.Place), cmp.Compare(a.Clock, b.Clock), cmp.Compare(a.Number, b.Number), cmp.Compare(a.Writer, b.Writer))
+// mergeOrder compares two entries of a key; the greater one is newer. It compares the offsets, then the clocks, numbers and writers.
+func mergeOrder(a, b *Entry) int {
+	return cmp.Or(cmp.Compare(a.Offset, b.Offset), cmp.Compare(a.Clock, b.Clock), cmp.Compare(a.Number, b.Number), cmp.Compare(a.Writer, b.Writer))
 }
 
-// newer takes an entry as the newest of its key if it is that.
-func (c *channel) newer(e *Entry) bool {
-	if o := c.newest[e.Key]; o != nil && law(e, o) < 0 {
+// updateNewest records an entry as the newest of its key unless a newer one is known, and reports whether it did.
+func (c *channel) updateNewest(e *Entry) bool {
+	if o := c.newestByKey[e.Key]; o != nil && mergeOrder(e, o) < 0 {
 		return false
 	}
-	c.newest[e.Key] = e
+	c.newestByKey[e.Key] = e
 	return true
 }
 
-func (c *channel) lanes() []string {
-	if len(c.held) == 0 && len(c.floor) == 0 {
+// pendingLanes returns the sorted lanes that have held entries or entries evicted elsewhere.
+func (c *channel) pendingLanes() []string {
+	if len(c.held) == 0 && len(c.evictedElsewhere) == 0 {
 		return nil
 	}
 	all := slices.Collect(maps.Keys(c.held))
-	for w := range c.floor {
+	for w := range c.evictedElsewhere {
 		if c.held[w] == nil {
 			all = append(all, w)
 		}
@@ -539,7 +565,8 @@
 	return all
 }
 
-func lowest(of map[uint64]held) uint64 {
+// lowestNumber returns the lowest number of the held entries, or 0 if there are none.
+func lowestNumber(of map[uint64]heldEntry) uint64 {
 	low := uint64(0)
 	for n := range of {
 		if low == 0 || n < low {
@@ -549,14 +576,15 @@
 	return low
 }
 
-// free: nothing that an entry comes after is missing, but for its own writer's.
-func (c *channel) free(e *Entry) bool {
-	if e.Generation > c.d.Generation {
+// dependenciesMet reports whether the entry's declaration is known here and, in causal order, whether the log has all entries of other writers that it
+// depends on.
+func (c *channel) dependenciesMet(e *Entry) bool {
+	if e.Generation > c.declaration.Generation {
 		return false
 	}
-	if c.d.Order == Causal {
+	if c.declaration.Order == Causal {
 		for w, n := range e.After {
-			if w != e.Writer && c.vec[w] < n {
+			if w != e.Writer && c.logged[w] < n {
 				return false
 			}
 		}
@@ -564,106 +592,109 @@
 	return true
 }
 
-// advance puts into the log what is in turn, and tells gaps where the wait for order is over.
+// advance appends to the log every held entry that is next in order. Where gaps are allowed and OrderWait has passed, it appends gaps for missing
+// entries.
 func (m *Machine) advance(now float64, c *channel) {
-	if !c.known || c.ended > 0 {
+	if !c.declared || c.endedGeneration > 0 {
 		return
 	}
 	for again := true; again; {
 		again = false
-		for _, w := range c.lanes() {
-			for c.step(now, w, m.alone) {
+		for _, w := range c.pendingLanes() {
+			for c.advanceLane(now, w, m.alone) {
 				again = true
 			}
 		}
-		if !again && c.d.Told {
-			again = c.overdue(now)
+		if !again && c.declaration.AllowGaps {
+			again = c.skipOverdue(now)
 		}
 	}
-	c.oldest = 0
+	c.oldestHeldAt = 0
 	for _, of := range c.held {
 		for _, h := range of {
-			if c.oldest == 0 || h.at < c.oldest {
-				c.oldest = h.at
+			if c.oldestHeldAt == 0 || h.heldAt < c.oldestHeldAt {
+				c.oldestHeldAt = h.heldAt
 			}
 		}
 	}
 	c.trim(now)
 }
 
-// step puts the next of a lane into the log; but for Total only what another has, too, where there are others. Else with one disk that is lost
-// a reader had seen what nobody has, or what is acknowledged came after it: both would wait for ever.
-func (c *channel) step(now float64, w string, alone bool) bool {
-	n := c.vec[w] + 1
+// advanceLane appends the next entry or gap of a lane to the log and reports whether it did. Except in total order, an entry must be known to be at
+// another dispatcher too, if there are others. Otherwise the loss of one disk could leave a reader's position, or an acknowledged later entry, waiting
+// forever for an entry that nobody has.
+func (c *channel) advanceLane(now float64, w string, alone bool) bool {
+	n := c.logged[w] + 1
 	h, ok := c.held[w][n]
 	if !ok {
-		f := c.floor[w]
+		f := c.evictedElsewhere[w]
 		if f < n {
-			delete(c.floor, w)
+			delete(c.evictedElsewhere, w)
 			return false
 		}
-		if low := lowest(c.held[w]); low > 0 {
+		if low := lowestNumber(c.held[w]); low > 0 {
 			f = min(f, low-1)
 		}
-		c.gap(now, w, f)
+		c.appendGap(now, w, f)
 		return true
 	}
-	if !c.free(h.e) || c.ended > 0 || w != "" && !h.sure && !alone {
+	if !c.dependenciesMet(h.entry) || c.endedGeneration > 0 || w != "" && !h.replicated && !alone {
 		return false
 	}
 	if delete(c.held[w], n); len(c.held[w]) == 0 {
 		delete(c.held, w)
 	}
-	c.vec[w] = n
-	c.clock[w], c.idle[w] = h.e.Clock, now
-	i := item{e: h.e, sure: h.sure, at: now, size: h.e.size(), late: !c.newer(h.e)}
+	c.logged[w] = n
+	c.lastClock[w], c.lastActive[w] = h.entry.Clock, now
+	i := logItem{entry: h.entry, replicated: h.replicated, appendedAt: now, size: h.entry.size(), late: !c.updateNewest(h.entry)}
 	if w == "" {
-		c.epoch, c.turned = max(c.epoch, h.e.Epoch), max(c.turned, h.e.Generation)
-		if h.e.Writer == "" {
-			i.e, i.to, i.late, i.mark, i.over = nil, n, false, true, c.d.End && h.e.Number == c.d.Generation
+		c.logEpoch, c.logGeneration = max(c.logEpoch, h.entry.Epoch), max(c.logGeneration, h.entry.Generation)
+		if h.entry.Writer == "" {
+			i.entry, i.to, i.late, i.declarationChange, i.end = nil, n, false, true, c.declaration.Withdrawn && h.entry.Number == c.declaration.Generation
 		}
 	}
-	i.generation = c.turned
-	if c.append(i); i.over {
-		c.ended, c.endedAt = c.d.Generation, now
+	i.generation = c.logGeneration
+	if c.append(i); i.end {
+		c.endedGeneration, c.endedAt = c.declaration.Generation, now
 	}
 	return true
 }
 
-func (c *channel) gap(now float64, w string, to uint64) {
-	from := c.vec[w] + 1
-	c.idle[w] = now
-	if c.vec[w] = to; w == "" {
-		c.epoch = max(c.epoch, c.epochAt(to))
+// appendGap appends a gap to the log that spans a lane's numbers from the next one up to to.
+func (c *channel) appendGap(now float64, w string, to uint64) {
+	from := c.logged[w] + 1
+	c.lastActive[w] = now
+	if c.logged[w] = to; w == "" {
+		c.logEpoch = max(c.logEpoch, c.epochAt(to))
 	}
-	c.append(item{writer: w, from: from, to: to, generation: c.turned, at: now, size: 32})
+	c.append(logItem{writer: w, from: from, to: to, generation: c.logGeneration, appendedAt: now, size: 32})
 }
 
-// overdue passes over what is missing for longer than the wait; true if anything moved.
-func (c *channel) overdue(now float64) bool {
-	for _, w := range c.lanes() {
-		late, low := false, lowest(c.held[w])
+// skipOverdue appends a gap for entries that others have waited on for OrderWait seconds, and reports whether it appended one.
+func (c *channel) skipOverdue(now float64) bool {
+	for _, w := range c.pendingLanes() {
+		overdue, low := false, lowestNumber(c.held[w])
 		for _, h := range c.held[w] {
-			late = late || now-h.at >= c.d.Wait
+			overdue = overdue || now-h.heldAt >= c.declaration.OrderWait
 		}
-		if !late {
+		if !overdue {
 			continue
 		}
-		if low > c.vec[w]+1 {
-			c.gap(now, w, low-1)
+		if low > c.logged[w]+1 {
+			c.appendGap(now, w, low-1)
 			return true
 		}
-		e := c.held[w][low].e
+		e := c.held[w][low].entry
 		for _, v := range slices.Sorted(maps.Keys(e.After)) {
 			to := e.After[v]
-			if v == w || c.vec[v] >= to || e.Generation > c.d.Generation {
+			if v == w || c.logged[v] >= to || e.Generation > c.declaration.Generation {
 				continue
 			}
-			if first := lowest(c.held[v]); first > 0 {
+			if first := lowestNumber(c.held[v]); first > 0 {
 				to = min(to, first-1)
 			}
-			if to > c.vec[v] {
-				c.gap(now, v, to)
+			if to > c.logged[v] {
+				c.appendGap(now, v, to)
 				return true
 			}
 		}
@@ -671,99 +702,101 @@
 	return false
 }
 
-// trim lets go what is beyond the window. Each does so for itself; the first by name writes it down, so that it goes everywhere.
+// trim removes items beyond the declared retention from the log. Each dispatcher does so by itself; the first by name writes tombstones, so that the
+// entries are deleted everywhere.
 func (c *channel) trim(now float64) {
 	k := 0
 	for ; k < len(c.items); k++ {
 		i := &c.items[k]
-		if len(c.items)-k <= max(c.d.Entries, leastKept) && c.bytes <= max(c.d.Bytes, leastKept*MostBody) && now-i.at <= max(c.d.Seconds, leastTime) {
+		if len(c.items)-k <= max(c.declaration.RetainedEntries, minRetainedEntries) && c.bytes <= max(c.declaration.RetainedBytes, minRetainedEntries*MaxBodyBytes) && now-i.appendedAt <= max(c.declaration.RetainedSeconds, minRetainedSeconds) {
 			break
 		}
 		c.bytes -= i.size
 		w, n := i.writer, i.to
-		if i.e != nil {
-			w, n = i.e.lane()
-			if n > c.dead[w] {
-				c.loose[i.e.key()] = 0
+		if i.entry != nil {
+			w, n = i.entry.lane()
+			if n > c.tombstonedThrough[w] {
+				c.pendingTombstones[i.entry.key()] = 0
 			}
-			if c.newest[i.e.Key] == i.e {
-				delete(c.newest, i.e.Key)
+			if c.newestByKey[i.entry.Key] == i.entry {
+				delete(c.newestByKey, i.entry.Key)
 			}
 		}
-		if n > c.base[w] {
-			c.base[w], c.marks[w] = n, true
+		if n > c.evicted[w] {
+			c.evicted[w], c.pendingEvictions[w] = n, true
 		}
-		c.basis = i.pos
+		c.startToken = i.token
 	}
 	if k > 0 {
 		clear(c.items[:k])
 		c.items = c.items[k:]
-		c.first += uint64(k)
+		c.firstIndex += uint64(k)
 	}
 }
 
-// Tick is called a few times a second.
+// Tick does the periodic work. The caller calls it a few times per second.
 func (m *Machine) Tick(now float64) {
 	for _, name := range slices.Sorted(maps.Keys(m.channels)) {
 		c := m.channels[name]
-		if len(c.held) > 0 || len(c.floor) > 0 {
+		if len(c.held) > 0 || len(c.evictedElsewhere) > 0 {
 			m.advance(now, c)
-			c.news = true // readers may have to be told
+			c.updated = true // readers may have to be notified that they are behind
 		}
 		c.trim(now)
-		if now-c.looked >= forgetEach {
-			c.looked = now
-			m.drop(name, c)
-			m.tires(now, name, c)
+		if now-c.expiryCheckedAt >= expiryCheckInterval {
+			c.expiryCheckedAt = now
+			m.dropForgotten(name, c)
+			m.proposeExpired(now, name, c)
 		}
-		if m.trims {
-			m.tombs(now, name, c)
+		if m.writesTombstones {
+			m.writeTombstones(now, name, c)
 		}
-		if c.known && c.d.End && c.ended == 0 && now-c.ending >= endMost {
-			m.finish(now, c)
+		if c.declared && c.declaration.Withdrawn && c.endedGeneration == 0 && now-c.withdrawnAt >= maxWithdrawalDelay {
+			m.endChannel(now, c)
 		}
-		if c.ended > 0 && len(c.items) > 0 && now-c.endedAt >= endKept {
-			m.clear(c, c.life)
+		if c.endedGeneration > 0 && len(c.items) > 0 && now-c.endedAt >= withdrawnRetention {
+			m.discardEntries(c, c.incarnation)
 		}
-		if c.known && c.d.Order != Total {
-			m.again(c)
+		if c.declared && c.declaration.Order != Total {
+			m.resendHeld(c)
 		}
-		m.order(now, name, c)
+		m.propose(now, name, c)
 	}
-	m.refused *= 0.9
+	m.recentRefusals *= 0.9
 }
 
-func (m *Machine) tombs(now float64, name string, c *channel) {
-	for _, w := range slices.Sorted(maps.Keys(c.marks)) {
+// writeTombstones writes the records of evicted numbers and at most maxTombstonesPerTick due tombstones.
+func (m *Machine) writeTombstones(now float64, name string, c *channel) {
+	for _, w := range slices.Sorted(maps.Keys(c.pendingEvictions)) {
 		ep := uint64(0)
-		if w == "" && c.d.Order == Total {
-			ep = c.epochAt(c.base[w])
+		if w == "" && c.declaration.Order == Total {
+			ep = c.epochAt(c.evicted[w])
 		}
-		v, life := number(ep, c.base[w]), c.life
+		v, incarnation := encodeNumber(ep, c.evicted[w]), c.incarnation
 		if w == "" {
-			life = 0
+			incarnation = 0
 		}
-		m.ready.Puts = append(m.ready.Puts, Put{Record: replication.Record{Kind: WriterKind, Key: makeKey(name, w, 0, life), Value: v}})
+		m.ready.Puts = append(m.ready.Puts, Put{Record: replication.Record{Kind: WriterKind, Key: makeKey(name, w, 0, incarnation), Value: v}})
 	}
-	clear(c.marks)
-	if len(c.loose) == 0 {
+	clear(c.pendingEvictions)
+	if len(c.pendingTombstones) == 0 {
 		return
 	}
 	n := 0
-	for _, k := range slices.Sorted(maps.Keys(c.loose)) {
-		if c.loose[k] > now {
+	for _, k := range slices.Sorted(maps.Keys(c.pendingTombstones)) {
+		if c.pendingTombstones[k] > now {
 			continue
 		}
-		if n++; n > mostTrims {
+		if n++; n > maxTombstonesPerTick {
 			break
 		}
-		c.loose[k] = now + 10*Within
+		c.pendingTombstones[k] = now + 10*AckTimeout
 		r := replication.Record{Kind: EntryKind, Key: k, Deleted: true}
-		if key, err := readKey(k); err == nil && key.number == 0 {
-			g, ok := c.gone[key.writer]
-			if r.Kind, r.Value = WriterKind, number(0, math.MaxUint64); key.epoch == c.life && c.ended == 0 {
-				if r.Value = number(0, g.Number); !ok || c.vec[key.writer] > 0 { // it came back
-					delete(c.loose, k)
+		if key, err := parseKey(k); err == nil && key.number == 0 {
+			g, ok := c.forgotten[key.writer]
+			if r.Kind, r.Value = WriterKind, encodeNumber(0, math.MaxUint64); key.epoch == c.incarnation && c.endedGeneration == 0 {
+				if r.Value = encodeNumber(0, g.Number); !ok || c.logged[key.writer] > 0 { // the writer came back
+					delete(c.pendingTombstones, k)
 					continue
 				}
 			}
@@ -772,22 +805,23 @@
 	}
 }
 
-// again writes the first of each lane anew that no other is known to have and nobody sends: its copies fell short, or a start forgot them.
-func (m *Machine) again(c *channel) {
-	for _, w := range c.lanes() {
-		n := c.vec[w] + 1
-		if h, ok := c.held[w][n]; ok && !h.sure && !c.flies(w, n) && m.flights < MostFlight {
-			m.send(c, *h.e)
+// resendHeld writes the next entry of each lane again if no other dispatcher is known to have it and it is not in flight. Such an entry did not reach
+// enough copies, or this dispatcher restarted and no longer knows of them.
+func (m *Machine) resendHeld(c *channel) {
+	for _, w := range c.pendingLanes() {
+		n := c.logged[w] + 1
+		if h, ok := c.held[w][n]; ok && !h.replicated && !c.isInFlight(w, n) && m.inFlight < MaxInFlight {
+			m.send(c, *h.entry)
 		}
 	}
 }
 
-// Ready is what is to be done since the last call.
+// Ready returns the work that has accumulated since the last call.
 func (m *Machine) Ready() Ready {
 	for _, name := range slices.Sorted(maps.Keys(m.channels)) {
-		if c := m.channels[name]; c.news {
-			c.news = false
-			m.ready.News = append(m.ready.News, name)
+		if c := m.channels[name]; c.updated {
+			c.updated = false
+			m.ready.Updated = append(m.ready.Updated, name)
 		}
 	}
 	r := m.ready
--- a/core/cluster/channel/readers.go
+++ b/core/cluster/channel/readers.go
@@ -4,164 +4,167 @@
 	"fmt"
 )
 
-// Open lets a reader in. Errors: *Later (come again), ErrChannel, ErrMore, ErrToken, ErrFull.
-func (m *Machine) Open(now float64, a Ask) (uint64, error) {
+// Open admits a reader and returns its ID for Take and Close. Its errors are *RetryLaterError, ErrUnknownChannel, ErrOrderNotPromised,
+// ErrInvalidToken and ErrFull.
+func (m *Machine) Open(now float64, a OpenRequest) (uint64, error) {
 	c := m.channels[a.Channel]
-	if c == nil || !c.known {
-		return 0, ErrChannel
+	if c == nil || !c.declared {
+		return 0, ErrUnknownChannel
 	}
-	if a.Order > c.d.Order {
-		return 0, fmt.Errorf("%w: %s is asked for, channel %s promises %s", ErrMore, a.Order, a.Channel, c.d.Order)
+	if a.Order > c.declaration.Order {
+		return 0, fmt.Errorf("%w: %s is requested, channel %s promises %s", ErrOrderNotPromised, a.Order, a.Channel, c.declaration.Order)
 	}
-	r := &reader{c: c, wish: a.Order, opened: now, life: c.life}
-	if r.wish == 0 {
-		r.wish = c.d.Order
+	r := &reader{channel: c, order: a.Order, openedAt: now, incarnation: c.incarnation}
+	if r.order == 0 {
+		r.order = c.declaration.Order
 	}
 	if a.Token != "" {
-		p, err := ReadToken(a.Token)
+		p, err := ParseToken(a.Token)
 		if err != nil || p.Channel != a.Channel {
-			return 0, ErrToken
+			return 0, ErrInvalidToken
 		}
-		if p.Ended > 0 && p.Ended <= c.life {
-			a.Token = "" // it was told the end of what was before
+		if p.EndedGeneration > 0 && p.EndedGeneration <= c.incarnation {
+			a.Token = "" // the reader was notified of the end of an earlier channel of this name
 		}
-		if r.place, r.gen, r.seen = p, p.Generation, p.Seen; a.Token == "" {
-			r.place, r.seen = Position{}, nil
-		} else if c.d.Order == Total {
-			r.seen = map[string]uint64{"": p.Place}
+		if r.position, r.generation, r.seen = p, p.Generation, p.Seen; a.Token == "" {
+			r.position, r.seen = Position{}, nil
+		} else if c.declaration.Order == Total {
+			r.seen = map[string]uint64{"": p.Offset}
 		} else if r.seen == nil {
 			r.seen = map[string]uint64{}
 		}
 	}
-	if len(m.readers) >= MostReaders {
+	if len(m.readers) >= MaxReaders {
 		return 0, ErrFull
 	}
-	m.room = min(opensBurst, m.room+max(0, now-m.roomAt)*opensEach)
-	m.roomAt = max(m.roomAt, now)
-	if m.room < 1 {
-		m.refused = min(mostWaiting, m.refused+1)
-		return 0, &Later{Seconds: 0.1 + m.rng.Float64()*(0.4+2*m.refused/opensEach)}
+	m.openTokens = min(openBurst, m.openTokens+max(0, now-m.openTokensAt)*openRate)
+	m.openTokensAt = max(m.openTokensAt, now)
+	if m.openTokens < 1 {
+		m.recentRefusals = min(maxRecentRefusals, m.recentRefusals+1)
+		return 0, &RetryLaterError{Seconds: 0.1 + m.rng.Float64()*(0.4+2*m.recentRefusals/openRate)}
 	}
-	m.room--
+	m.openTokens--
 	if a.Token == "" {
-		r.started, r.cursor, r.fresh, r.gen = true, c.first, c.end(), 0
-		if a.Now {
-			r.cursor = c.end()
+		r.started, r.cursor, r.openedAtIndex, r.generation = true, c.firstIndex, c.endIndex(), 0
+		if a.FromNow {
+			r.cursor = c.endIndex()
 		}
 	}
-	id := m.next
-	m.next++
+	id := m.nextID
+	m.nextID++
 	m.readers[id] = r
 	return id, nil
 }
 
-// Close lets a reader go.
+// Close removes a reader.
 func (m *Machine) Close(id uint64) { delete(m.readers, id) }
 
-// Readers is how many there are.
+// Readers returns the number of open readers.
 func (m *Machine) Readers() int { return len(m.readers) }
 
-// Take gives a reader what is next for it, at most so many notes. After Reset, Behind or Cut it is closed.
-func (m *Machine) Take(now float64, id uint64, most int) []Note {
+// Take returns the next notifications for a reader. It stops after limit of them, at least 1 and at most MaxTake, but may return a few more because one
+// log item can add several. A reader that gets EventReset, EventBehind, EventCutOff or EventEnded is closed.
+func (m *Machine) Take(now float64, id uint64, limit int) []Notification {
 	r := m.readers[id]
 	if r == nil {
 		return nil
 	}
-	if word, lost := r.lost(); lost {
-		return []Note{m.end(id, r, word)}
+	if kind, lost := r.positionLost(); lost {
+		return []Notification{m.closeReader(id, r, kind)}
 	}
-	var out []Note
+	var out []Notification
 	if !r.started {
-		if !r.covered() {
-			if now-r.opened >= r.c.d.Wait {
-				return []Note{m.end(id, r, Behind)}
+		if !r.positionReached() {
+			if now-r.openedAt >= r.channel.declaration.OrderWait {
+				return []Notification{m.closeReader(id, r, EventBehind)}
 			}
 			return nil
 		}
 		if r.start() {
-			if !r.c.d.Told {
-				return []Note{m.end(id, r, Cut)}
+			if !r.channel.declaration.AllowGaps {
+				return []Notification{m.closeReader(id, r, EventCutOff)}
 			}
-			out = append(out, Note{Word: Gap, From: r.place.Place, Position: r.token()})
+			out = append(out, Notification{Kind: EventGap, From: r.position.Offset, Position: r.token()})
 		}
 	}
-	if r.cursor < r.c.first {
-		if r.c.d.Slow || !r.c.d.Told {
-			return []Note{m.end(id, r, Cut)}
+	if r.cursor < r.channel.firstIndex {
+		if r.channel.declaration.DisconnectSlow || !r.channel.declaration.AllowGaps {
+			return []Notification{m.closeReader(id, r, EventCutOff)}
 		}
-		out = append(out, r.skip())
+		out = append(out, r.skipEvicted())
 	}
-	out, open := m.takeItems(id, r, out, min(max(most, 1), MostTake))
+	out, open := m.takeItems(id, r, out, min(max(limit, 1), MaxTake))
 	if !open {
 		return out
 	}
-	r.keepPlace()
+	r.updatePosition()
 	if r.stale(now) && len(out) == 0 {
-		return []Note{m.end(id, r, Behind)}
+		return []Notification{m.closeReader(id, r, EventBehind)}
 	}
 	return out
 }
 
-// end closes a reader, and gives the note that tells it why.
-func (m *Machine) end(id uint64, r *reader, why Word) Note {
+// closeReader closes a reader and returns the notification with the reason.
+func (m *Machine) closeReader(id uint64, r *reader, why EventKind) Notification {
 	delete(m.readers, id)
-	n := Note{Word: why}
+	n := Notification{Kind: why}
 	switch why {
-	case Behind:
-		n.Where = m.others
-	case Ended:
-		n.Generation = max(r.c.life, r.c.ended)
-		p := Position{Channel: r.c.d.Name, Generation: n.Generation, Ended: n.Generation}
+	case EventBehind:
+		n.Dispatchers = m.liveOthers
+	case EventEnded:
+		n.Generation = max(r.channel.incarnation, r.channel.endedGeneration)
+		p := Position{Channel: r.channel.declaration.Name, Generation: n.Generation, EndedGeneration: n.Generation}
 		n.Position = p.Token()
 	}
 	return n
 }
 
-// lost tells whether the reader's place is of a channel that ended, or one that the log does not have, and how it is told.
-func (r *reader) lost() (why Word, lost bool) {
-	c, of := r.c, r.place.Generation
+// positionLost reports whether the reader's position belongs to a channel that has ended or to entries that became void, and by which event the
+// reader is notified.
+func (r *reader) positionLost() (why EventKind, lost bool) {
+	c, generation := r.channel, r.position.Generation
 	switch {
-	case r.life != c.life,
-		!r.started && of > 0 && (of <= c.life || of == c.ended),
-		c.ended > 0 && len(c.items) == 0:
-		return Ended, true
-	case r.started && r.cursor > c.end(),
-		c.d.Order == Total && !c.valid(r.place.Epoch, r.place.Place):
-		return Reset, true
+	case r.incarnation != c.incarnation,
+		!r.started && generation > 0 && (generation <= c.incarnation || generation == c.endedGeneration),
+		c.endedGeneration > 0 && len(c.items) == 0:
+		return EventEnded, true
+	case r.started && r.cursor > c.endIndex(),
+		c.declaration.Order == Total && !c.offsetValid(r.position.Epoch, r.position.Offset):
+		return EventReset, true
 	}
 	return 0, false
 }
 
-// start has a reader with a token begin at the log's first item. It tells whether some of what it has not seen is no longer there.
-func (r *reader) start() (behind bool) {
-	c := r.c
-	r.started, r.cursor = true, c.first
-	r.had = map[string]*Entry{}
+// start places a reader with a token at the first item of the log. It reports whether the reader missed entries that are no longer retained.
+func (r *reader) start() (missed bool) {
+	c := r.channel
+	r.started, r.cursor = true, c.firstIndex
+	r.newestSeen = map[string]*Entry{}
 	for k := range c.items {
-		e := c.items[k].e
-		if e == nil || e.Place != 0 || e.Number > r.seen[e.Writer] {
+		e := c.items[k].entry
+		if e == nil || e.Offset != 0 || e.Number > r.seen[e.Writer] {
 			continue
 		}
-		if r.had[e.Key] == nil || law(e, r.had[e.Key]) > 0 {
-			r.had[e.Key] = e
+		if r.newestSeen[e.Key] == nil || mergeOrder(e, r.newestSeen[e.Key]) > 0 {
+			r.newestSeen[e.Key] = e
 		}
 	}
-	behind = !r.since()
-	for w, n := range c.base {
-		behind = behind || r.seen[w] < n
+	missed = !r.catchUpForgotten()
+	for w, n := range c.evicted {
+		missed = missed || r.seen[w] < n
 		if n > r.seen[w] {
 			r.seen[w] = n
 		}
 	}
-	return behind
+	return missed
 }
 
-// skip moves a slow reader to the log's first item, and gives the gap's note.
-func (r *reader) skip() Note {
-	r.cursor = r.c.first
-	n := Note{Word: Gap, Position: r.c.basis}
+// skipEvicted moves a slow reader to the first item of the log and returns the notification of the gap.
+func (r *reader) skipEvicted() Notification {
+	r.cursor = r.channel.firstIndex
+	n := Notification{Kind: EventGap, Position: r.channel.startToken}
 	if r.seen != nil {
-		for w, b := range r.c.base {
+		for w, b := range r.channel.evicted {
 			r.seen[w] = max(r.seen[w], b)
 		}
 		n.Position = r.token()
@@ -169,58 +172,59 @@
 	return n
 }
 
-// takeItems appends the notes of the next items up to a number of notes; open is false where the last one closed the reader.
-func (m *Machine) takeItems(id uint64, r *reader, out []Note, most int) (all []Note, open bool) {
-	c := r.c
+// takeItems appends the notifications for the next log items until there are limit of them or maxTakeBytes is reached. open is false if the last one
+// closed the reader.
+func (m *Machine) takeItems(id uint64, r *reader, out []Notification, limit int) (all []Notification, open bool) {
+	c := r.channel
 	size := 0
-	for len(out) < most && size < takeBytes && r.cursor < c.end() {
-		i := &c.items[r.cursor-c.first]
+	for len(out) < limit && size < maxTakeBytes && r.cursor < c.endIndex() {
+		i := &c.items[r.cursor-c.firstIndex]
 		r.cursor++
 		before := len(out)
 		if out, open = m.takeItem(id, r, i, out); !open {
 			return out, false
 		}
 		if before < len(out) {
-			size += r.locate(out[before:], i)
+			size += r.setPositions(out[before:], i)
 		}
 	}
 	return out, true
 }
 
-// takeItem appends what an item is to a reader; open is false where that closed the reader.
-func (m *Machine) takeItem(id uint64, r *reader, i *item, out []Note) (all []Note, open bool) {
-	c := r.c
+// takeItem appends the notifications for one log item, if there are any for this reader. open is false if the last one closed the reader.
+func (m *Machine) takeItem(id uint64, r *reader, i *logItem, out []Notification) (all []Notification, open bool) {
+	c := r.channel
 	w, from, to := i.writer, i.from, i.to
-	if i.e != nil {
-		w, to = i.e.lane()
+	if i.entry != nil {
+		w, to = i.entry.lane()
 		from = to
 	}
-	seen := r.see(w, to)
-	if i.over {
-		return append(out, m.end(id, r, Ended)), false
+	seen := r.markSeen(w, to)
+	if i.end {
+		return append(out, m.closeReader(id, r, EventEnded)), false
 	}
-	if i.generation > r.gen && (r.gen != 0 || i.mark) {
-		out = append(out, Note{Word: Turned, Generation: i.generation})
+	if i.generation > r.generation && (r.generation != 0 || i.declarationChange) {
+		out = append(out, Notification{Kind: EventDeclarationChanged, Generation: i.generation})
 	}
-	r.gen = max(r.gen, i.generation)
+	r.generation = max(r.generation, i.generation)
 	switch {
 	case seen:
-	case i.e != nil && r.wish == Latest && c.newest[i.e.Key] != i.e: // a newer one follows
-	case i.e != nil:
-		had := r.had[i.e.Key]
-		late := i.late || had != nil && law(had, i.e) > 0
-		out = append(out, Note{Word: Shown, Entry: i.e, Late: late, Generation: i.generation})
-	case to > 0 && !i.mark && (from != 1 || r.cursor > r.fresh): // what was before a new reader came is no gap
-		if !c.d.Told {
-			return append(out, m.end(id, r, Cut)), false
+	case i.entry != nil && r.order == Latest && c.newestByKey[i.entry.Key] != i.entry: // a newer entry of the key follows
+	case i.entry != nil:
+		newest := r.newestSeen[i.entry.Key]
+		late := i.late || newest != nil && mergeOrder(newest, i.entry) > 0
+		out = append(out, Notification{Kind: EventEntry, Entry: i.entry, Late: late, Generation: i.generation})
+	case to > 0 && !i.declarationChange && (from != 1 || r.cursor > r.openedAtIndex): // for a new reader, entries missing from before it opened are no gap
+		if !c.declaration.AllowGaps {
+			return append(out, m.closeReader(id, r, EventCutOff)), false
 		}
-		out = append(out, Note{Word: Gap, Writer: w, From: from, To: to})
+		out = append(out, Notification{Kind: EventGap, Writer: w, From: from, To: to})
 	}
 	return out, true
 }
 
-// see tells whether the reader had a writer's number before, and marks it as had.
-func (r *reader) see(writer string, number uint64) (before bool) {
+// markSeen marks a number of a lane as seen by the reader and reports whether it was seen before.
+func (r *reader) markSeen(writer string, number uint64) (before bool) {
 	if r.seen == nil || number == 0 {
 		return false
 	}
@@ -229,83 +233,83 @@
 	return before
 }
 
-// locate puts the position after an item into its notes, and gives the bytes that they count for.
-func (r *reader) locate(notes []Note, i *item) (size int) {
-	position := i.pos
+// setPositions sets the position after a log item in its last notification. It returns the bytes that the notifications count for.
+func (r *reader) setPositions(notes []Notification, i *logItem) (size int) {
+	position := i.token
 	if r.seen != nil {
 		position = r.token()
 	}
-	for k := range notes { // of two notes of one item the first is before it: it stands where the last one stood
+	for k := range notes { // only the last notification of an item carries a position: after the first one the reader has not passed the item yet
 		notes[k].Position = ""
 	}
 	notes[len(notes)-1].Position = position
 	size = len(position)
-	if i.e != nil {
-		size += i.e.Size()
+	if i.entry != nil {
+		size += i.entry.Size()
 	}
 	return size
 }
 
-// keepPlace notes where the reader stands in the log.
-func (r *reader) keepPlace() {
-	c := r.c
+// updatePosition updates the reader's position after it has taken items.
+func (r *reader) updatePosition() {
+	c := r.channel
 	switch {
-	case r.cursor == c.end():
-		r.seen, r.had = nil, nil // from here on the log's own positions hold
-		if c.d.Order == Total {
-			r.place = Position{Epoch: c.epoch, Place: c.vec[""]}
+	case r.cursor == c.endIndex():
+		r.seen, r.newestSeen = nil, nil // from here on the tokens of the log's items apply
+		if c.declaration.Order == Total {
+			r.position = Position{Epoch: c.logEpoch, Offset: c.logged[""]}
 		}
-	case c.d.Order == Total && r.cursor > c.first:
-		r.place = c.placeAt(r.cursor - 1 - c.first)
+	case c.declaration.Order == Total && r.cursor > c.firstIndex:
+		r.position = c.positionAt(r.cursor - 1 - c.firstIndex)
 	}
 }
 
-// stale tells whether a reader that has all of the log waits for too long for what the log itself waits for.
+// stale reports whether a reader at the end of the log has waited for OrderWait while the log itself waits for missing entries.
 func (r *reader) stale(now float64) bool {
-	c := r.c
-	return r.cursor == c.end() && c.oldest > 0 && now-c.oldest >= c.d.Wait && now-r.opened >= c.d.Wait
+	c := r.channel
+	return r.cursor == c.endIndex() && c.oldestHeldAt > 0 && now-c.oldestHeldAt >= c.declaration.OrderWait && now-r.openedAt >= c.declaration.OrderWait
 }
 
-// placeAt is the position after an item of Total.
-func (c *channel) placeAt(k uint64) Position {
+// positionAt returns the position after items[k], in total order.
+func (c *channel) positionAt(k uint64) Position {
 	i := &c.items[k]
-	p := Position{Epoch: c.epochAt(i.to), Place: i.to}
-	if i.e != nil {
-		p.Epoch, p.Place = i.e.Epoch, i.e.Place
+	p := Position{Epoch: c.epochAt(i.to), Offset: i.to}
+	if i.entry != nil {
+		p.Epoch, p.Offset = i.entry.Epoch, i.entry.Offset
 	}
 	return p
 }
 
-// covered: all that the reader has seen is in the log here.
-func (r *reader) covered() bool {
-	if r.place.Gone > r.c.silent || r.place.Ended > 0 {
+// positionReached reports whether the log here includes everything that the reader has seen.
+func (r *reader) positionReached() bool {
+	if r.position.ForgottenThrough > r.channel.forgottenThrough || r.position.EndedGeneration > 0 {
 		return false
 	}
-	if r.place.Generation > r.c.turned && r.c.d.Order != Total || r.place.Generation > r.c.d.Generation {
+	if r.position.Generation > r.channel.logGeneration && r.channel.declaration.Order != Total || r.position.Generation > r.channel.declaration.Generation {
 		return false
 	}
-	if ep := r.c.epochs; r.c.d.Order == Total && len(ep) > 0 && r.place.Epoch > max(ep[0].epoch, r.c.epochAt(r.place.Place)) {
-		return false // what stands at its place here is of an older epoch
+	if ep := r.channel.epochs; r.channel.declaration.Order == Total && len(ep) > 0 && r.position.Epoch > max(ep[0].epoch, r.channel.epochAt(r.position.Offset)) {
+		return false // the entry at its offset is of an older epoch here
 	}
-	for w, g := range r.c.gone { // not named: seen to its last
-		if n, ok := r.c.vec[w]; ok && n < g.Number && r.seen[w] == 0 && r.place.Gone >= g.At {
+	for w, g := range r.channel.forgotten { // a forgotten writer that the position does not name was seen to its last number
+		if n, ok := r.channel.logged[w]; ok && n < g.Number && r.seen[w] == 0 && r.position.ForgottenThrough >= g.Sequence {
 			return false
 		}
 	}
 	for w, n := range r.seen {
-		if _, ok := r.c.vec[w]; n > r.c.vec[w] && !r.c.forgot(w, n) && (ok || r.place.Gone >= r.c.rolled) {
+		if _, ok := r.channel.logged[w]; n > r.channel.logged[w] && !r.channel.isForgotten(w, n) && (ok || r.position.ForgottenThrough >= r.channel.evictedThrough) {
 			return false
 		}
 	}
 	return true
 }
 
-// token of a reader that is not in step with the log.
+// token returns the token of the position of a reader that has not reached the end of the log.
 func (r *reader) token() string {
-	p := Position{Channel: r.c.d.Name, Generation: r.gen, Seen: r.seen, Gone: r.gone}
-	if r.c.d.Order == Total {
-		p.Seen, p.Place = nil, r.seen[""]
-		p.Epoch = max(r.c.epochAt(p.Place), r.place.Epoch)
+	p := Position{Channel: r.channel.declaration.Name, Generation: r.generation, Seen: r.seen, ForgottenThrough: r.forgottenThrough}
+	if r.channel.declaration.Order == Total {
+		p.Seen, p.Offset = nil, r.seen[""]
+		p.Epoch = max(r.channel.epochAt(p.Offset), r.position.Epoch)
 	}
 	return p.Token()
 }
--- a/core/cluster/channel/types.go
+++ b/core/cluster/channel/types.go
@@ -1,120 +1,124 @@
-// Package channel keeps streams of notices in the order that their declaration names, at every dispatcher and over reconnections of
-// writers and readers. It stands on replica (entries are records that spread) and, for total order, on a duty's token and the voters' log. It is
-// pure: entries, readers and time come in, what is to be written and shown goes out.
+// Package channel implements ordered streams of notices between clients of the fleet. Each channel delivers its entries in the order that its
+// declaration promises, at every dispatcher and across reconnections of writers and readers. Entries are records of package replication. Total
+// order also needs a sequencer, which is the dispatcher that holds the channel's duty, and the voters' log. The package does no I/O and reads no
+// clock: callers pass in records, requests and the time, and carry out what Machine.Ready returns.
 package channel
 
-// Order is how entries of a channel are put in order.
+// Order is the delivery order that a channel promises to its readers.
 type Order uint8
 
-// The orders, from the least to the most that a reader may ask for. Each holds what the one before does, but for Causal and Sender over Key.
+// The orders from the weakest to the strongest; a reader may ask for the declared order or a weaker one. Each order also gives the guarantees of
+// the orders before it, except that BySender and Causal do not include ByKey.
 const (
-	Latest   Order = 1 + iota // the newest of each key, others may be passed over
-	ByKey                     // those of one key in the order of their writers' numbers, one writer after the other by the law
-	BySender                  // those of one writer in its order
-	Causal                    // none before what its writer had seen or written
-	Total                     // one order for all
+	Latest   Order = 1 + iota // the newest entry of each key; older entries may be skipped
+	ByKey                     // entries of one key in the order of each writer's numbers; the merge order ranks entries of different writers
+	BySender                  // entries of one writer in the order in which it wrote them
+	Causal                    // an entry follows everything that its writer had seen or written before it
+	Total                     // one order for all readers
 )
 
 func (o Order) String() string {
 	return [...]string{"", "latest", "key", "sender", "causal", "total"}[min(o, Total)]
 }
 
-// Declaration is what a channel promises, in one generation. It is agreed: readers see it change at one entry.
+// Declaration is what a channel promises in one generation. The voters agree on it, and every reader sees a change of it at the same entry.
 type Declaration struct {
-	Name       string  `cbor:"1,keyasint" json:"Name"`
-	Generation uint64  `cbor:"2,keyasint" json:"Generation"`
-	Order      Order   `cbor:"3,keyasint" json:"Order"`
-	Told       bool    `cbor:"4,keyasint,omitempty" json:"Told"`    // gaps are told; else there are none
-	Repeats    bool    `cbor:"5,keyasint,omitempty" json:"Repeats"` // repeats are allowed; else none within what is kept
-	Entries    int     `cbor:"6,keyasint" json:"Entries"`           // kept
-	Bytes      int     `cbor:"7,keyasint" json:"Bytes"`
-	Seconds    float64 `cbor:"8,keyasint" json:"Seconds"`           // kept for
-	Wait       float64 `cbor:"9,keyasint" json:"Wait"`              // s that a reader is held back for order before it is told
-	Slow       bool    `cbor:"10,keyasint,omitempty" json:"Slow"`   // a slow reader is cut off; else it is told a gap
-	Forget     float64 `cbor:"11,keyasint,omitempty" json:"Forget"` // s of silence after which a writer's name goes, once nothing of it is kept; 0 for never
-	End        bool    `cbor:"12,keyasint,omitempty" json:"End"`    // the channel is withdrawn: readers are told, writers refused, all that is kept goes
-	Since      uint64  `cbor:"13,keyasint,omitempty" json:"Since"`  // generation of the last end, 0 for none; given by the ledger. What was taken under it is void
-	Place      uint64  `cbor:"14,keyasint,omitempty" json:"Place"`  // of Total: the first place after that end; given by the ledger
+	Name                string  `cbor:"1,keyasint" json:"Name"`
+	Generation          uint64  `cbor:"2,keyasint" json:"Generation"`
+	Order               Order   `cbor:"3,keyasint" json:"Order"`
+	AllowGaps           bool    `cbor:"4,keyasint,omitempty" json:"Told"`    // readers may miss entries and are notified of each gap; false promises that there are no gaps
+	AllowRepeats        bool    `cbor:"5,keyasint,omitempty" json:"Repeats"` // readers may be given an entry twice; false promises no repeats within the retained entries
+	RetainedEntries     int     `cbor:"6,keyasint" json:"Entries"`           // how many entries are retained
+	RetainedBytes       int     `cbor:"7,keyasint" json:"Bytes"`             // how many bytes of entries are retained
+	RetainedSeconds     float64 `cbor:"8,keyasint" json:"Seconds"`           // seconds for which an entry is retained
+	OrderWait           float64 `cbor:"9,keyasint" json:"Wait"`              // seconds for which a reader waits for missing entries before it is notified
+	DisconnectSlow      bool    `cbor:"10,keyasint,omitempty" json:"Slow"`   // a reader that falls behind is cut off; otherwise it is notified of a gap
+	WriterExpiry        float64 `cbor:"11,keyasint,omitempty" json:"Forget"` // seconds of silence after which a writer's name is forgotten, once none of its entries is retained; 0 for never
+	Withdrawn           bool    `cbor:"12,keyasint,omitempty" json:"End"`    // the channel is withdrawn: readers are notified, writes are refused, and all retained entries are deleted
+	WithdrawnGeneration uint64  `cbor:"13,keyasint,omitempty" json:"Since"`  // generation of the last withdrawal, 0 if there was none; set by the ledger. Entries accepted in that or an earlier generation are void
+	FirstOffset         uint64  `cbor:"14,keyasint,omitempty" json:"Place"`  // in total order, the first offset after the last withdrawal; set by the ledger
 }
 
-// Gone is a writer whose name was let go, as agreed: nothing of it up to its number is kept, nor named in a position.
-type Gone struct {
-	Writer string `cbor:"1,keyasint" json:"Writer"`
-	Number uint64 `cbor:"2,keyasint" json:"Number"` // its last
-	Clock  uint64 `cbor:"3,keyasint,omitempty" json:"Clock"`
-	At     uint64 `cbor:"4,keyasint,omitempty" json:"At"` // which of all that were let go it is, from 1; given by the ledger
+// ForgottenWriter is a writer whose name the voters agreed to forget. No entry of it up to Number is retained, and positions do not name it.
+type ForgottenWriter struct {
+	Writer   string `cbor:"1,keyasint" json:"Writer"`
+	Number   uint64 `cbor:"2,keyasint" json:"Number"`          // number of the writer's last entry
+	Clock    uint64 `cbor:"3,keyasint,omitempty" json:"Clock"` // clock of the writer's last entry
+	Sequence uint64 `cbor:"4,keyasint,omitempty" json:"At"`    // counts the forgotten writers of all channels from 1; set by the ledger
 }
 
-// Silent is who was let go in a channel: the last of them are remembered by name, and come back as if they had stayed.
-type Silent struct {
-	Channel string `cbor:"1,keyasint" json:"Channel"`
-	Gone    []Gone `cbor:"2,keyasint,omitempty" json:"Gone"`   // in their order
-	Rolled  uint64 `cbor:"3,keyasint,omitempty" json:"Rolled"` // those up to this one are remembered no more
-	Clock   uint64 `cbor:"4,keyasint,omitempty" json:"Clock"`  // the highest of those: what is no newer may be theirs
+// ForgottenWriters lists the forgotten writers of a channel. Only the most recent ones are listed by name; one of these can write again as if it
+// had never been forgotten.
+type ForgottenWriters struct {
+	Channel        string            `cbor:"1,keyasint" json:"Channel"`
+	Writers        []ForgottenWriter `cbor:"2,keyasint,omitempty" json:"Gone"`   // sorted by Sequence
+	EvictedThrough uint64            `cbor:"3,keyasint,omitempty" json:"Rolled"` // forgotten writers with a Sequence up to this one are no longer listed
+	EvictedClock   uint64            `cbor:"4,keyasint,omitempty" json:"Clock"`  // highest clock of the writers no longer listed: an entry whose clock is not higher may be from one of them
 }
 
-// Entry is one notice.
+// Entry is one notice of a channel.
 type Entry struct {
 	Channel string `cbor:"1,keyasint" json:"Channel"`
 	Key     string `cbor:"2,keyasint,omitempty" json:"Key"`
 	Writer  string `cbor:"3,keyasint" json:"Writer"` // a client of the fleet, not a dispatcher
-	Number  uint64 `cbor:"4,keyasint" json:"Number"` // the writer's own, from 1
-	// After is what the writer had seen or written when it wrote: by writer its highest number; of Causal.
+	Number  uint64 `cbor:"4,keyasint" json:"Number"` // counts the writer's entries from 1
+	// After holds, for each writer, the highest number that this entry's writer had seen or written before it. It is used only in causal order.
 	After map[string]uint64 `cbor:"5,keyasint,omitempty" json:"After"`
-	// Epoch and Place are given by who puts total order; 0 otherwise.
-	Epoch uint64 `cbor:"6,keyasint,omitempty" json:"Epoch"`
-	Place uint64 `cbor:"7,keyasint,omitempty" json:"Place"`
-	Body  []byte `cbor:"8,keyasint,omitempty" json:"Body"`
-	// Clock says which of two is newer, of several writers': above those that the writer had seen in the channel, never falling; 0 if it keeps none.
-	// It is the writer's, so that it is the same wherever the entry is sent again.
+	// Epoch and Offset are set by the sequencer of a channel in total order and are 0 otherwise.
+	Epoch  uint64 `cbor:"6,keyasint,omitempty" json:"Epoch"`
+	Offset uint64 `cbor:"7,keyasint,omitempty" json:"Place"`
+	Body   []byte `cbor:"8,keyasint,omitempty" json:"Body"`
+	// Clock decides which of several writers' entries is newer. A writer sets it above every clock that it has seen in the channel and never
+	// lowers it, or leaves it 0 if it keeps no clock. The writer sets it, so that it stays the same when the entry is sent again elsewhere.
 	Clock uint64 `cbor:"12,keyasint,omitempty" json:"Clock"`
-	// Life is the declaration's Since: a name that was withdrawn and declared anew has nothing in common with what it was. Given by who takes the entry in.
-	Life uint64 `cbor:"13,keyasint,omitempty" json:"Life"`
-	// The rest is given by who takes the entry in, too.
-	Generation uint64 `cbor:"9,keyasint,omitempty" json:"Generation"` // of the declaration that it was taken under
-	Since      uint64 `cbor:"10,keyasint,omitempty" json:"Since"`     // of Total: the first place of its epoch; what an older epoch has from there on is void
-	Stamp      uint64 `cbor:"11,keyasint,omitempty" json:"Stamp"`     // above all that its taker knew in the channel: an entry that is written again stands over itself
+	// Incarnation is the declaration's WithdrawnGeneration. It separates the entries of a channel from those of an earlier channel that was
+	// withdrawn under the same name. The dispatcher that accepts the entry sets it.
+	Incarnation uint64 `cbor:"13,keyasint,omitempty" json:"Life"`
+	// The dispatcher that accepts the entry or, in total order, the sequencer also sets the remaining fields.
+	Generation uint64 `cbor:"9,keyasint,omitempty" json:"Generation"` // generation of the declaration under which the entry was accepted
+	EpochStart uint64 `cbor:"10,keyasint,omitempty" json:"Since"`     // in total order, the first offset of the entry's epoch; entries of older epochs from this offset on are void
+	Stamp      uint64 `cbor:"11,keyasint,omitempty" json:"Stamp"`     // above every stamp that the writing dispatcher knew in the channel, so that a rewritten entry wins over its earlier record
 }
 
-// Position is how far a reader has come; a token of it is good at every dispatcher.
+// Position says how far a reader has come in a channel. Its token can be used at every dispatcher.
 type Position struct {
-	Channel    string            `cbor:"1,keyasint"`
-	Generation uint64            `cbor:"2,keyasint"`
-	Epoch      uint64            `cbor:"3,keyasint,omitempty"`
-	Place      uint64            `cbor:"4,keyasint,omitempty"` // of Total
-	Seen       map[string]uint64 `cbor:"5,keyasint,omitempty"` // by writer, else
-	Gone       uint64            `cbor:"6,keyasint,omitempty"` // writers let go up to this one are seen to their last number, but for those in Seen
-	Ended      uint64            `cbor:"7,keyasint,omitempty"` // generation of the end that was told: all that follows is of a channel declared anew
+	Channel          string            `cbor:"1,keyasint"`
+	Generation       uint64            `cbor:"2,keyasint"`
+	Epoch            uint64            `cbor:"3,keyasint,omitempty"` // in total order, the sequencer's epoch of the entry at Offset
+	Offset           uint64            `cbor:"4,keyasint,omitempty"` // in total order, the last offset that the reader has seen
+	Seen             map[string]uint64 `cbor:"5,keyasint,omitempty"` // in the other orders, the highest number seen of each writer
+	ForgottenThrough uint64            `cbor:"6,keyasint,omitempty"` // every forgotten writer up to this Sequence that Seen does not name was seen to its last number
+	EndedGeneration  uint64            `cbor:"7,keyasint,omitempty"` // generation of the withdrawal that the reader was notified of; later entries belong to a new channel of the same name
 }
 
-// Word is what a reader is told.
-type Word uint8
+// EventKind is the kind of event that a Notification reports to a reader.
+type EventKind uint8
 
-// The words.
+// The kinds of events.
 const (
-	Shown  Word = 1 + iota // an entry
-	Gap                    // entries were passed over; a declaration with gaps told
-	Reset                  // the position is of an epoch that is lost: begin anew
-	Behind                 // this dispatcher has not come so far within the wait: go to another
-	Cut                    // too slow, or away for longer than is kept, where no gap may be: begin anew
-	Turned                 // the declaration has changed here
-	Ended                  // the channel is withdrawn: nothing follows
+	EventEntry              EventKind = 1 + iota // an entry
+	EventGap                                     // entries were skipped; only for declarations that allow gaps
+	EventReset                                   // the position is in an epoch that was lost: the reader has to start over
+	EventBehind                                  // this dispatcher did not reach the reader's position, or what it waits for did not come, within OrderWait: the reader should go to another dispatcher
+	EventCutOff                                  // the reader was too slow or away for longer than entries are retained: it has to start over
+	EventDeclarationChanged                      // the declaration changes at this point
+	EventEnded                                   // the channel was withdrawn: nothing follows
 )
 
-// Note is what goes to a reader.
-type Note struct {
-	Word       Word
-	Entry      *Entry
-	Position   string // token after it
-	From, To   uint64 // of a gap, where they can be told
-	Writer     string // of a gap
-	Where      []string
-	Generation uint64
-	Late       bool // of an entry: by the law a newer one of its key was shown before it, as after a cut
+// Notification is one event that a reader is given.
+type Notification struct {
+	Kind        EventKind
+	Entry       *Entry
+	Position    string   // token of the position after this event
+	From, To    uint64   // the numbers or offsets that a gap spans; 0 where they are not known
+	Writer      string   // the writer whose entries a gap skips
+	Dispatchers []string // other live dispatchers, for EventBehind
+	Generation  uint64
+	Late        bool // a newer entry of the same key by the merge order was delivered before this one, for example after a network partition
 }
 
-// Kinds of records that channels need of replication.
+// Kinds of replication records that channels use.
 const (
-	EntryKind  = 3 // key: channel, writer, number and life, or channel, place and epoch; value: the entry
-	WriterKind = 4 // key: channel, writer and life; value: its highest number that fell out of what is kept. Of a tombstone: up to there it is let go
+	EntryKind  = 3 // key: channel, writer, number and incarnation, or channel, offset and epoch; value: the entry
+	WriterKind = 4 // key: channel, writer and incarnation; value: the highest number of the writer that is no longer retained; in a tombstone, the number up to which the writer is forgotten
 )
--- a/core/cluster/channel/writers.go
+++ b/core/cluster/channel/writers.go
@@ -8,23 +8,24 @@
 	"elderwall/core/cluster/replication"
 )
 
-// highest is the highest number of a writer that is here or on its way here, with none missing.
-func (c *channel) highest(w string) uint64 {
-	n := c.vec[w]
+// highestContiguous returns the highest number of a writer up to which every entry is in the log, held or in flight.
+func (c *channel) highestContiguous(w string) uint64 {
+	n := c.logged[w]
 	for {
 		if _, ok := c.held[w][n+1]; ok {
 			n++
 			continue
 		}
-		if !c.flies(w, n+1) {
+		if !c.isInFlight(w, n+1) {
 			return n
 		}
 		n++
 	}
 }
 
-func (c *channel) flies(w string, n uint64) bool {
-	for _, f := range c.flight[w] {
+// isInFlight reports whether a writer's entry is being replicated and has not failed.
+func (c *channel) isInFlight(w string, n uint64) bool {
+	for _, f := range c.inFlight[w] {
 		if f.number == n && f.err == nil {
 			return true
 		}
@@ -32,152 +33,156 @@
 	return false
 }
 
-// Write takes an entry of a writer. Errors: ErrEntry, ErrChannel, ErrSkips, ErrAfter, ErrFull, ErrWriters, ErrCut; the last but ErrEntry may pass.
-func (m *Machine) Write(now float64, e Entry) (State, error) {
+// Write accepts an entry from a writer. Its errors are or wrap ErrInvalidEntry, ErrUnknownChannel, ErrWithdrawn, ErrWriterForgotten, ErrNumberSkipped,
+// ErrMissingDependency, ErrFull, ErrTooManyWriters and ErrNoMajority. All but ErrInvalidEntry, ErrWithdrawn and ErrWriterForgotten may be temporary.
+func (m *Machine) Write(now float64, e Entry) (WriteState, error) {
 	if err := e.check(); err != nil {
 		return 0, err
 	}
 	c := m.channels[e.Channel]
-	if c == nil || !c.known {
-		return 0, ErrChannel
+	if c == nil || !c.declared {
+		return 0, ErrUnknownChannel
 	}
-	if c.d.End {
-		return 0, ErrEnded
+	if c.declaration.Withdrawn {
+		return 0, ErrWithdrawn
 	}
-	e.Epoch, e.Since, e.Place, e.Stamp, e.Generation, e.Life = 0, 0, 0, 0, c.d.Generation, c.life
-	if c.d.Order == Total {
-		return m.queue(now, c, e)
+	e.Epoch, e.EpochStart, e.Offset, e.Stamp, e.Generation, e.Incarnation = 0, 0, 0, 0, c.declaration.Generation, c.incarnation
+	if c.declaration.Order == Total {
+		return m.enqueue(now, c, e)
 	}
 	w, n := e.Writer, e.Number
-	if e.After = maps.Clone(e.After); c.d.Order != Causal {
+	if e.After = maps.Clone(e.After); c.declaration.Order != Causal {
 		e.After = nil
 	}
-	if c.flies(w, n) {
-		return OnWay, nil
+	if c.isInFlight(w, n) {
+		return WriteInFlight, nil
 	}
-	if c.forgot(w, n) { // it was acknowledged, and has fallen out of what is kept
-		return Known, nil
+	if c.isForgotten(w, n) { // it was acknowledged and is no longer retained
+		return WriteAcknowledged, nil
 	}
-	c.wake(now, w, n)
-	if c.lost(&e) {
-		return 0, ErrForgotten
+	c.reviveWriter(now, w, n)
+	if c.maybeForgotten(&e) {
+		return 0, ErrWriterForgotten
 	}
-	if n <= c.vec[w] {
-		if i := c.find(w, n); i == nil || i.sure {
-			return Known, nil
+	if n <= c.logged[w] {
+		if i := c.findItem(w, n); i == nil || i.replicated {
+			return WriteAcknowledged, nil
 		}
-	} else if h, ok := c.held[w][n]; ok && h.sure {
-		return Known, nil
-	} else if high := c.highest(w); n > high+1 {
-		return 0, fmt.Errorf("%w: %d follows %d", ErrSkips, n, high)
+	} else if h, ok := c.held[w][n]; ok && h.replicated {
+		return WriteAcknowledged, nil
+	} else if high := c.highestContiguous(w); n > high+1 {
+		return 0, fmt.Errorf("%w: %d follows %d", ErrNumberSkipped, n, high)
 	}
-	if e.Clock < c.clock[w] && n > c.vec[w] {
-		return 0, fmt.Errorf("%w: its clock falls", ErrEntry)
+	if e.Clock < c.lastClock[w] && n > c.logged[w] {
+		return 0, fmt.Errorf("%w: its clock is lower than that of the writer's last entry", ErrInvalidEntry)
 	}
-	if delete(e.After, w); !c.free(&e) {
-		return 0, ErrAfter
+	if delete(e.After, w); !c.dependenciesMet(&e) {
+		return 0, ErrMissingDependency
 	}
-	if _, ok := c.vec[w]; !ok && len(c.vec)+len(c.flight) >= MostWriters {
-		return 0, ErrWriters
+	if _, ok := c.logged[w]; !ok && len(c.logged)+len(c.inFlight) >= MaxWriters {
+		return 0, ErrTooManyWriters
 	}
-	if m.flights >= MostFlight {
+	if m.inFlight >= MaxInFlight {
 		return 0, ErrFull
 	}
 	m.send(c, e)
-	return OnWay, nil
+	return WriteInFlight, nil
 }
 
-// send has replica spread an entry, over whatever it has of it.
+// send has replication write an entry. Its new stamp makes it win over any earlier record of the same entry.
 func (m *Machine) send(c *channel, e Entry) {
-	c.stamp++
-	e.Stamp = c.stamp
-	id := m.put(replication.Record{Kind: EntryKind, Key: e.key(), Value: packEntry(&e)}, replication.WriteConcern{Level: replication.LevelCopies, Copies: Copies, Timeout: Within},
-		wait{channel: e.Channel, writer: e.Writer, number: e.Number})
-	c.flight[e.Writer] = append(c.flight[e.Writer], &flight{number: e.Number, id: id})
-	m.flights++
+	c.highestStamp++
+	e.Stamp = c.highestStamp
+	id := m.put(replication.Record{Kind: EntryKind, Key: e.key(), Value: encodeEntry(&e)}, replication.WriteConcern{Level: replication.LevelCopies, Copies: AckCopies, Timeout: AckTimeout},
+		pendingPut{channel: e.Channel, writer: e.Writer, number: e.Number})
+	c.inFlight[e.Writer] = append(c.inFlight[e.Writer], &inFlightWrite{number: e.Number, id: id})
+	m.inFlight++
 }
 
-func (m *Machine) put(r replication.Record, s replication.WriteConcern, w wait) uint64 {
-	id := m.next
-	m.next++
-	m.waits[id] = w
-	m.ready.Puts = append(m.ready.Puts, Put{ID: id, Record: r, Sure: s})
+// put adds a Put to Ready whose result is awaited, and returns its ID.
+func (m *Machine) put(r replication.Record, s replication.WriteConcern, w pendingPut) uint64 {
+	id := m.nextID
+	m.nextID++
+	m.pendingPuts[id] = w
+	m.ready.Puts = append(m.ready.Puts, Put{ID: id, Record: r, Concern: s})
 	return id
 }
 
-// Written tells how a Put with an ID ended: refused by replica, or by its outcome.
-func (m *Machine) Written(now float64, id uint64, o replication.Outcome, err error) {
-	w, ok := m.waits[id]
+// PutCompleted reports the result of a Put with an ID: err if replication refused the record, otherwise the outcome of the write.
+func (m *Machine) PutCompleted(now float64, id uint64, o replication.Outcome, err error) {
+	w, ok := m.pendingPuts[id]
 	if !ok {
 		return
 	}
-	delete(m.waits, id)
+	delete(m.pendingPuts, id)
 	c := m.channels[w.channel]
-	if w.place > 0 {
-		if _, ok := c.spread[w.place]; ok && err == nil && o.Met {
-			c.spread[w.place] = true
+	if w.offset > 0 {
+		if _, ok := c.offsetsReplicated[w.offset]; ok && err == nil && o.Met {
+			c.offsetsReplicated[w.offset] = true
 		} else if ok {
-			delete(c.spread, w.place)
+			delete(c.offsetsReplicated, w.offset)
 		}
 		return
 	}
-	for _, f := range c.flight[w.writer] {
+	for _, f := range c.inFlight[w.writer] {
 		if f.id == id {
 			f.done, f.outcome, f.err = true, o, err
 		}
 	}
-	// In the writer's order: none is acknowledged before those before it are.
-	all := c.flight[w.writer]
+	// Acknowledge in the writer's order: an entry is acknowledged only after all entries before it.
+	all := c.inFlight[w.writer]
 	for len(all) > 0 && all[0].done {
 		f := all[0]
 		all = all[1:]
-		m.flights--
+		m.inFlight--
 		met := f.err == nil && f.outcome.Met
 		if met {
-			if i := c.find(w.writer, f.number); i != nil {
-				i.sure = true
+			if i := c.findItem(w.writer, f.number); i != nil {
+				i.replicated = true
 			} else if h, ok := c.held[w.writer][f.number]; ok {
-				h.sure = true
+				h.replicated = true
 				c.held[w.writer][f.number] = h
 			}
 		}
 		m.ready.Acks = append(m.ready.Acks, Ack{Channel: w.channel, Writer: w.writer, Number: f.number, Met: met, Copies: f.outcome.Copies, Err: f.err})
 	}
-	if c.flight[w.writer] = all; len(all) == 0 {
-		delete(c.flight, w.writer)
+	if c.inFlight[w.writer] = all; len(all) == 0 {
+		delete(c.inFlight, w.writer)
 	}
 	m.advance(now, c)
 }
 
-// Hold tells that this dispatcher got the duty of a channel, its token the epoch; 0: that it lost it.
-func (m *Machine) Hold(now float64, name string, epoch uint64) {
-	c := m.channel(name)
-	if c == nil || c.holds == epoch {
+// SetSequencerEpoch makes this dispatcher the sequencer of a channel after it obtained the duty. The epoch is the duty's fencing token, or 0 after it
+// lost the duty.
+func (m *Machine) SetSequencerEpoch(now float64, name string, epoch uint64) {
+	c := m.channelFor(name)
+	if c == nil || c.sequencerEpoch == epoch {
 		return
 	}
-	c.holds, c.line, c.proposed, c.again = epoch, nil, 0, 0
-	m.unqueue(c)
-	clear(c.spread)
+	c.sequencerEpoch, c.sequence, c.proposedAt, c.replicationAttempt = epoch, nil, 0, 0
+	m.refuseQueued(c)
+	clear(c.offsetsReplicated)
 }
 
-// unqueue says that nothing is known to come of what is queued: who sends it again learns whether it was put in order after all.
-func (m *Machine) unqueue(c *channel) {
+// refuseQueued refuses the queued entries, since it is unknown whether they will be sequenced. A writer that sends one again learns whether it was.
+func (m *Machine) refuseQueued(c *channel) {
 	for _, e := range c.queue {
-		m.ready.Acks = append(m.ready.Acks, Ack{Channel: e.Channel, Writer: e.Writer, Number: e.Number, Err: ErrCut})
+		m.ready.Acks = append(m.ready.Acks, Ack{Channel: e.Channel, Writer: e.Writer, Number: e.Number, Err: ErrNoMajority})
 	}
-	c.queue, c.proposed = nil, 0
+	c.queue, c.proposedAt = nil, 0
 }
 
-// Agreed tells a holder what the ledger has of its channel: when it got the duty, having read the log to its end, and after each command.
-func (m *Machine) Agreed(now float64, l *Line) {
-	c := m.channel(l.Channel)
-	if c == nil || c.holds == 0 || l.Epoch > c.holds {
+// SetSequence gives the sequencer the ledger's state of its channel. The caller calls it after the dispatcher obtained the duty and read the voters'
+// log to its end, and after each command.
+func (m *Machine) SetSequence(now float64, l *Sequence) {
+	c := m.channelFor(l.Channel)
+	if c == nil || c.sequencerEpoch == 0 || l.Epoch > c.sequencerEpoch {
 		return
 	}
-	if o := c.line; o == nil || o.Next != l.Next || o.Spread != l.Spread {
-		c.proposed = 0
+	if o := c.sequence; o == nil || o.NextOffset != l.NextOffset || o.ReplicatedThrough != l.ReplicatedThrough {
+		c.proposedAt = 0
 	}
-	c.line = l
+	c.sequence = l
 	kept := c.queue[:0]
 	for _, e := range c.queue {
 		if e.Number > l.Writers[e.Writer].Number {
@@ -188,24 +193,24 @@
 	}
 	clear(c.queue[len(kept):])
 	c.queue = kept
-	m.order(now, l.Channel, c)
+	m.propose(now, l.Channel, c)
 }
 
-// queue takes an entry of Total at the holder; elsewhere it is known only once it came back.
-func (m *Machine) queue(now float64, c *channel, e Entry) (State, error) {
+// enqueue accepts an entry in total order at the sequencer. Other dispatchers know an entry only once its record has reached them.
+func (m *Machine) enqueue(now float64, c *channel, e Entry) (WriteState, error) {
 	e.After = nil
-	if e.Number <= c.taken[e.Writer] {
-		return Known, nil
+	if e.Number <= c.sequencedNumbers[e.Writer] {
+		return WriteAcknowledged, nil
 	}
-	if c.holds == 0 || c.line == nil {
-		return Elsewhere, nil
+	if c.sequencerEpoch == 0 || c.sequence == nil {
+		return WriteNotSequencer, nil
 	}
-	if !m.decides {
-		return 0, ErrCut
+	if !m.hasQuorum {
+		return 0, ErrNoMajority
 	}
-	high := c.line.Writers[e.Writer].Number
+	high := c.sequence.Writers[e.Writer].Number
 	if e.Number <= high {
-		return Known, nil
+		return WriteAcknowledged, nil
 	}
 	for i := range c.queue {
 		if c.queue[i].Writer == e.Writer {
@@ -214,95 +219,97 @@
 	}
 	switch {
 	case e.Number <= high:
-		return OnWay, nil
+		return WriteInFlight, nil
 	case e.Number > high+1:
-		return 0, fmt.Errorf("%w: %d follows %d", ErrSkips, e.Number, high)
-	case len(c.queue) >= MostPending:
+		return 0, fmt.Errorf("%w: %d follows %d", ErrNumberSkipped, e.Number, high)
+	case len(c.queue) >= MaxPending:
 		return 0, ErrFull
 	}
 	c.queue = append(c.queue, e)
-	m.order(now, e.Channel, c) // at once, if no command is on its way: what comes meanwhile goes with the next
-	return OnWay, nil
+	m.propose(now, e.Channel, c) // proposes at once if no command is outstanding; entries that arrive meanwhile go with the next one
+	return WriteInFlight, nil
 }
 
-// order is what the holder does: it proposes what is queued, one command at a time, writes what stands, and lets go of what is spread.
-func (m *Machine) order(now float64, name string, c *channel) {
-	if c.holds == 0 || c.line == nil {
+// propose does the sequencer's work: it proposes the queued entries, one command at a time, has the ledger's pending entries replicated, and reports
+// to the ledger up to which offset they are.
+func (m *Machine) propose(now float64, name string, c *channel) {
+	if c.sequencerEpoch == 0 || c.sequence == nil {
 		return
 	}
-	spread := c.line.Spread
-	for i := range c.line.Pending {
-		e := c.line.Pending[i]
-		done, ok := c.spread[e.Place]
-		if done && e.Place == spread+1 {
-			spread = e.Place
+	replicatedThrough := c.sequence.ReplicatedThrough
+	for i := range c.sequence.Pending {
+		e := c.sequence.Pending[i]
+		done, ok := c.offsetsReplicated[e.Offset]
+		if done && e.Offset == replicatedThrough+1 {
+			replicatedThrough = e.Offset
 		}
 		if !ok {
-			c.again = min(c.again+1, attempts-1)
-			c.spread[e.Place] = false
-			e.Stamp = c.holds*attempts + c.again // above what an earlier holder wrote: so its outcome is one's own
-			m.put(replication.Record{Kind: EntryKind, Key: e.key(), Value: packEntry(&e)}, replication.WriteConcern{Level: replication.LevelMajority, Timeout: Within},
-				wait{channel: name, place: e.Place})
+			c.replicationAttempt = min(c.replicationAttempt+1, stampsPerEpoch-1)
+			c.offsetsReplicated[e.Offset] = false
+			e.Stamp = c.sequencerEpoch*stampsPerEpoch + c.replicationAttempt // above the stamps of earlier sequencers, so that the outcome is that of this write
+			m.put(replication.Record{Kind: EntryKind, Key: e.key(), Value: encodeEntry(&e)}, replication.WriteConcern{Level: replication.LevelMajority, Timeout: AckTimeout},
+				pendingPut{channel: name, offset: e.Offset})
 		}
 	}
-	if c.proposed > 0 && now-c.proposed < againAfter {
+	if c.proposedAt > 0 && now-c.proposedAt < reproposeAfter {
 		return
 	}
-	cmd := Command{Channel: name, Epoch: c.holds, Life: c.life}
-	if spread > c.line.Spread {
-		cmd.Spread = spread
+	cmd := Command{Channel: name, Epoch: c.sequencerEpoch, Incarnation: c.incarnation}
+	if replicatedThrough > c.sequence.ReplicatedThrough {
+		cmd.ReplicatedThrough = replicatedThrough
 	}
 	size := 0
 	for i := range c.queue {
-		if size += c.queue[i].size(); i >= batch || i > 0 && size > batchBytes {
+		if size += c.queue[i].size(); i >= batchEntries || i > 0 && size > batchBytes {
 			break
 		}
 		cmd.Entries = append(cmd.Entries, c.queue[i])
 	}
-	if !m.decides || cmd.Spread == 0 && len(cmd.Entries) == 0 {
+	if !m.hasQuorum || cmd.ReplicatedThrough == 0 && len(cmd.Entries) == 0 {
 		return
 	}
-	for p := range c.spread {
-		if p <= c.line.Spread {
-			delete(c.spread, p)
+	for p := range c.offsetsReplicated {
+		if p <= c.sequence.ReplicatedThrough {
+			delete(c.offsetsReplicated, p)
 		}
 	}
-	c.proposed = now
+	c.proposedAt = now
 	m.ready.Commands = append(m.ready.Commands, cmd)
 }
 
-// Order has a holder propose what is queued at once, and not only with the next Tick: after entries were taken.
-func (m *Machine) Order(now float64) {
+// Propose proposes the queued entries at once instead of at the next Tick. The caller calls it after Write has accepted entries.
+func (m *Machine) Propose(now float64) {
 	for _, name := range slices.Sorted(maps.Keys(m.channels)) {
-		m.order(now, name, m.channels[name])
+		m.propose(now, name, m.channels[name])
 	}
 }
 
-// Last is the highest number of a writer that is known here or on its way.
-func (m *Machine) Last(channel, writer string) uint64 {
+// HighestNumber returns the highest number of a writer that is known or in flight here.
+func (m *Machine) HighestNumber(channel, writer string) uint64 {
 	c := m.channels[channel]
 	if c == nil {
 		return 0
 	}
-	n := max(c.highest(writer), c.floor[writer], c.dead[writer], c.taken[writer], c.gone[writer].Number)
+	n := max(c.highestContiguous(writer), c.evictedElsewhere[writer], c.tombstonedThrough[writer], c.sequencedNumbers[writer], c.forgotten[writer].Number)
 	for k := range c.held[writer] {
 		n = max(n, k)
 	}
 	return n
 }
 
-// Newest is the newest entry of a key, nil for none, and the highest clock of the channel's writers. Who gets it does not change it.
+// Newest returns the newest entry of a key, or nil if there is none, and the highest clock of the channel's writers. The caller must not modify the
+// entry.
 func (m *Machine) Newest(channel, key string) (*Entry, uint64) {
 	c := m.channels[channel]
 	if c == nil {
 		return nil, 0
 	}
-	clock := c.rolledClock
-	for _, g := range c.gone {
+	clock := c.evictedClock
+	for _, g := range c.forgotten {
 		clock = max(clock, g.Clock)
 	}
-	for _, n := range c.clock {
+	for _, n := range c.lastClock {
 		clock = max(clock, n)
 	}
-	return c.newest[key], clock
+	return c.newestByKey[key], clock
 }
