--- a/emulator/channels.go
+++ b/emulator/channels.go
@@ -137,8 +137,8 @@
 		out: &ChannelsResult{Refusals: map[string]int{}, Course: make([][]float64, int(s.Warm+s.Span)+1)},
 	}
 	d := channel.Declaration{
-		Name: channelName, Generation: 1, Order: s.Order, Entries: 50_000, Bytes: 32 << 20, Seconds: 3600, Wait: s.Wait, Slow: true,
-		Told: s.Order == channel.Latest,
+		Name: channelName, Generation: 1, Order: s.Order, RetainedEntries: 50_000, RetainedBytes: 32 << 20, RetainedSeconds: 3600, OrderWait: s.Wait, DisconnectSlow: true,
+		AllowGaps: s.Order == channel.Latest,
 	}
 	if err := w.ledger.Apply(&channel.Command{Declare: &d}); err != nil {
 		return nil, fmt.Errorf("channels: %w", err)
@@ -214,7 +214,7 @@
 	for _, k := range channel.Kinds() {
 		m.replica.Each(k.ID, "", func(r replication.Record) bool { m.channels.Learn(w.now, r); return true })
 	}
-	m.channels.Declare(w.now, w.ledger.Declarations())
+	m.channels.SetDeclarations(w.now, w.ledger.Declarations())
 	w.tell(m)
 }
 
@@ -237,7 +237,7 @@
 		}
 	}
 	m.replica.SetFleet(f, w.now)
-	m.channels.Fleet(f)
+	m.channels.SetFleet(f)
 	w.step(m)
 }
 
@@ -264,13 +264,13 @@
 		for _, m := range w.all {
 			if w.majority(m) {
 				if w.holder != nil && w.holder.up {
-					w.holder.channels.Hold(w.now, channelName, 0)
+					w.holder.channels.SetSequencerEpoch(w.now, channelName, 0)
 				}
 				w.token++
 				w.holder = m
-				m.channels.Hold(w.now, channelName, w.token)
-				if l := w.ledger.Line(channelName); l != nil {
-					m.channels.Agreed(w.now, l)
+				m.channels.SetSequencerEpoch(w.now, channelName, w.token)
+				if l := w.ledger.Sequence(channelName); l != nil {
+					m.channels.SetSequence(w.now, l)
 				}
 				w.step(m)
 				return
@@ -297,11 +297,11 @@
 	news := false
 	for range 100 {
 		c := m.channels.Ready()
-		news = news || len(c.News) > 0
+		news = news || len(c.Updated) > 0
 		for _, p := range c.Puts {
-			dot, err := m.replica.Write(w.now, p.Record.Kind, p.Record.Key, p.Record.Value, p.Record.Deleted, p.Sure)
+			dot, err := m.replica.Write(w.now, p.Record.Kind, p.Record.Key, p.Record.Value, p.Record.Deleted, p.Concern)
 			if err != nil && p.ID > 0 {
-				m.channels.Written(w.now, p.ID, replication.Outcome{}, err)
+				m.channels.PutCompleted(w.now, p.ID, replication.Outcome{}, err)
 			} else if p.ID > 0 {
 				m.ids[dot] = p.ID
 			}
@@ -313,7 +313,7 @@
 					return
 				}
 				if h := w.holder; h != nil && h.up {
-					h.channels.Agreed(w.now, w.ledger.Line(channelName))
+					h.channels.SetSequence(w.now, w.ledger.Sequence(channelName))
 					w.step(h)
 				}
 			})
@@ -334,7 +334,7 @@
 		for _, o := range r.Outcomes {
 			if id, ok := m.ids[o.Dot]; ok {
 				delete(m.ids, o.Dot)
-				m.channels.Written(w.now, id, o, nil)
+				m.channels.PutCompleted(w.now, id, o, nil)
 			}
 		}
 		if len(c.Puts)+len(c.Commands)+len(c.Acks)+len(r.Changed)+len(r.Send)+len(r.Outcomes) == 0 {
@@ -375,10 +375,10 @@
 		w.act(w.Notice*w.chance.Float64(), func() { w.open(r) })
 		return
 	}
-	id, err := m.channels.Open(w.now, channel.Ask{Channel: channelName, Token: r.token})
+	id, err := m.channels.Open(w.now, channel.OpenRequest{Channel: channelName, Token: r.token})
 	if err != nil {
 		after := w.Notice
-		if l, ok := err.(*channel.Later); ok { //nolint:errorlint // it is never wrapped
+		if l, ok := err.(*channel.RetryLaterError); ok { //nolint:errorlint // it is never wrapped
 			after = l.Seconds
 			w.out.Waited++
 		} else {
@@ -426,20 +426,20 @@
 			if n.Position != "" {
 				r.token = n.Position
 			}
-			switch n.Word {
-			case channel.Shown:
+			switch n.Kind {
+			case channel.EventEntry:
 				w.shown(r, n)
-			case channel.Gap:
+			case channel.EventGap:
 				w.out.Told++
 				if w.Order != channel.Latest {
 					w.wrong("reader %d is told a gap of %s, and none are declared", r.index, n.Writer)
 				}
-			case channel.Reset, channel.Cut:
+			case channel.EventReset, channel.EventCutOff:
 				w.out.Resets++
 				w.leave(r)
 				r.anew()
 				w.act(w.Notice, func() { w.open(r) })
-			case channel.Behind:
+			case channel.EventBehind:
 				w.out.Behinds++
 				w.leave(r)
 				w.act(w.delay(), func() { w.open(r) })
@@ -451,7 +451,7 @@
 func entryName(writer string, number uint64) string { return fmt.Sprint(writer, "/", number) }
 
 // shown is the checker: it keeps what readers were shown and asks no machine.
-func (w *channelsWorld) shown(r *channelReader, n channel.Note) {
+func (w *channelsWorld) shown(r *channelReader, n channel.Notification) {
 	e := n.Entry
 	name := entryName(e.Writer, e.Number)
 	at, ok := w.wrote[name]
@@ -474,13 +474,13 @@
 			}
 		}
 	case channel.Total:
-		if e.Place <= r.place {
-			w.wrong("reader %d is shown place %d after %d", r.index, e.Place, r.place)
+		if e.Offset <= r.place {
+			w.wrong("reader %d is shown place %d after %d", r.index, e.Offset, r.place)
 		}
-		if was := w.places[[2]uint64{e.Place}]; was != "" && was != name {
-			w.wrong("reader %d is shown %s in place %d, others were shown %s", r.index, name, e.Place, was)
+		if was := w.places[[2]uint64{e.Offset}]; was != "" && was != name {
+			w.wrong("reader %d is shown %s in place %d, others were shown %s", r.index, name, e.Offset, was)
 		}
-		w.places[[2]uint64{e.Place}], r.place = name, e.Place
+		w.places[[2]uint64{e.Offset}], r.place = name, e.Offset
 	case channel.Latest:
 		if e.Clock < r.newest[e.Key] && !n.Late {
 			w.wrong("reader %d is shown %s, older than what it was shown of %s", r.index, name, e.Key)
@@ -544,10 +544,10 @@
 					w.write(x)
 				}
 			})
-		case state == channel.Elsewhere:
+		case state == channel.WriteNotSequencer:
 			w.act(w.delay(), func() {
 				if h := w.holder; h != nil && h.up && h.side == m.side {
-					if state, err := h.channels.Write(w.now, e); err == nil && state == channel.Known {
+					if state, err := h.channels.Write(w.now, e); err == nil && state == channel.WriteAcknowledged {
 						w.ack(channel.Ack{Writer: e.Writer, Number: e.Number, Met: true})
 					} else if err != nil {
 						w.out.Refusals[err.Error()]++
@@ -555,7 +555,7 @@
 					w.step(h)
 				}
 			})
-		case state == channel.Known:
+		case state == channel.WriteAcknowledged:
 			w.ack(channel.Ack{Writer: e.Writer, Number: e.Number, Met: true})
 		}
 		w.step(m)
--- a/emulator/channels_test.go
+++ b/emulator/channels_test.go
@@ -43,8 +43,8 @@
 		"passed over":           {channel.ByKey, []channel.Entry{{Writer: "a", Number: 1}, {Writer: "a", Number: 3}}},
 		"never written":         {channel.Latest, []channel.Entry{{Writer: "c", Number: 1}}},
 		"before what came":      {channel.Causal, []channel.Entry{{Writer: "b", Number: 1}}},
-		"place falls":           {channel.Total, []channel.Entry{{Writer: "a", Number: 1, Place: 2}, {Writer: "b", Number: 1, Place: 1}}},
-		"two in one place":      {channel.Total, []channel.Entry{{Writer: "a", Number: 1, Place: 7}}},
+		"place falls":           {channel.Total, []channel.Entry{{Writer: "a", Number: 1, Offset: 2}, {Writer: "b", Number: 1, Offset: 1}}},
+		"two in one place":      {channel.Total, []channel.Entry{{Writer: "a", Number: 1, Offset: 7}}},
 		"older one of the same": {channel.Latest, []channel.Entry{{Writer: "a", Number: 1, Key: "k", Clock: 5}, {Writer: "b", Number: 1, Key: "k", Clock: 4}}},
 	} {
 		w := &channelsWorld{
@@ -54,7 +54,7 @@
 		r := &channelReader{}
 		r.anew()
 		for i := range tt.shown {
-			w.shown(r, channel.Note{Entry: &tt.shown[i]})
+			w.shown(r, channel.Notification{Entry: &tt.shown[i]})
 		}
 		assert.Equal(t, 1, w.out.Broken, name)
 	}
--- a/internal/cluster/ask.go
+++ b/internal/cluster/ask.go
@@ -72,7 +72,7 @@
 	Records  []replication.Record     `cbor:"11,keyasint,omitempty"` // to be written; or whose keys are to be read
 	Channels *channel.Command         `cbor:"13,keyasint,omitempty"`
 	Sure     replication.WriteConcern `cbor:"12,keyasint,omitempty"`
-	Follow   *channel.Ask             `cbor:"14,keyasint,omitempty"`
+	Follow   *channel.OpenRequest     `cbor:"14,keyasint,omitempty"`
 	Entries  []channel.Entry          `cbor:"15,keyasint,omitempty"`
 	Declare  *channel.Declaration     `cbor:"16,keyasint,omitempty"`
 }
@@ -89,23 +89,23 @@
 	Members  []membership.Known `cbor:"8,keyasint" json:"Members"`
 	Counts   map[string]int64   `cbor:"9,keyasint" snake:"names" json:"Counts"`
 
-	Duties   []ToldDuty            `cbor:"10,keyasint,omitempty" json:"Duties,omitempty"`
-	Rest     map[string]float64    `cbor:"11,keyasint,omitempty" json:"Rest,omitempty"` // s of each lease, by the leader's clock
-	Council  *raftvoter.Status     `cbor:"12,keyasint,omitempty" json:"Council,omitempty"`
-	Seats    []lease.Seat          `cbor:"13,keyasint,omitempty" json:"Seats,omitempty"`
-	Leases   []lease.Lease         `cbor:"14,keyasint,omitempty" json:"Leases,omitempty"`
-	Changed  bool                  `cbor:"15,keyasint,omitempty" json:"Changed,omitempty"`
-	Ledger   *quota.SavedLedger    `cbor:"17,keyasint,omitempty" json:"Ledger,omitempty"`
-	Budgets  []ToldBudget          `cbor:"18,keyasint,omitempty" json:"Budgets,omitempty"`
-	Memory   *ToldMemory           `cbor:"19,keyasint,omitempty" json:"Memory,omitempty"`
-	Records  []replication.Record  `cbor:"20,keyasint,omitempty" json:"Records,omitempty"`
-	Ended    []replication.Outcome `cbor:"21,keyasint,omitempty" json:"Ended,omitempty"` // of the writes, in their order
-	Channels *channel.Saved        `cbor:"22,keyasint,omitempty" json:"Channels,omitempty"`
-	Refused  string                `cbor:"23,keyasint,omitempty" json:"Refused,omitempty"` // why a command of channels did nothing
-	Leads    string                `cbor:"16,keyasint,omitempty" json:"Leads,omitempty"`   // the address of who answered as the leader
-	Written  []Written             `cbor:"26,keyasint,omitempty" json:"Written,omitempty"` // what became of the entries, in their order
-	Reason   string                `cbor:"24,keyasint,omitempty" json:"-"`                 // of the error, as a word
-	Later    float64               `cbor:"25,keyasint,omitempty" json:"-"`                 // s after which to ask again
+	Duties   []ToldDuty              `cbor:"10,keyasint,omitempty" json:"Duties,omitempty"`
+	Rest     map[string]float64      `cbor:"11,keyasint,omitempty" json:"Rest,omitempty"` // s of each lease, by the leader's clock
+	Council  *raftvoter.Status       `cbor:"12,keyasint,omitempty" json:"Council,omitempty"`
+	Seats    []lease.Seat            `cbor:"13,keyasint,omitempty" json:"Seats,omitempty"`
+	Leases   []lease.Lease           `cbor:"14,keyasint,omitempty" json:"Leases,omitempty"`
+	Changed  bool                    `cbor:"15,keyasint,omitempty" json:"Changed,omitempty"`
+	Ledger   *quota.SavedLedger      `cbor:"17,keyasint,omitempty" json:"Ledger,omitempty"`
+	Budgets  []ToldBudget            `cbor:"18,keyasint,omitempty" json:"Budgets,omitempty"`
+	Memory   *ToldMemory             `cbor:"19,keyasint,omitempty" json:"Memory,omitempty"`
+	Records  []replication.Record    `cbor:"20,keyasint,omitempty" json:"Records,omitempty"`
+	Ended    []replication.Outcome   `cbor:"21,keyasint,omitempty" json:"Ended,omitempty"` // of the writes, in their order
+	Channels *channel.LedgerSnapshot `cbor:"22,keyasint,omitempty" json:"Channels,omitempty"`
+	Refused  string                  `cbor:"23,keyasint,omitempty" json:"Refused,omitempty"` // why a command of channels did nothing
+	Leads    string                  `cbor:"16,keyasint,omitempty" json:"Leads,omitempty"`   // the address of who answered as the leader
+	Written  []Written               `cbor:"26,keyasint,omitempty" json:"Written,omitempty"` // what became of the entries, in their order
+	Reason   string                  `cbor:"24,keyasint,omitempty" json:"-"`                 // of the error, as a word
+	Later    float64                 `cbor:"25,keyasint,omitempty" json:"-"`                 // s after which to ask again
 }
 
 // MarshalJSON writes it in the style of the command line, whoever prints it.
--- a/internal/cluster/follow.go
+++ b/internal/cluster/follow.go
@@ -76,7 +76,7 @@
 	epoch   uint64
 	began   bool // it only takes the log over
 	forgot  bool // names go
-	saved   *channel.Saved
+	saved   *channel.LedgerSnapshot
 	err     error
 }
 
@@ -125,7 +125,7 @@
 	if w.decides = to.HasQuorum; !to.HasQuorum {
 		clear(w.holders)
 	}
-	w.machine.Fleet(to)
+	w.machine.SetFleet(to)
 	poke(w.wake)
 }
 
@@ -166,7 +166,7 @@
 			w.machine.Tick(w.fleet.dutyNow())
 			w.tellDue(now)
 		}
-		w.machine.Order(w.fleet.dutyNow())
+		w.machine.Propose(w.fleet.dutyNow())
 		out := w.machine.Ready()
 		w.ack(out.Acks)
 		w.mu.Unlock()
@@ -181,9 +181,9 @@
 			}
 			w.propose(ctx, c, false)
 		}
-		if len(out.News) > 0 {
+		if len(out.Updated) > 0 {
 			for _, p := range w.pumps {
-				p.news(out.News)
+				p.news(out.Updated)
 			}
 		}
 	}
@@ -207,19 +207,19 @@
 	}
 	delete(w.puts, o.Dot)
 	w.mu.Lock()
-	w.machine.Written(w.fleet.dutyNow(), id, o, nil)
+	w.machine.PutCompleted(w.fleet.dutyNow(), id, o, nil)
 	w.mu.Unlock()
 }
 
 // put writes records; how those with an ID end is told to the machine.
 func (w *following) put(all []channel.Put) {
 	for _, p := range all {
-		dot, err := w.fleet.memory.writeTo(w.outs, p.Record.Kind, p.Record.Key, p.Record.Value, p.Record.Deleted, p.Sure)
+		dot, err := w.fleet.memory.writeTo(w.outs, p.Record.Kind, p.Record.Key, p.Record.Value, p.Record.Deleted, p.Concern)
 		switch {
 		case p.ID == 0:
 		case err != nil:
 			w.mu.Lock()
-			w.machine.Written(w.fleet.dutyNow(), p.ID, replication.Outcome{}, err)
+			w.machine.PutCompleted(w.fleet.dutyNow(), p.ID, replication.Outcome{}, err)
 			w.mu.Unlock()
 			poke(w.wake)
 		default:
@@ -238,7 +238,7 @@
 		if d.Order != channel.Total {
 			continue
 		}
-		token, ok := w.fleet.Guard(channel.Duty + name)
+		token, ok := w.fleet.Guard(channel.DutyPrefix + name)
 		if !ok {
 			token = 0
 		}
@@ -248,7 +248,7 @@
 		if w.marked[name] = d.Generation; token != w.held[name] {
 			w.held[name] = token
 			w.mu.Lock()
-			w.machine.Hold(w.fleet.dutyNow(), name, token)
+			w.machine.SetSequencerEpoch(w.fleet.dutyNow(), name, token)
 			w.mu.Unlock()
 			w.fleet.Log.Info().Str("channel", name).Uint64("epoch", token).Bool("holds", token != 0).Msg("channels: order")
 			if token != 0 {
@@ -263,7 +263,7 @@
 	if !begins && (w.proposing[c.Channel] || len(w.proposing) >= mostProposing) {
 		return
 	}
-	if token, ok := w.fleet.Guard(channel.Duty + c.Channel); !ok || token != c.Epoch {
+	if token, ok := w.fleet.Guard(channel.DutyPrefix + c.Channel); !ok || token != c.Epoch {
 		if begins {
 			w.unhold(c.Channel)
 		}
@@ -275,7 +275,7 @@
 	w.fleet.group.Go(func() error {
 		p := proposed{channel: c.Channel, epoch: c.Epoch, began: begins}
 		w.mu.Lock()
-		gone := w.machine.Gone()
+		gone := w.machine.ForgottenCount()
 		w.mu.Unlock()
 		t, err := w.fleet.ask(ctx, ask{What: AskCommand, Channels: &c, Whole: true, Number: gone})
 		if len(c.Entries) > 0 {
@@ -333,19 +333,19 @@
 func (w *following) unhold(channel string) {
 	delete(w.held, channel)
 	w.mu.Lock()
-	w.machine.Hold(w.fleet.dutyNow(), channel, 0)
+	w.machine.SetSequencerEpoch(w.fleet.dutyNow(), channel, 0)
 	w.mu.Unlock()
 }
 
 // take takes the agreed part in.
-func (w *following) take(s *channel.Saved) {
+func (w *following) take(s *channel.LedgerSnapshot) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.fleet.dutyNow()
-	w.machine.Declare(now, s.Declared)
-	w.machine.Forgotten(now, s.Silent, s.Gone)
-	for i := range s.Lines {
-		w.machine.Agreed(now, &s.Lines[i])
+	w.machine.SetDeclarations(now, s.Declared)
+	w.machine.SetForgottenWriters(now, s.ForgottenWriters, s.ForgottenCount)
+	for i := range s.Sequences {
+		w.machine.SetSequence(now, &s.Sequences[i])
 	}
 	orders := map[string]channel.Declaration{}
 	for _, d := range s.Declared {
@@ -354,11 +354,11 @@
 		}
 		orders[d.Name] = d
 		if w.orders[d.Name].Generation < d.Generation {
-			w.fleet.Log.Info().Str("channel", d.Name).Uint64("generation", d.Generation).Stringer("order", d.Order).Bool("ended", d.End).Msg("channels: declared")
+			w.fleet.Log.Info().Str("channel", d.Name).Uint64("generation", d.Generation).Stringer("order", d.Order).Bool("ended", d.Withdrawn).Msg("channels: declared")
 		}
 		if _, ok := w.orders[d.Name]; !ok && d.Order == channel.Total && w.fleet.voter != nil { // who votes has the log at hand
 			w.fleet.holding.mu.Lock()
-			w.fleet.holding.holder.Want(channel.Duty+d.Name, channelLease, now)
+			w.fleet.holding.holder.Want(channel.DutyPrefix+d.Name, channelLease, now)
 			w.fleet.holding.mu.Unlock()
 		}
 	}
@@ -375,7 +375,7 @@
 func (w *following) declare(ctx context.Context) error {
 	began := time.Now()
 	for ctx.Err() == nil {
-		var s channel.Saved
+		var s channel.LedgerSnapshot
 		var err error
 		if first := time.Since(began) < leaderFirst; first && !w.known() { // a voter that was away would tell what was withdrawn meanwhile
 			c, cancel := context.WithTimeout(ctx, declaredEach/2)
@@ -415,12 +415,12 @@
 		if i >= 0 {
 			stands = now[i]
 		}
-		d.Since, d.Place = stands.Since, stands.Place // the log's
+		d.WithdrawnGeneration, d.FirstOffset = stands.WithdrawnGeneration, stands.FirstOffset // the log's
 		switch {
 		case d.Generation == stands.Generation+1 && w.fleet.voter != nil:
 			if err := w.fleet.agree(ctx, channel.Command{Declare: &d, NoReuse: true}); err == nil {
 				poke(w.stale)
-			} else if stands.End && !d.End && d.Order == channel.Total && !w.mismatch[d.Name] {
+			} else if stands.Withdrawn && !d.Withdrawn && d.Order == channel.Total && !w.mismatch[d.Name] {
 				w.mismatch[d.Name] = true
 				w.fleet.Log.Warn().Err(err).Str("channel", d.Name).Msg("channels: declaration")
 			}
@@ -433,9 +433,9 @@
 }
 
 // declaredNow is what is declared, as a voter has it.
-func (f *Fleet) declaredNow(ctx context.Context) (s channel.Saved, err error) {
+func (f *Fleet) declaredNow(ctx context.Context) (s channel.LedgerSnapshot, err error) {
 	f.following.mu.Lock()
-	q := ask{What: askDeclared, Number: f.following.machine.Gone()}
+	q := ask{What: askDeclared, Number: f.following.machine.ForgottenCount()}
 	f.following.mu.Unlock()
 	if f.voter != nil {
 		t := f.answerDuties(ctx, q)
@@ -470,7 +470,7 @@
 	all := f.aliveVoters()
 	mrand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	for _, a := range all[:min(2, len(all))] {
-		q := ask{What: askWhere, Duty: channel.Duty + name}
+		q := ask{What: askWhere, Duty: channel.DutyPrefix + name}
 		var t Told
 		var err error
 		if a == f.Address {
--- a/internal/cluster/follow_figures_test.go
+++ b/internal/cluster/follow_figures_test.go
@@ -81,7 +81,7 @@
 	for i := range readers {
 		wait.Go(func() {
 			var had atomic.Bool
-			_, _ = c.at(i%len(c.Processes), (i+1)%len(c.Processes)).Follow(ctx, name, 0, "", func(n channel.Note) error {
+			_, _ = c.at(i%len(c.Processes), (i+1)%len(c.Processes)).Follow(ctx, name, 0, "", func(n channel.Notification) error {
 				if n.Entry == nil || !strings.HasPrefix(string(n.Entry.Body), run) {
 					return nil
 				}
--- a/internal/cluster/follow_test.go
+++ b/internal/cluster/follow_test.go
@@ -55,7 +55,7 @@
 			k, _ := ParseKeys(c.keys[-1])
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
-			f, err := AskNotes(ctx, c.Processes[i].Fleet, k, channel.Ask{Channel: "all_total"})
+			f, err := AskNotes(ctx, c.Processes[i].Fleet, k, channel.OpenRequest{Channel: "all_total"})
 			if err == nil {
 				_ = f.Close()
 			}
@@ -67,7 +67,7 @@
 
 // User is the client that users import: it imports this package, and so is handed in by a test outside of it.
 type User struct {
-	Follow  func(ctx context.Context, channel string, order channel.Order, position string, take func(channel.Note) error) (string, error)
+	Follow  func(ctx context.Context, channel string, order channel.Order, position string, take func(channel.Notification) error) (string, error)
 	Declare func(ctx context.Context, d channel.Declaration) error
 	Writer  func(channel, writer string) func(ctx context.Context, key string, bodies ...string) error
 	After   func(channel, writer string, after map[string]uint64) func(ctx context.Context, key string, bodies ...string) error // one that has seen others
@@ -98,7 +98,7 @@
 type seer struct {
 	mu    sync.Mutex
 	all   []got
-	told  []channel.Note // what isn't an entry
+	told  []channel.Notification // what isn't an entry
 	at    []time.Time
 	turns []string // the entry before each change of the declaration
 	place string
@@ -112,15 +112,15 @@
 	return len(s.all)
 }
 
-func (s *seer) take(n channel.Note) error {
+func (s *seer) take(n channel.Notification) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if e := n.Entry; e != nil && n.Word == channel.Shown {
-		s.all = append(s.all, got{e.Key, e.Writer, e.Number, e.After, string(e.Body), n.Late, e.Place})
+	if e := n.Entry; e != nil && n.Kind == channel.EventEntry {
+		s.all = append(s.all, got{e.Key, e.Writer, e.Number, e.After, string(e.Body), n.Late, e.Offset})
 		s.at = append(s.at, time.Now())
 	} else {
 		s.told = append(s.told, n)
-		if last := len(s.all) - 1; n.Word == channel.Turned && last >= 0 {
+		if last := len(s.all) - 1; n.Kind == channel.EventDeclarationChanged && last >= 0 {
 			s.turns = append(s.turns, s.all[last].body)
 		}
 	}
@@ -191,8 +191,8 @@
 		}
 	}
 	for _, n := range s.told {
-		if n.Word != channel.Turned {
-			bad("told word %d of %s, from %d to %d", n.Word, n.Writer, n.From, n.To)
+		if n.Kind != channel.EventDeclarationChanged {
+			bad("told word %d of %s, from %d to %d", n.Kind, n.Writer, n.From, n.To)
 		}
 	}
 	last, seen, place, newest := map[string]uint64{}, map[string]bool{}, uint64(0), s.newest()
@@ -300,7 +300,7 @@
 		"misplaced": {"total", &seer{all: []got{e("a", 1, 2, nil), e("a", 2, 1, nil)}}},
 		"outdated":  {"latest", &seer{all: []got{e("a", 4, 0, nil), e("a", 2, 0, nil), e("a", 1, 0, nil)}}},
 		"newest":    {"latest", &seer{all: []got{e("a", 1, 0, nil)}}},
-		"skipped":   {"key", &seer{all: []got{e("a", 1, 0, nil), e("a", 2, 0, nil)}, told: []channel.Note{{Word: channel.Gap}}}},
+		"skipped":   {"key", &seer{all: []got{e("a", 1, 0, nil), e("a", 2, 0, nil)}, told: []channel.Notification{{Kind: channel.EventGap}}}},
 	} {
 		assert.Error(t, check(o.order, o.s, w), name)
 	}
@@ -381,7 +381,7 @@
 func TestChannelsInTwoHalves(t *testing.T) {
 	c := newChannelRig(t, 5, 5)
 	small, large := []int{3, 4}, []int{0, 1, 2}
-	brief := channel.Declaration{Name: "brief", Generation: 1, Order: channel.ByKey, Slow: true, Entries: 10, Bytes: 1 << 20, Seconds: 3600, Wait: 20, Forget: 3}
+	brief := channel.Declaration{Name: "brief", Generation: 1, Order: channel.ByKey, DisconnectSlow: true, RetainedEntries: 10, RetainedBytes: 1 << 20, RetainedSeconds: 3600, OrderWait: 20, WriterExpiry: 3}
 	require.NoError(c, c.at(0).Declare(context.Background(), brief))
 	stay := []*seer{c.see("brief", small...), c.see("brief", large...)}
 	v, back := c.at(small...).Writer("brief", "v"), &sent{writer: "v"}
@@ -416,14 +416,14 @@
 	}
 	k, _ := ParseKeys(c.keys[-1])
 	told := need.Of(AskEntries(context.Background(), c.Processes[3].Fleet, k, []channel.Entry{{Channel: "all_total", Writer: "w", Number: 1}}))(c)
-	require.ErrorIs(c, told[0].Err(), channel.ErrCut)
+	require.ErrorIs(c, told[0].Err(), channel.ErrNoMajority)
 	readers["total"] = []*seer{c.see("all_total", large...), c.see("all_total", small...)}
 	var all sync.WaitGroup
 	wrote["total"] = make([]*sent, 1)
 	all.Go(func() { wrote["total"][0] = c.write("all_total", "v", 3000, 10*time.Millisecond, large...) })
 	c.Until(soon, "some are shown", func() error { return processes.When(readers["total"][0].count() < 10, errors.New("not yet")) })
 	// Declared in the cut: by the majority alone.
-	d := channel.Declaration{Name: "all_key", Generation: 2, Order: channel.ByKey, Slow: true, Entries: 5000, Bytes: 8 << 20, Seconds: 3600, Wait: 20}
+	d := channel.Declaration{Name: "all_key", Generation: 2, Order: channel.ByKey, DisconnectSlow: true, RetainedEntries: 5000, RetainedBytes: 8 << 20, RetainedSeconds: 3600, OrderWait: 20}
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	require.Error(c, c.at(small...).Declare(ctx, d))
@@ -519,26 +519,26 @@
 			case <-time.After(soon):
 				c.Fatalf("reader %d of %s is not told", i, name)
 			}
-			assert.Equal(c, channel.Ended, s.told[len(s.told)-1].Word)
+			assert.Equal(c, channel.EventEnded, s.told[len(s.told)-1].Kind)
 			assert.Equal(c, []int{25, 1}, []int{len(s.all), len(s.told)}, "all that was acknowledged came, and nothing else was told")
 		}
 		ctx, cancel := context.WithTimeout(c.live, soon)
-		require.ErrorIs(c, c.at(1).Writer(name, "y")(ctx, "k", "late"), channel.ErrEnded)
+		require.ErrorIs(c, c.at(1).Writer(name, "y")(ctx, "k", "late"), channel.ErrWithdrawn)
 		cancel()
 		order := map[string]channel.Order{"all_key": channel.ByKey, "all_total": channel.Total}[name]
-		d := channel.Declaration{Name: name, Generation: 2, Order: order, Slow: true, Entries: 5000, Bytes: 8 << 20, Seconds: 3600, Wait: 20}
+		d := channel.Declaration{Name: name, Generation: 2, Order: order, DisconnectSlow: true, RetainedEntries: 5000, RetainedBytes: 8 << 20, RetainedSeconds: 3600, OrderWait: 20}
 		require.ErrorContains(c, c.at(1).Declare(c.live, d), "generation")
 		d.Generation = 3
 		if order == channel.Total {
-			require.ErrorContains(c, c.at(1).Declare(c.live, d), channel.ErrReuse.Error())
+			require.ErrorContains(c, c.at(1).Declare(c.live, d), channel.ErrNameReuse.Error())
 			d.Name, d.Generation = anotherTotal, 1
 		}
 		require.NoError(c, c.at(1).Declare(c.live, d))
 	}
 	c.Processes[2].Start()
 	c.whole()
-	again := channel.Declaration{Name: "all_total", Generation: 3, Order: channel.Total, Slow: true, Entries: 5000, Bytes: 8 << 20, Seconds: 3600, Wait: 20}
-	require.ErrorContains(c, c.at(2).Declare(c.live, again), channel.ErrReuse.Error(), "by one that was away")
+	again := channel.Declaration{Name: "all_total", Generation: 3, Order: channel.Total, DisconnectSlow: true, RetainedEntries: 5000, RetainedBytes: 8 << 20, RetainedSeconds: 3600, OrderWait: 20}
+	require.ErrorContains(c, c.at(2).Declare(c.live, again), channel.ErrNameReuse.Error(), "by one that was away")
 	for _, p := range c.Processes {
 		p.Kill()
 	}
@@ -549,7 +549,7 @@
 	for i := range c.Processes {
 		c.Until(soon, fmt.Sprint(i, " refuses it after a restart of all"), func() error {
 			err := c.at(i).Declare(c.live, again)
-			return processes.When(err == nil || !strings.Contains(err.Error(), channel.ErrReuse.Error()), fmt.Errorf("%w", err))
+			return processes.When(err == nil || !strings.Contains(err.Error(), channel.ErrNameReuse.Error()), fmt.Errorf("%w", err))
 		})
 	}
 	names = []string{"all_key", anotherTotal}
--- a/internal/cluster/golden_words_test.go
+++ b/internal/cluster/golden_words_test.go
@@ -28,7 +28,7 @@
 	tr.Values("uses of budgets", quota.Duty, quota.UseOrigin, quota.UseRetries, quota.UseTenant, quota.UseHost)
 	tr.Values("levels of writes", replication.LevelLocal, replication.LevelCopies, replication.LevelMajority)
 	tr.Values("orders of channels", channel.Latest, channel.ByKey, channel.BySender, channel.Causal, channel.Total)
-	tr.Values("words of notes", channel.Shown, channel.Gap, channel.Reset, channel.Behind, channel.Cut, channel.Turned, channel.Ended)
+	tr.Values("words of notes", channel.EventEntry, channel.EventGap, channel.EventReset, channel.EventBehind, channel.EventCutOff, channel.EventDeclarationChanged, channel.EventEnded)
 	tr.Values("kinds of records", purgefloor.KindID, variant.ID, channel.EntryKind, channel.WriterKind)
 	tr.Values("kinds of seals", sealedMessage, sealedAsk, sealedTold, sealedRaft, sealedTurn, sealedAnswer, sealedSpend, sealedGive,
 		sealedMemory, sealedNotes)
@@ -36,7 +36,7 @@
 		AskBudgets, AskSpend, AskChannels, AskWrite, AskRead, AskFollow, AskPublish, AskDeclare, askEra, askWhere, askDeclared)
 	tr.Values("beginnings of keys", stampAt, vectorAt, recordAt)
 	tr.Values("files", logFile, recordsFile)
-	tr.Values("channels of the fleet's own", PurgesChannel, VariantsChannel, channel.Duty, builtIn)
+	tr.Values("channels of the fleet's own", PurgesChannel, VariantsChannel, channel.DutyPrefix, builtIn)
 	tr.Values("versions of the wire", Wire1, Wire2, Wire)
 	tr.Values("lengths", headLength, sealLength, nonceLength, raftHead)
 	tr.Check(t, "numbers.golden")
--- a/internal/cluster/hold.go
+++ b/internal/cluster/hold.go
@@ -391,10 +391,10 @@
 // tellDeclared tells what is declared, which writers were let go after a number, and the line of a channel, as this voter has it.
 func (f *Fleet) tellDeclared(name string, after uint64) (t Told) {
 	if err := f.voter.within(func() error {
-		t.Channels = &channel.Saved{Declared: f.voter.machine.Channels().Declarations()}
-		t.Channels.Silent, t.Channels.Gone = f.voter.machine.Channels().Silent(after)
-		if l := f.voter.machine.Channels().Line(name); l != nil {
-			t.Channels.Lines = []channel.Line{*l}
+		t.Channels = &channel.LedgerSnapshot{Declared: f.voter.machine.Channels().Declarations()}
+		t.Channels.ForgottenWriters, t.Channels.ForgottenCount = f.voter.machine.Channels().ForgottenWriters(after)
+		if l := f.voter.machine.Channels().Sequence(name); l != nil {
+			t.Channels.Sequences = []channel.Sequence{*l}
 		}
 		return nil
 	}); err != nil {
--- a/internal/cluster/promised_test.go
+++ b/internal/cluster/promised_test.go
@@ -64,8 +64,8 @@
 	require.NoError(t, err)
 	var first []channel.Entry
 	after := map[string]uint64{}
-	for i := range channel.MostAfter / (channel.LongestName + 10) {
-		name := fmt.Sprintf("%0*d", channel.LongestName, i)
+	for i := range channel.MaxAfterBytes / (channel.MaxNameBytes + 10) {
+		name := fmt.Sprintf("%0*d", channel.MaxNameBytes, i)
 		after[name] = 1
 		first = append(first, channel.Entry{Channel: "all_causal", Writer: name, Number: 1, Clock: 1, Body: []byte(name)})
 	}
@@ -79,7 +79,7 @@
 	all := make([]string, 164)
 	for i := range all {
 		if all[i] = fmt.Sprint(i); i >= 100 {
-			all[i] += strings.Repeat(" ", channel.MostBody-3)
+			all[i] += strings.Repeat(" ", channel.MaxBodyBytes-3)
 		}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), soon)
--- a/internal/cluster/publish.go
+++ b/internal/cluster/publish.go
@@ -15,15 +15,15 @@
 
 const mostWrites = 256 // entries of a question
 
-var errMany = fmt.Errorf("%w: more than %d at once", channel.ErrEntry, mostWrites)
+var errMany = fmt.Errorf("%w: more than %d at once", channel.ErrInvalidEntry, mostWrites)
 
 // ErrUnsure tells that nothing is known yet of what became of an entry: it is to be sent again.
 var ErrUnsure = errors.New("not known to be kept: send it again")
 
 // reasons are errors by the words that they have on the wire.
 var reasons = map[string]error{
-	"channel": channel.ErrChannel, "skips": channel.ErrSkips, "after": channel.ErrAfter, "full": channel.ErrFull, "cut": channel.ErrCut,
-	"more": channel.ErrMore, "writers": channel.ErrWriters, "token": channel.ErrToken, "ended": channel.ErrEnded, "forgotten": channel.ErrForgotten, "entry": channel.ErrEntry, "unsure": ErrUnsure,
+	"channel": channel.ErrUnknownChannel, "skips": channel.ErrNumberSkipped, "after": channel.ErrMissingDependency, "full": channel.ErrFull, "cut": channel.ErrNoMajority,
+	"more": channel.ErrOrderNotPromised, "writers": channel.ErrTooManyWriters, "token": channel.ErrInvalidToken, "ended": channel.ErrWithdrawn, "forgotten": channel.ErrWriterForgotten, "entry": channel.ErrInvalidEntry, "unsure": ErrUnsure,
 }
 
 func reasonOf(err error) string {
@@ -49,7 +49,7 @@
 
 func refuse(err error) Told {
 	t := Told{Reason: reasonOf(err), Error: err.Error()}
-	if later := (*channel.Later)(nil); errors.As(err, &later) {
+	if later := (*channel.RetryLaterError)(nil); errors.As(err, &later) {
 		t.Later, t.Reason = later.Seconds, "full"
 	}
 	return t
@@ -84,7 +84,7 @@
 	default:
 		return refuse(channel.ErrFull)
 	}
-	end := time.NewTimer(time.Duration((channel.Within + 0.5) * float64(time.Second)))
+	end := time.NewTimer(time.Duration((channel.AckTimeout + 0.5) * float64(time.Second)))
 	defer end.Stop()
 	t.Written = make([]Written, len(q.Entries))
 	waits, elsewhere := make([]chan channel.Ack, len(q.Entries)), -1
@@ -97,12 +97,12 @@
 		switch {
 		case err != nil:
 			t.Written[i] = notMet(err)
-			if errors.Is(err, channel.ErrChannel) {
+			if errors.Is(err, channel.ErrUnknownChannel) {
 				poke(w.stale)
 			}
-		case state == channel.Known:
+		case state == channel.WriteAcknowledged:
 			t.Written[i].Met = true
-		case state == channel.Elsewhere:
+		case state == channel.WriteNotSequencer:
 			elsewhere = i
 		default:
 			waits[i] = make(chan channel.Ack, 1)
@@ -160,7 +160,7 @@
 		}
 	}
 	if !decides {
-		fail(channel.ErrCut)
+		fail(channel.ErrNoMajority)
 		return
 	}
 	at := w.holderOf(ctx, q.Entries[from].Channel)
@@ -200,10 +200,10 @@
 	if q.Declare == nil {
 		return Told{Error: "no declaration"}
 	}
-	if q.Declare.Order == channel.Total && len(channel.Duty)+len(q.Declare.Name) > longestDuty {
-		return Told{Error: fmt.Sprintf("channel %.20q: with total order a name has at most %d bytes", q.Declare.Name, longestDuty-len(channel.Duty))}
+	if q.Declare.Order == channel.Total && len(channel.DutyPrefix)+len(q.Declare.Name) > longestDuty {
+		return Told{Error: fmt.Sprintf("channel %.20q: with total order a name has at most %d bytes", q.Declare.Name, longestDuty-len(channel.DutyPrefix))}
 	}
-	q.Declare.Since = 0 // the log gives it
+	q.Declare.WithdrawnGeneration = 0 // the log gives it
 	if err := w.fleet.agree(ctx, channel.Command{Declare: q.Declare, NoReuse: true}); err != nil {
 		return Told{Error: err.Error()}
 	}
@@ -215,8 +215,8 @@
 func (w *following) count(to map[string]int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	to["Readers"], to["SpoiltEntries"] = int64(w.machine.Readers()), int64(w.machine.Spoilt())
-	to["Entries"], to["Acknowledged"], to["WritersGone"] = w.entries, w.acknowledged, int64(w.machine.Gone())
+	to["Readers"], to["SpoiltEntries"] = int64(w.machine.Readers()), int64(w.machine.InvalidRecords())
+	to["Entries"], to["Acknowledged"], to["WritersGone"] = w.entries, w.acknowledged, int64(w.machine.ForgottenCount())
 }
 
 var nextPump atomic.Uint64
@@ -236,10 +236,10 @@
 	}
 	w.mu.Lock()
 	id, err := w.machine.Open(w.fleet.dutyNow(), *q.Follow)
-	if errors.Is(err, channel.ErrChannel) {
+	if errors.Is(err, channel.ErrUnknownChannel) {
 		poke(w.stale)
 		if !w.declared {
-			err = &channel.Later{Seconds: 0.5}
+			err = &channel.RetryLaterError{Seconds: 0.5}
 		}
 	}
 	w.mu.Unlock()
@@ -295,7 +295,7 @@
 const silent = 3*beatEach + time.Second
 
 // AskNotes follows a channel at a dispatcher. Errors: *Refusal, and those of the network.
-func AskNotes(ctx context.Context, at string, k *Keys, what channel.Ask) (*Followed, error) {
+func AskNotes(ctx context.Context, at string, k *Keys, what channel.OpenRequest) (*Followed, error) {
 	c, t, err := converse(ctx, at, k, ask{What: AskFollow, Follow: &what})
 	if err != nil {
 		return nil, err
@@ -308,7 +308,7 @@
 }
 
 // Next gives the next notes; none where all is quiet.
-func (r *Followed) Next() (all []channel.Note, err error) {
+func (r *Followed) Next() (all []channel.Notification, err error) {
 	_ = r.conn.SetReadDeadline(time.Now().Add(silent))
 	sealed, err := readFrame(r.in, longestStream)
 	if err != nil {
@@ -323,9 +323,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("follow: %w", err)
 	}
-	all = make([]channel.Note, len(in))
+	all = make([]channel.Notification, len(in))
 	for i, n := range in {
-		all[i] = channel.Note(n)
+		all[i] = channel.Notification(n)
 	}
 	return all, nil
 }
--- a/internal/cluster/pump.go
+++ b/internal/cluster/pump.go
@@ -53,15 +53,15 @@
 
 // sheet is notes as they were encoded for a reader: those in step with it get the same, each sealed for itself.
 type sheet struct {
-	notes []channel.Note
+	notes []channel.Notification
 	text  []byte
 	last  bool // nothing follows
 }
 
-func (s *sheet) of(notes []channel.Note) bool {
-	return s.text != nil && slices.EqualFunc(s.notes, notes, func(a, b channel.Note) bool {
-		return a.Entry == b.Entry && a.Position == b.Position && a.Word == b.Word && a.Writer == b.Writer && a.From == b.From && a.To == b.To &&
-			a.Generation == b.Generation && a.Late == b.Late && slices.Equal(a.Where, b.Where)
+func (s *sheet) of(notes []channel.Notification) bool {
+	return s.text != nil && slices.EqualFunc(s.notes, notes, func(a, b channel.Notification) bool {
+		return a.Entry == b.Entry && a.Position == b.Position && a.Kind == b.Kind && a.Writer == b.Writer && a.From == b.From && a.To == b.To &&
+			a.Generation == b.Generation && a.Late == b.Late && slices.Equal(a.Dispatchers, b.Dispatchers)
 	})
 }
 
@@ -167,34 +167,34 @@
 
 // wireNote is a note on the wire.
 type wireNote struct {
-	Word       channel.Word   `cbor:"1,keyasint"`
-	Entry      *channel.Entry `cbor:"2,keyasint,omitempty"`
-	Position   string         `cbor:"3,keyasint,omitempty"`
-	From       uint64         `cbor:"4,keyasint,omitempty"`
-	To         uint64         `cbor:"5,keyasint,omitempty"`
-	Writer     string         `cbor:"6,keyasint,omitempty"`
-	Where      []string       `cbor:"7,keyasint,omitempty"`
-	Generation uint64         `cbor:"8,keyasint,omitempty"`
-	Late       bool           `cbor:"9,keyasint,omitempty"`
+	Kind        channel.EventKind `cbor:"1,keyasint"`
+	Entry       *channel.Entry    `cbor:"2,keyasint,omitempty"`
+	Position    string            `cbor:"3,keyasint,omitempty"`
+	From        uint64            `cbor:"4,keyasint,omitempty"`
+	To          uint64            `cbor:"5,keyasint,omitempty"`
+	Writer      string            `cbor:"6,keyasint,omitempty"`
+	Dispatchers []string          `cbor:"7,keyasint,omitempty"`
+	Generation  uint64            `cbor:"8,keyasint,omitempty"`
+	Late        bool              `cbor:"9,keyasint,omitempty"`
 }
 
 const mostWhere = 8 // dispatchers that a reader is told to go to
 
 // sheet encodes notes; what can't be is the last that a reader hears of.
-func (f *Fleet) sheet(notes []channel.Note) (s sheet) {
+func (f *Fleet) sheet(notes []channel.Notification) (s sheet) {
 	s.notes = notes
 	wire := make([]wireNote, len(notes))
 	for i, n := range notes {
 		var where []string
-		for _, name := range n.Where[:min(len(n.Where), mostWhere)] {
+		for _, name := range n.Dispatchers[:min(len(n.Dispatchers), mostWhere)] {
 			if at := f.addressOf(name); at != "" {
 				where = append(where, at)
 			}
 		}
-		n.Where = where
+		n.Dispatchers = where
 		wire[i] = wireNote(n)
-		switch n.Word {
-		case channel.Reset, channel.Behind, channel.Cut, channel.Ended:
+		switch n.Kind {
+		case channel.EventReset, channel.EventBehind, channel.EventCutOff, channel.EventEnded:
 			s.last = true
 		}
 	}
--- a/internal/cluster/raftvoter/council.go
+++ b/internal/cluster/raftvoter/council.go
@@ -133,8 +133,8 @@
 // kept is what a snapshot holds.
 type kept struct {
 	lease.Packed
-	Ledger   quota.SavedLedger `cbor:"Ledger"`
-	Channels channel.Saved     `cbor:"Channels"` // a voter of an earlier version knows none, and keeps none
+	Ledger   quota.SavedLedger      `cbor:"Ledger"`
+	Channels channel.LedgerSnapshot `cbor:"Channels"` // a voter of an earlier version knows none, and keeps none
 }
 
 var (
--- a/internal/cluster/raftvoter/golden_test.go
+++ b/internal/cluster/raftvoter/golden_test.go
@@ -70,8 +70,8 @@
 	}))
 	streams := channel.NewLedger()
 	for _, d := range []channel.Declaration{
-		{Name: "orders", Generation: 1, Order: channel.Total, Entries: 10, Bytes: 1 << 20, Seconds: 60, Wait: 1, Slow: true},
-		{Name: "keyed", Generation: 1, Order: channel.ByKey, Told: true, Entries: 10, Bytes: 1 << 20, Seconds: 60, Wait: 1, Forget: 60},
+		{Name: "orders", Generation: 1, Order: channel.Total, RetainedEntries: 10, RetainedBytes: 1 << 20, RetainedSeconds: 60, OrderWait: 1, DisconnectSlow: true},
+		{Name: "keyed", Generation: 1, Order: channel.ByKey, AllowGaps: true, RetainedEntries: 10, RetainedBytes: 1 << 20, RetainedSeconds: 60, OrderWait: 1, WriterExpiry: 60},
 	} {
 		require.NoError(t, streams.Apply(&channel.Command{Declare: &d, NoReuse: true}))
 	}
--- a/internal/cluster/recall.go
+++ b/internal/cluster/recall.go
@@ -541,10 +541,10 @@
 }
 
 // agreed gives what is declared, and the line of a channel of total order, as whoever leads has it.
-func (f *Fleet) agreed(ctx context.Context, name string) (channel.Saved, error) {
+func (f *Fleet) agreed(ctx context.Context, name string) (channel.LedgerSnapshot, error) {
 	t, err := f.ask(ctx, ask{What: AskChannels, Duty: name})
 	if err != nil || t.Channels == nil {
-		return channel.Saved{}, errors.Join(err, errNoLeader)
+		return channel.LedgerSnapshot{}, errors.Join(err, errNoLeader)
 	}
 	return *t.Channels, nil
 }
--- a/internal/cluster/recall_test.go
+++ b/internal/cluster/recall_test.go
@@ -762,13 +762,13 @@
 	has := func(at int, next uint64) {
 		d.Until(soon, fmt.Sprintf("n%d has it", at), func() error {
 			told, err := askAt(context.Background(), d.Processes[at].Fleet, k, ask{What: AskChannels, Duty: "orders"})
-			if err == nil && (len(told.Channels.Lines) != 1 || told.Channels.Lines[0].Next != next || len(told.Channels.Declared) != 1) {
+			if err == nil && (len(told.Channels.Sequences) != 1 || told.Channels.Sequences[0].NextOffset != next || len(told.Channels.Declared) != 1) {
 				err = fmt.Errorf("%+v", told.Channels)
 			}
 			return err
 		})
 	}
-	orders := channel.Declaration{Name: "orders", Generation: 1, Order: channel.Total, Told: true, Entries: 100, Bytes: 1 << 20, Seconds: 600, Wait: 2}
+	orders := channel.Declaration{Name: "orders", Generation: 1, Order: channel.Total, AllowGaps: true, RetainedEntries: 100, RetainedBytes: 1 << 20, RetainedSeconds: 600, OrderWait: 2}
 	assert.Empty(t, agree(3, channel.Command{Declare: &orders}))
 	assert.Contains(t, agree(0, channel.Command{Declare: &orders}), "generation")
 	entry := channel.Entry{Channel: "orders", Writer: "w\xfe", Key: "\xff", Number: 1, Body: []byte("first")} // of any bytes: what a voter can't read would end the log
@@ -781,5 +781,5 @@
 	d.again(d.all()...)
 	d.whole()
 	has(3, 2)
-	assert.Empty(t, agree(3, channel.Command{Channel: "orders", Epoch: 6, Spread: 1}))
+	assert.Empty(t, agree(3, channel.Command{Channel: "orders", Epoch: 6, ReplicatedThrough: 1}))
 }
--- a/internal/cluster/tell.go
+++ b/internal/cluster/tell.go
@@ -15,8 +15,8 @@
 
 // builtIn is their first declaration, where channels are kept; the operator may put a higher generation over it.
 var builtIn = []channel.Declaration{
-	{Name: PurgesChannel, Generation: 1, Order: channel.Latest, Told: true, Entries: 20_000, Bytes: 8 << 20, Seconds: 3600, Forget: 86400},
-	{Name: VariantsChannel, Generation: 1, Order: channel.ByKey, Told: true, Entries: 10_000, Bytes: 8 << 20, Seconds: 3600, Wait: 2, Forget: 86400},
+	{Name: PurgesChannel, Generation: 1, Order: channel.Latest, AllowGaps: true, RetainedEntries: 20_000, RetainedBytes: 8 << 20, RetainedSeconds: 3600, WriterExpiry: 86400},
+	{Name: VariantsChannel, Generation: 1, Order: channel.ByKey, AllowGaps: true, RetainedEntries: 10_000, RetainedBytes: 8 << 20, RetainedSeconds: 3600, OrderWait: 2, WriterExpiry: 86400},
 }
 
 const (
@@ -36,7 +36,7 @@
 // Tell has a notice told in a channel that the fleet itself writes to. All dispatchers may tell the same: the voters take turns, and who finds
 // that the newest entry of the key says so already leaves it. So a notice comes once, and seldom twice. It may not wait.
 func (f *Fleet) Tell(name, key string, body []byte) {
-	if f.following == nil || f.voter == nil || len(key) > channel.LongestKey || len(body) > channel.MostBody {
+	if f.following == nil || f.voter == nil || len(key) > channel.MaxKeyBytes || len(body) > channel.MaxBodyBytes {
 		return
 	}
 	w, due := f.following, time.Now().Add(time.Duration(f.rank())*turnToTell)
@@ -60,7 +60,7 @@
 		if newest != nil && bytes.Equal(newest.Body, t.body) {
 			continue
 		}
-		e := channel.Entry{Channel: t.channel, Key: t.key, Writer: w.fleet.Name, Number: w.machine.Last(t.channel, w.fleet.Name) + 1, Clock: clock + 1, Body: t.body}
+		e := channel.Entry{Channel: t.channel, Key: t.key, Writer: w.fleet.Name, Number: w.machine.HighestNumber(t.channel, w.fleet.Name) + 1, Clock: clock + 1, Body: t.body}
 		if _, err := w.machine.Write(w.fleet.dutyNow(), e); err != nil {
 			if t.tries++; t.tries < tellTries {
 				t.due = now.Add(turnToTell)
--- a/internal/cluster/transport_test.go
+++ b/internal/cluster/transport_test.go
@@ -33,7 +33,7 @@
 	{Name: "streams", Pair: pairOf(anyKind, true), Longest: longestStream - sealLength, Unordered: eachAlone},
 	{Name: "council's", Pair: pairOf(sealedRaft, false), Longest: longestStream - sealLength - raftHead - 32, Over: 64, Unordered: eachAlone},
 	{Name: "questions", Pair: questions, Longest: longestAsk*3/4 - 256, Over: 1 << 10, Flood: 500},
-	{Name: "a reader's notes", Pair: notes, Longest: channel.MostBody},
+	{Name: "a reader's notes", Pair: notes, Longest: channel.MaxBodyBytes},
 }
 
 const eachAlone = "each is a datagram or a stream of its own; the machines number what needs an order"
@@ -159,7 +159,7 @@
 	<-serves
 	t.Cleanup(func() { _ = from.Close() })
 	need.Soon(t, func() bool { return f.memory.status().Writable }, "the memory takes writes")
-	f.following.take(&channel.Saved{Declared: []channel.Declaration{{Name: "c", Generation: 1, Order: channel.BySender, Told: true, Entries: 100, Bytes: 4 << 20, Seconds: 600, Wait: 1}}})
+	f.following.take(&channel.LedgerSnapshot{Declared: []channel.Declaration{{Name: "c", Generation: 1, Order: channel.BySender, AllowGaps: true, RetainedEntries: 100, RetainedBytes: 4 << 20, RetainedSeconds: 600, OrderWait: 1}}})
 	at := f.Address
 	if w != nil {
 		l := need.Of(net.Listen("tcp", "127.0.0.1:0"))(t)
@@ -172,7 +172,7 @@
 			}
 		}()
 	}
-	s := need.Of(AskNotes(ctx, at, f.Keys, channel.Ask{Channel: "c"}))(t)
+	s := need.Of(AskNotes(ctx, at, f.Keys, channel.OpenRequest{Channel: "c"}))(t)
 	to := &noteSeer{s, make(chan []byte), make(chan struct{}), make(chan struct{}), &sync.Once{}}
 	go to.read()
 	t.Cleanup(func() { _ = to.Close() })
--- a/internal/cluster/variants_test.go
+++ b/internal/cluster/variants_test.go
@@ -351,9 +351,9 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		_, _ = c.at(2).Follow(ctx, VariantsChannel, 0, "", func(n channel.Note) error {
+		_, _ = c.at(2).Follow(ctx, VariantsChannel, 0, "", func(n channel.Notification) error {
 			var j joined
-			if n.Word == channel.Shown && json.Unmarshal(n.Entry.Body, &j) == nil && j.Object == first {
+			if n.Kind == channel.EventEntry && json.Unmarshal(n.Entry.Body, &j) == nil && j.Object == first {
 				switch {
 				case !j.Split && j.Class != j.Standing:
 					told.CompareAndSwap(0, 1)
--- a/internal/operator/channels.go
+++ b/internal/operator/channels.go
@@ -16,7 +16,7 @@
 	defaultKept      = 3600.0  // s
 	defaultReadWait  = 2.0     // s
 	defaultForget    = 86400.0 // s
-	longestTotal     = 100 - len(channel.Duty)
+	longestTotal     = 100 - len(channel.DutyPrefix)
 	mostGenerations  = 1<<31 - 1
 	wordLatest       = "latest"
 	wordToldOrClosed = "told"
@@ -39,7 +39,7 @@
 func declaration(f *configfile.Faults, o, in *configfile.Object, name string) channel.Declaration {
 	order, gaps, repeats, slow := "", "never", "never", "cut"
 	generation, entries, bytes := 1, defaultEntries, defaultBytes
-	d := channel.Declaration{Name: name, Seconds: defaultKept, Wait: defaultReadWait}
+	d := channel.Declaration{Name: name, RetainedSeconds: defaultKept, OrderWait: defaultReadWait}
 	in.Word("order", &order, wordLatest, "key", "sender", "causal", "total")
 	if order == wordLatest {
 		gaps = wordToldOrClosed
@@ -51,18 +51,18 @@
 	in.Word("repeats", &repeats, "never", "allowed")
 	in.Word("slow", &slow, "cut", wordToldOrClosed)
 	in.Count("generation", &generation, 1, mostGenerations)
-	in.Count("entries", &entries, 0, channel.MostEntries)
-	in.Size("bytes", &bytes, 0, channel.MostBytes)
-	in.Duration("time", &d.Seconds, 0, channel.MostSeconds)
-	in.Duration("wait", &d.Wait, 0, channel.MostWait)
-	in.Flag("end", &d.End)
+	in.Count("entries", &entries, 0, channel.MaxRetainedEntries)
+	in.Size("bytes", &bytes, 0, channel.MaxRetainedBytes)
+	in.Duration("time", &d.RetainedSeconds, 0, channel.MaxRetainedSeconds)
+	in.Duration("wait", &d.OrderWait, 0, channel.MaxOrderWait)
+	in.Flag("end", &d.Withdrawn)
 	if d.Order = orders[order]; d.Order < channel.Causal {
-		d.Forget = defaultForget
+		d.WriterExpiry = defaultForget
 	}
-	in.Duration("forget", &d.Forget, 0, channel.MostSilence)
+	in.Duration("forget", &d.WriterExpiry, 0, channel.MaxWriterExpiry)
 	in.Done()
-	d.Order, d.Generation, d.Told, d.Repeats, d.Slow = orders[order], uint64(generation), gaps == wordToldOrClosed, repeats == "allowed", slow == "cut"
-	d.Entries, d.Bytes = entries, int(bytes)
+	d.Order, d.Generation, d.AllowGaps, d.AllowRepeats, d.DisconnectSlow = orders[order], uint64(generation), gaps == wordToldOrClosed, repeats == "allowed", slow == "cut"
+	d.RetainedEntries, d.RetainedBytes = entries, int(bytes)
 	if err := d.Check(); err != nil {
 		f.Each(o.At(name), err)
 	}
--- a/internal/operator/channels_test.go
+++ b/internal/operator/channels_test.go
@@ -17,8 +17,8 @@
 	c, err := decode("/etc/f", file(`a: {order: 'total', generation: 2, entries: 100, bytes: '1MiB', time: '10m', wait: '1s'}, b: {order: 'latest'}`, needs), services)
 	require.NoError(t, err)
 	assert.Equal(t, []channel.Declaration{
-		{Name: "a", Generation: 2, Order: channel.Total, Slow: true, Entries: 100, Bytes: 1 << 20, Seconds: 600, Wait: 1},
-		{Name: "b", Generation: 1, Order: channel.Latest, Told: true, Entries: 10_000, Bytes: 8 << 20, Seconds: 3600, Wait: 2, Forget: 86400},
+		{Name: "a", Generation: 2, Order: channel.Total, DisconnectSlow: true, RetainedEntries: 100, RetainedBytes: 1 << 20, RetainedSeconds: 600, OrderWait: 1},
+		{Name: "b", Generation: 1, Order: channel.Latest, AllowGaps: true, RetainedEntries: 10_000, RetainedBytes: 8 << 20, RetainedSeconds: 3600, OrderWait: 2, WriterExpiry: 86400},
 	}, c.Fleet.Channels.Declared)
 	c, err = decode("/etc/f", file(``, needs), services)
 	require.NoError(t, err)
