--- a/core/cluster/variant/module.go
+++ b/core/cluster/variant/module.go
@@ -5,151 +5,157 @@
 	"math/bits"
 )
 
-// Bounds.
+// Limits and tuning constants. Times are in seconds unless another unit is given.
 const (
-	MaxClasses   = 8       // of a service: a class's state is 40 bytes an object, and 8 for each further witness
-	MaxWitnesses = 4       // that can be asked for
-	MaxObjects   = 1 << 22 // in the table
-	maxGroups    = 1 << 14 // patterns that are counted; of further groups nothing is presumed
-	maxWitness   = 128     // bytes of a witness's name
-	maxFacts     = 1 << 13 // that wait to be told; the oldest goes, and peers keep own keys for it
-	maxNotices   = 1 << 12 // that wait
-	ways         = 8       // places that an object may have: two words hold their tags
-	floorsEach   = 4       // floors of purges an object, so that few objects share one
-	partBits     = 4       // 16 parts of the objects: shards seldom meet
-	partLeast    = 1 << 8  // objects of a part at least: few would crowd its sets
-
-	warm        = 20.0  // s over which a growing share of GETs goes by a new key: hosts fill it once, not all at one moment
-	warmLittle  = 5.0   // s of a class that few ask for here: the class that stands has just been borne out, so that a host has its copy
-	little      = 10    // own answers since the join up to which it is such a class: 2 a second of one dispatcher
-	hold        = 30.0  // s that a class is held apart after its first split; doubled with each further one
-	holdMost    = 7200  // s at most
-	forgiven    = 4.0   // times the last hold that a join must have stood for its splits to be forgotten
-	checksFirst = 0.1   // share of GETs by their own class right after a join, falling with each that agreed
-	checksLeast = 0.002 // share that always remains: an origin may change one variant and tell nobody
-	checksRenew = 0.2   // share where evidence is past half of Fresh and would lapse
-	besides     = 0.25  // share of a class's GETs that are sent beside while it lacks a witness: what is asked for once or twice pays nothing
-	maxBeside   = 4     // places beside a class's own: where hosts are few, some begin at a host that is a witness already
-	ticks       = 10.0  // a second: times are kept so, rounded to the past
+	MaxClasses          = 8       // classes of a service; the state of a class is 40 bytes per object, plus 8 for each further witness
+	MaxWitnesses        = 4       // highest number of witnesses that a service may ask for
+	MaxObjects          = 1 << 22 // entries in the table
+	maxGroups           = 1 << 14 // groups whose patterns are counted; nothing is presumed for further groups
+	maxWitnessName      = 128     // bytes of a witness's name
+	maxFacts            = 1 << 13 // facts that wait to be sent; the oldest is dropped, and peers keep using the class's own key in its place
+	maxNotices          = 1 << 12 // notices that wait to be taken
+	ways                = 8       // entries in which an object may be stored; their tags fit into two words
+	floorsPerObject     = 4       // purge floors per object, so that few objects share one
+	partitionBits       = 4       // 16 partitions, so that the shards rarely contend
+	minPartitionObjects = 1 << 8  // least number of objects per partition; with fewer, the sets of the table would be crowded
+
+	warmUp            = 20.0  // time over which a growing share of GETs goes by a new key, so that hosts do not all fill it at the same moment
+	shortWarmUp       = 5.0   // the same for a class with few requests here: the canonical class has just been confirmed, so a host already has its copy
+	fewAnswers        = 10    // answers since the join below which a class has few requests: 2 per second at one dispatcher
+	firstSplitHold    = 30.0  // time that a class is held apart after its first split; each further split doubles it
+	maxSplitHold      = 7200  // upper limit of that time
+	splitForgetFactor = 4.0   // a class's splits are forgotten after a join that lasted this multiple of the last hold
+	initialCheckShare = 0.1   // share of GETs that check a new join by their own class; it falls with each answer that agrees
+	minCheckShare     = 0.002 // share of checks that always remains, because an origin may change one variant without notice
+	renewalCheckShare = 0.2   // share of checks once more than half of EvidenceTTL has passed, so that the evidence is renewed before it expires
+	alternateShare    = 0.25  // share of a class's GETs sent by an alternate placement while it lacks a witness; an object requested only once or twice rarely costs an extra fill
+	maxAlternate      = 4     // alternate placements of a class; with few hosts, some of them begin at a host that is already a witness
+	ticksPerSecond    = 10.0  // resolution of stored times, which are rounded down
 )
 
-// class is what is known of one class of an object in the object's generation. Two are a line of memory: what only answers need is apart.
+// class is what is known about one class of an object in its current generation. It is kept small for
+// the CPU caches: further witnesses, which only answers need, are stored elsewhere.
 type class struct {
-	proof    uint64
-	since    uint32 // tick of the last change of stands
-	until    uint32 // tick up to which it is held apart
-	expires  uint32 // tick at which its evidence lapses
-	checks   uint16 // own answers that agreed since the join
-	agreed   uint8  // classes declared before it with which it was counted for the group's pattern, a bit each
-	against  uint8
-	n        uint8 // witnesses
-	splits   uint8
-	stands   int8  // class that stands for it, itself where it stands for others; -1 for none
-	last     int8  // that stood before
-	from     int8  // class by which the rest of the GETs go while the key is warmed
-	disputed bool  // two contents in one generation: not joined until another generation
-	vain     uint8 // places beside that brought no new witness
-	first    bearer
-}
-
-// bearer is a witness of a class's content.
-type bearer struct{ host, at uint32 } // at: tick
-
-// entry is an object in the table, a line of memory; its classes are m.classes[i*m.stride:].
+	contentHash        uint64
+	canonicalSince     uint32 // tick of the last change of canonical
+	apartUntil         uint32 // tick until which the class is held apart
+	expiresAt          uint32 // tick at which the evidence expires
+	checks             uint16 // answers by its own class that agreed since the join
+	agreedWith         uint8  // bitmask of the earlier-declared classes that were counted as agreeing with it in the group's pattern
+	differedFrom       uint8  // the same for those that were counted as differing
+	witnessCount       uint8
+	splitCount         uint8
+	canonical          int8  // class that it is joined to; the class itself if it is the canonical one; -1 for none
+	lastCanonical      int8  // the last value of canonical; -1 after a split
+	warmFrom           int8  // class by which the remaining GETs go while the new key is warmed up; -1 for none
+	disputed           bool  // it had two contents in this generation and is not joined again before the next one
+	exhaustedAlternate uint8 // highest alternate placement that brought no new witness
+	firstWitness       witness
+}
+
+// witness is a host that confirmed the content of a class.
+type witness struct{ host, seenAt uint32 } // seenAt is a tick
+
+// entry is one object in the table and fills a cache line. Its classes begin at m.classes[i*m.stride].
 type entry struct {
-	object     Object
-	generation Generation
-	order      uint64 // of its floor, as of epoch
-	epoch      uint32 // of the module's purges, when the generation's was last seen to be the newest; 0 for never
-	ref        bool   // asked for since the hand came by
-	_          [3]byte
+	object       Object
+	generation   Generation
+	purgeEvent   uint64 // event of the object's floor, as of checkedEpoch
+	checkedEpoch uint32 // purgeEpoch at which the generation's purge was last found to be the newest; 0 for never
+	referenced   bool   // requested since the CLOCK hand last passed
+	_            [3]byte
 }
 
-// touch marks an entry as asked for since the hand came by; one that is marked already is left clean in the caches.
+// touch marks an entry as requested since the hand last passed. It writes only if necessary, so that the cache
+// line stays clean.
 func (e *entry) touch() {
-	if !e.ref {
-		e.ref = true
+	if !e.referenced {
+		e.referenced = true
 	}
 }
 
-// floor is the newest purge of an object or a group that was told here. By its hash several may share one: owner is whose purge it is.
+// floor is the newest purge of an object or a group that is known here. Several of them may share a floor if their
+// hashes collide; owner is the one that was purged.
 type floor struct {
 	purge uint64 // Unix ms
-	order uint64 // local number under which a purge was last heard
+	event uint64 // local number of the newest event that reported a purge
 	owner uint64
 }
 
-// pattern is what the objects of a group bore out, by pair of classes.
+// pattern counts, for each pair of classes, the objects of a group that showed them equal or different.
 type pattern struct {
-	agreed, against [MaxClasses * (MaxClasses - 1) / 2]uint32
-	stands          [MaxClasses]int8 // what is presumed to stand for each class, -1 for nothing
+	agreed, differed [MaxClasses * (MaxClasses - 1) / 2]uint32
+	presumed         [MaxClasses]int8 // class that is presumed to have the same content as each class, -1 for none
 }
 
-type group struct{ service, group int }
+type groupKey struct{ service, group int }
 
-// told waits to be told to peers.
-type told struct {
+// outgoingFact is a fact that waits to be sent to peers.
+type outgoingFact struct {
 	fact Fact
 	host uint32
 }
 
-// Module is the state of one dispatcher. It is not safe for concurrent use.
+// Module is the state of one dispatcher, or of one partition of it. It is not safe for concurrent use.
 type Module struct {
-	s      Settings
-	stride int
-	// An object has its place among the ways of one set, by its hash: a look takes two words of tags, which caches hold, and what is evicted is
-	// of that set. All else of a place is found by its number, so that memory is waited for once.
-	ways    int
-	each    int                // witnesses of a class besides its first: the most that a service asks for
-	tags    [][ways / 4]uint64 // of each set: 16 bits a place, 0 where it is free
-	hands   []uint8            // of each set
-	used    int
-	latest  int // place that was found last, -1 for none: a GET's answer is looked up more than once. Places once taken are never free again
-	entries []entry
-	classes []class
-	bearers []bearer
-	zero    float64
-	started bool
-	// Floors of purges: of all, of services, and by hash of groups and objects. One that two share is higher than need be for one of
-	// them: it voids too much, never too little. So nothing that is forgotten lets an older generation in. What facts of peers tell of
-	// later purges stands with the object's evidence alone: it is not known here what else they are of.
-	all      floor
-	services []floor
-	floors   []floor
-	epoch    uint32 // rises with each purge
-	patterns map[group]*pattern
-	facts    line[told]
-	notices  line[Notice]
-	dropped  uint64
-	peers    int // dispatchers that share their facts, this one too
-	rounds   rounds
-}
-
-// New makes a module, or names all that is wrong with the settings.
+	settings Settings
+	stride   int
+	// The table is set-associative: an object's hash selects the set, and any of its ways may hold the object. A
+	// lookup reads two words of tags, which stay in the CPU caches, and eviction is within the set. The other
+	// arrays are indexed by the entry's number, so that a lookup waits for main memory only once.
+	ways           int
+	extraWitnesses int                // witnesses of a class besides its first: the maximum over the services
+	tags           [][ways / 4]uint64 // tags of each set, 16 bits per entry, 0 if the entry is free
+	hands          []uint8            // CLOCK hand of each set
+	usedEntries    int
+	lastFound      int // entry that was found last, -1 for none; a GET's answer is looked up more than once. A used entry never becomes free again
+	entries        []entry
+	classes        []class
+	witnesses      []witness
+	tickZero       float64
+	started        bool
+	// Purge floors: one for everything, one for each service, and an array indexed by the hash of groups and
+	// objects. If two share a floor, it may be too high for one of them, which discards too much evidence but
+	// never too little. So an object that was evicted from the table cannot accept an older generation. A later
+	// purge that is known only from a peer's fact is stored only in the object's generation, because it is unknown
+	// here what else that purge covers.
+	allFloor      floor
+	serviceFloors []floor
+	floors        []floor
+	purgeEpoch    uint32 // rises with each purge
+	patterns      map[groupKey]*pattern
+	facts         ring[outgoingFact]
+	notices       ring[Notice]
+	droppedCount  uint64
+	dispatchers   int // dispatchers that share their facts, including this one
+	stampRequests stampRequests
+}
+
+// New returns a module, or an error that names all problems of the settings.
 func New(s Settings) (*Module, error) {
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	m := &Module{s: s, services: make([]floor, len(s.Services)), patterns: map[group]*pattern{}, epoch: 1}
+	m := &Module{settings: s, serviceFloors: make([]floor, len(s.Services)), patterns: map[groupKey]*pattern{}, purgeEpoch: 1}
 	for _, v := range s.Services {
 		m.stride = max(m.stride, len(v.Classes))
 		if len(v.Classes) > 0 {
-			m.each = max(m.each, v.Witnesses-1)
+			m.extraWitnesses = max(m.extraWitnesses, v.Witnesses-1)
 		}
 	}
 	if m.stride == 0 {
 		m.floors = make([]floor, 1)
 		return m, nil
 	}
-	m.ways, m.latest = min(ways, s.Objects), -1
-	m.hands = make([]uint8, s.Objects/m.ways)
-	places := len(m.hands) * m.ways
+	m.ways, m.lastFound = min(ways, s.MaxObjects), -1
+	m.hands = make([]uint8, s.MaxObjects/m.ways)
+	entries := len(m.hands) * m.ways
 	m.tags = make([][ways / 4]uint64, len(m.hands))
-	m.entries = make([]entry, places)
-	m.classes = make([]class, places*m.stride)
-	m.bearers = make([]bearer, places*m.stride*m.each)
+	m.entries = make([]entry, entries)
+	m.classes = make([]class, entries*m.stride)
+	m.witnesses = make([]witness, entries*m.stride*m.extraWitnesses)
 	n := 1
-	for n < s.Objects*floorsEach {
+	for n < s.MaxObjects*floorsPerObject {
 		n *= 2
 	}
 	m.floors = make([]floor, n)
@@ -163,178 +169,188 @@
 	return x ^ x>>31
 }
 
-// KeyOf is the key by which hosts, their order, byte rates and joint forwards know an object of a class; the object's own for class 0 and
-// where there is none.
-func KeyOf(object uint64, class int) uint64 {
+// CacheKey returns the key of an object's variant for cache hosts, host selection, byte rates and coalesced
+// forwards. It is the object's own number for class 0 and for no class.
+func CacheKey(object uint64, class int) uint64 {
 	if class <= 0 {
 		return object
 	}
 	return mix(object ^ uint64(class)*0xd6e8feb86659fd93)
 }
 
-// PlaceOf is KeyOf by a place beside the class's own. Only the order of hosts, and what is counted by name, goes by it: a host is asked for the class.
-func PlaceOf(object uint64, class, beside int) uint64 { return KeyOf(object, class+MaxClasses*beside) }
+// PlacementKey returns the CacheKey for an alternate placement of a class. It determines only the order of hosts
+// and the counters kept by name; the host is asked for the class itself.
+func PlacementKey(object uint64, class, alternate int) uint64 {
+	return CacheKey(object, class+MaxClasses*alternate)
+}
 
-// Places is up to which place names of a service's objects are in use.
-func (v *Service) Places() int {
+// MaxAlternate returns the highest alternate placement that a service uses.
+func (v *Service) MaxAlternate() int {
 	if v.Witnesses < 2 {
 		return 0
 	}
-	return maxBeside
+	return maxAlternate
 }
 
-func id(o Object) uint64 { return mix(o.Object ^ uint64(o.Service)*0x9e3779b97f4a7c15) }
+func objectHash(o Object) uint64 { return mix(o.ID ^ uint64(o.Service)*0x9e3779b97f4a7c15) }
 
-// set is an object's set, and its tag, which is never 0.
-func (m *Module) set(o Object) (int, uint64) {
-	tag := mix(id(o)^uint64(o.Part)*0xd6e8feb86659fd93) | 1
+// setOf returns an object's set and its tag, which is never 0.
+func (m *Module) setOf(o Object) (int, uint64) {
+	tag := mix(objectHash(o)^uint64(o.Part)*0xd6e8feb86659fd93) | 1
 	high, _ := bits.Mul64(tag, uint64(len(m.hands)))
 	return int(high), tag & 0xffff
 }
 
-// low is all bits of a word's four tags but their highest.
-const low = 0x7fff7fff7fff7fff
+// tagLowBits masks all but the highest bit of each of a word's four tags.
+const tagLowBits = 0x7fff7fff7fff7fff
 
-// alike marks the highest bit of each of a word's four tags that is the one looked for.
-func alike(word, tag uint64) uint64 {
+// matchTags sets the highest bit of each of a word's four tags that equals tag.
+func matchTags(word, tag uint64) uint64 {
 	x := word ^ tag*0x0001000100010001
-	return ^(x&low + low | x | low)
+	return ^(x&tagLowBits + tagLowBits | x | tagLowBits)
 }
 
-func groupID(service, g int) uint64 { return mix(uint64(g)<<20 ^ uint64(service) ^ 0xa0761d6478bd642f) }
+func groupHash(service, g int) uint64 {
+	return mix(uint64(g)<<20 ^ uint64(service) ^ 0xa0761d6478bd642f)
+}
 
-func (m *Module) slot(owner uint64) *floor { return &m.floors[owner&uint64(len(m.floors)-1)] }
+func (m *Module) floorSlot(owner uint64) *floor { return &m.floors[owner&uint64(len(m.floors)-1)] }
 
-// told is the floor that counts for an object: the time of its newest purge, and the number under which one was last heard. It is exact
-// where that purge is not another's with which it shares a floor: only then do others mean the same by it.
-func (m *Module) told(o Object) (f floor, exact bool) {
-	f = m.all
-	if o.Service >= 0 && o.Service < len(m.services) {
-		f = f.over(m.services[o.Service])
+// floorOf returns the purge floor that applies to an object: the time of its newest purge, and the number of the
+// newest event that reported one. It is exact unless the purge belongs to another object or group that shares the
+// floor; only an exact time means the same to other dispatchers.
+func (m *Module) floorOf(o Object) (f floor, exact bool) {
+	f = m.allFloor
+	if o.Service >= 0 && o.Service < len(m.serviceFloors) {
+		f = f.max(m.serviceFloors[o.Service])
 	}
-	own, g := id(o), groupID(o.Service, o.Group)
-	x, y := m.slot(own), m.slot(g)
-	f = f.over(*x).over(*y)
-	return f, (x.purge < f.purge || f.purge == 0 || x.owner == own || x.owner == g) && (y.purge < f.purge || f.purge == 0 || y.owner == g || y.owner == own)
+	byObject, byGroup := objectHash(o), groupHash(o.Service, o.Group)
+	x, y := m.floorSlot(byObject), m.floorSlot(byGroup)
+	f = f.max(*x).max(*y)
+	return f, (x.purge < f.purge || f.purge == 0 || x.owner == byObject || x.owner == byGroup) && (y.purge < f.purge || f.purge == 0 || y.owner == byGroup || y.owner == byObject)
 }
 
-func (f floor) over(o floor) floor {
-	return floor{purge: max(f.purge, o.purge), order: max(f.order, o.order)}
+func (f floor) max(o floor) floor {
+	return floor{purge: max(f.purge, o.purge), event: max(f.event, o.event)}
 }
 
-// hear takes a purge: later ones stand. That it was heard counts whatever its time: who has not heard it may have older copies.
-func (f *floor) hear(purge, order, owner uint64) {
-	if f.order = max(f.order, order); purge > f.purge {
+// raise records a purge; the later one wins. The event counts whatever the purge's time, because a sender that has
+// not received it may accept older copies.
+func (f *floor) raise(purge, event, owner uint64) {
+	if f.event = max(f.event, event); purge > f.purge {
 		f.purge, f.owner = purge, owner
 	}
 }
 
-// Told is the time of the newest purge that counts for an object, of those told here; 0 for none. An answer bears the one of when its
-// forward began.
-func (m *Module) Told(o Object) uint64 {
-	f, _ := m.told(o)
+// PurgeFloor returns the time of the newest purge that covers an object and is known here, 0 for none. An answer
+// carries the value from when its forward began.
+func (m *Module) PurgeFloor(o Object) uint64 {
+	f, _ := m.floorOf(o)
 	return f.purge
 }
 
-// heard tells whether an answer is of the generation at hand: whoever sent it had heard each purge that was told here for its object, whose
-// place is i.
-func (m *Module) heard(a *Answer, i int) bool {
+// isCurrentAnswer reports whether an answer belongs to the current generation, that is, its sender had received
+// each purge that is known here for the object. i is the object's entry or -1.
+func (m *Module) isCurrentAnswer(a *Answer, i int) bool {
 	var f floor
-	if i >= 0 && m.entries[i].object.Group == a.Object.Group && m.current(&m.entries[i]) {
-		f.purge, f.order = m.entries[i].generation.Purge, m.entries[i].order
+	if i >= 0 && m.entries[i].object.Group == a.Object.Group && m.hasNewestPurge(&m.entries[i]) {
+		f.purge, f.event = m.entries[i].generation.Purge, m.entries[i].purgeEvent
 	} else {
-		f, _ = m.told(a.Object)
+		f, _ = m.floorOf(a.Object)
 	}
-	return f.order <= a.Known && f.purge == a.Generation.Purge
+	return f.event <= a.KnownEvent && f.purge == a.Generation.Purge
 }
 
-// Purged takes a purge that was told here, by its time (Unix ms) and the number under which it was heard, which rises from event to event.
-// One of no time is later than those before, and means nothing to others. It voids all evidence of generations before: of all (service -1), of a group, of an object (group -1), of a service (group -1, object 0).
-func (m *Module) Purged(service int, object uint64, g int, purge, order uint64) {
-	of := func(k group) bool { return true }
-	f, owner := &m.all, uint64(0)
+// RecordPurge records a purge with its time (Unix ms) and the local number of its event, which rises from event to
+// event. A purge without a time counts as later than those before it, and its time means nothing to other
+// dispatchers. The purge makes evidence of earlier generations void: of everything (service -1), of a group, of an
+// object (group -1), or of a service (group -1, object 0).
+func (m *Module) RecordPurge(service int, object uint64, g int, purge, event uint64) {
+	covers := func(k groupKey) bool { return true }
+	f, owner := &m.allFloor, uint64(0)
 	switch {
 	case service < 0:
-	case service >= len(m.services):
+	case service >= len(m.serviceFloors):
 		return
 	case g >= 0:
-		owner = groupID(service, g)
-		f = m.slot(owner)
-		of = func(k group) bool { return k == group{service, g} }
+		owner = groupHash(service, g)
+		f = m.floorSlot(owner)
+		covers = func(k groupKey) bool { return k == groupKey{service, g} }
 	case object == 0:
-		f = &m.services[service]
-		of = func(k group) bool { return k.service == service }
+		f = &m.serviceFloors[service]
+		covers = func(k groupKey) bool { return k.service == service }
 	default:
-		owner = id(Object{Service: service, Object: object})
-		f, of = m.slot(owner), nil
+		owner = objectHash(Object{Service: service, ID: object})
+		f, covers = m.floorSlot(owner), nil
 	}
-	if purge == 0 && order > f.order {
+	if purge == 0 && event > f.event {
 		purge, owner = f.purge+1, 0
 	}
-	news := purge > f.purge || order > f.order
-	f.hear(purge, order, owner)
-	if !news {
-		return // another shard told of it
+	isNew := purge > f.purge || event > f.event
+	f.raise(purge, event, owner)
+	if !isNew {
+		return // another shard reported it before
 	}
-	if m.epoch++; m.epoch == 0 {
-		m.epoch = 1
+	if m.purgeEpoch++; m.purgeEpoch == 0 {
+		m.purgeEpoch = 1
 		for i := range m.entries {
-			m.entries[i].epoch = 0
+			m.entries[i].checkedEpoch = 0
 		}
 	}
-	if of == nil {
+	if covers == nil {
 		return
 	}
 	for k := range m.patterns {
-		if of(k) {
+		if covers(k) {
 			delete(m.patterns, k)
 		}
 	}
 }
 
-// current tells whether an entry's generation is of the newest purge that was told here: not of one before, nor of one that facts alone told.
-func (m *Module) current(e *entry) bool {
-	if e.epoch == m.epoch {
+// hasNewestPurge reports whether an entry's generation has the newest purge that is known here, and not an earlier
+// one or one that is known only from facts.
+func (m *Module) hasNewestPurge(e *entry) bool {
+	if e.checkedEpoch == m.purgeEpoch {
 		return true
 	}
-	f, _ := m.told(e.object)
+	f, _ := m.floorOf(e.object)
 	if e.generation.Purge != f.purge {
 		return false
 	}
-	e.epoch, e.order = m.epoch, f.order
+	e.checkedEpoch, e.purgeEvent = m.purgeEpoch, f.event
 	return true
 }
 
 func (m *Module) tick(now float64) uint32 {
 	if !m.started {
-		m.zero, m.started = now-1, true // tick 0 is before all
+		m.tickZero, m.started = now-1, true // tick 0 is before all times
 	}
-	return uint32(min(max(0, (now-m.zero)*ticks), math.MaxUint32-1))
+	return uint32(min(max(0, (now-m.tickZero)*ticksPerSecond), math.MaxUint32-1))
 }
 
 func (m *Module) service(o Object, c int) *Service {
-	if o.Service < 0 || o.Service >= len(m.s.Services) {
+	if o.Service < 0 || o.Service >= len(m.settings.Services) {
 		return nil
 	}
-	if v := &m.s.Services[o.Service]; v.Repeats && c >= 0 && c < len(v.Classes) {
+	if v := &m.settings.Services[o.Service]; v.Idempotent && c >= 0 && c < len(v.Classes) {
 		return v
 	}
 	return nil
 }
 
-// find gives an object's place in the table, -1 where it isn't there.
+// find returns an object's entry in the table, or -1.
 func (m *Module) find(o Object) int {
 	if len(m.hands) == 0 {
 		return -1
 	}
-	if i := m.latest; i >= 0 && m.entries[i].is(&o) {
+	if i := m.lastFound; i >= 0 && m.entries[i].matches(&o) {
 		return i
 	}
-	s, tag := m.set(o)
+	s, tag := m.setOf(o)
 	for w, word := range m.tags[s] {
-		for marks := alike(word, tag); marks != 0; marks &= marks - 1 {
-			if i := s*m.ways + w*4 + bits.TrailingZeros64(marks)/16; m.entries[i].is(&o) {
-				m.latest = i
+		for marks := matchTags(word, tag); marks != 0; marks &= marks - 1 {
+			if i := s*m.ways + w*4 + bits.TrailingZeros64(marks)/16; m.entries[i].matches(&o) {
+				m.lastFound = i
 				return i
 			}
 		}
@@ -342,23 +358,23 @@
 	return -1
 }
 
-func (e *entry) is(o *Object) bool {
-	return e.object.Object == o.Object && e.object.Service == o.Service && e.object.Part == o.Part
+func (e *entry) matches(o *Object) bool {
+	return e.object.ID == o.ID && e.object.Service == o.Service && e.object.Part == o.Part
 }
 
-func (m *Module) of(i int) []class {
-	return m.classes[i*m.stride : i*m.stride+len(m.s.Services[m.entries[i].object.Service].Classes)]
+func (m *Module) classesOf(i int) []class {
+	return m.classes[i*m.stride : i*m.stride+len(m.settings.Services[m.entries[i].object.Service].Classes)]
 }
 
-// borne is the nth witness of a class's content.
-func (m *Module) borne(i, c, n int) *bearer {
+// witnessAt returns the nth witness of a class's content.
+func (m *Module) witnessAt(i, c, n int) *witness {
 	if n == 0 {
-		return &m.classes[i*m.stride+c].first
+		return &m.classes[i*m.stride+c].firstWitness
 	}
-	return &m.bearers[(i*m.stride+c)*m.each+n-1]
+	return &m.witnesses[(i*m.stride+c)*m.extraWitnesses+n-1]
 }
 
-// Key says by which class a GET of a class is looked for.
+// Key decides by which class a GET of class c is requested. now is in seconds.
 func (m *Module) Key(now float64, o Object, c int) Key {
 	own := Key{Class: c, Own: true}
 	v := m.service(o, c)
@@ -366,154 +382,160 @@
 		return own
 	}
 	i := m.find(o)
-	current := i >= 0 && m.current(&m.entries[i])
+	current := i >= 0 && m.hasNewestPurge(&m.entries[i])
 	if current {
-		own.Told = m.entries[i].generation.Purge
+		own.Purge = m.entries[i].generation.Purge
 	} else {
-		own.Told = m.Told(o)
+		own.Purge = m.PurgeFloor(o)
 	}
-	if i < 0 && v.Presume == nil {
+	if i < 0 && v.Presumption == nil {
 		return own
 	}
 	t := m.tick(now)
-	draw := mix(math.Float64bits(now) ^ m.s.Seed ^ mix(o.Object) ^ uint64(c)<<56)
-	low, high := float64(draw&0xffffffff)/(1<<32), float64(draw>>32)/(1<<32)
+	draw := mix(math.Float64bits(now) ^ m.settings.Seed ^ mix(o.ID) ^ uint64(c)<<56)
+	warmDraw, checkDraw := float64(draw&0xffffffff)/(1<<32), float64(draw>>32)/(1<<32)
 	if i >= 0 {
 		m.entries[i].touch()
-		k := m.of(i)
-		if d := &k[c]; d.stands >= 0 && t < d.expires && current {
-			stands := d.standing(c, t, low)
-			if stands == c {
+		k := m.classesOf(i)
+		if d := &k[c]; d.canonical >= 0 && t < d.expiresAt && current {
+			canonical := d.keyClass(c, t, warmDraw)
+			if canonical == c {
 				return own
 			}
-			if high < m.share(v, d, t) {
-				return Key{Class: c, Own: true, Checks: true, Told: own.Told, Beside: m.renews(v, d, draw)}
+			if checkDraw < m.checkShare(v, d, t) {
+				return Key{Class: c, Own: true, Check: true, Purge: own.Purge, Alternate: m.renewalAlternate(v, d, draw)}
 			}
-			return Key{Class: stands, Told: own.Told}
+			return Key{Class: canonical, Purge: own.Purge}
 		}
-		if v.Witnesses > 1 && current && high < besides {
-			own.Beside = m.beside(v, k, c, t)
+		if v.Witnesses > 1 && current && checkDraw < alternateShare {
+			own.Alternate = m.missingWitnessAlternate(v, k, c, t)
 		}
 	}
-	return m.presume(v, o, i, t, high, own)
+	return m.presume(v, o, i, t, checkDraw, own)
 }
 
-// standing is the class by which a GET of class c is looked for where one stands for it: part of them, by a draw, go by the one before while
-// the key is warmed.
-func (d *class) standing(c int, t uint32, draw float64) int {
-	if d.from >= 0 && t-d.since < warm*ticks && draw*d.warms(c)*ticks >= float64(t-d.since) {
-		return int(d.from)
+// keyClass returns the class by which a GET of class c is requested if it is joined. While the new key is warmed
+// up, draw (0 to 1) selects the GETs that still go by the previous class.
+func (d *class) keyClass(c int, t uint32, draw float64) int {
+	if d.warmFrom >= 0 && t-d.canonicalSince < warmUp*ticksPerSecond && draw*d.warmUpTime(c)*ticksPerSecond >= float64(t-d.canonicalSince) {
+		return int(d.warmFrom)
 	}
-	return int(d.stands)
+	return int(d.canonical)
 }
 
-// presume gives the key of an object whose evidence is not there, by the pattern of its group; own where there is no such pattern.
+// presume returns the key for an object without sufficient evidence by the pattern of its group, or own if the
+// pattern allows no presumption.
 func (m *Module) presume(v *Service, o Object, i int, t uint32, draw float64, own Key) Key {
 	c := own.Class
-	if v.Presume == nil {
+	if v.Presumption == nil {
 		return own
 	}
-	p := m.patterns[group{o.Service, o.Group}]
-	if p == nil || p.stands[c] < 0 {
+	p := m.patterns[groupKey{o.Service, o.Group}]
+	if p == nil || p.presumed[c] < 0 {
 		return own
 	}
-	d := int(p.stands[c])
+	d := int(p.presumed[c])
 	if i >= 0 && !m.presumable(i, d, c, t) {
 		return own
 	}
-	if draw < max(v.Presume.Checks, checksFirst*float64(v.Presume.Objects)/float64(max(1, p.agreed[pair(d, c)]))) {
-		return Key{Class: c, Own: true, Checks: true, Presume: true, Told: own.Told}
+	if draw < max(v.Presumption.MinCheckShare, initialCheckShare*float64(v.Presumption.MinObjects)/float64(max(1, p.agreed[pairIndex(d, c)]))) {
+		return Key{Class: c, Own: true, Check: true, Presumed: true, Purge: own.Purge}
 	}
-	return Key{Class: d, Presume: true, Told: own.Told}
+	return Key{Class: d, Presumed: true, Purge: own.Purge}
 }
 
-// Peers tells how many dispatchers share their facts, this one too: all of them together then check as much as one alone would, as any of
-// them tells all. Guards against 300 that each make sure anew, at the cost of the copies that were to be saved.
-func (m *Module) Peers(n int) { m.peers = n }
+// SetDispatchers sets how many dispatchers share their facts, including this one. Together they check as much as
+// one alone would, because each of them shares its results. Guards against 300 dispatchers that each check for
+// themselves, at the cost of the copies that the joins are meant to save.
+func (m *Module) SetDispatchers(n int) { m.dispatchers = n }
 
-// warms is over how long (s) class c's new key is warmed: one that went by its own until now is joined to one that has just been borne out.
-func (d *class) warms(c int) float64 {
-	if int(d.from) == c && d.checks < little {
-		return warmLittle
+// warmUpTime returns the time over which class c's new key is warmed up, in seconds. It is shorter if the class
+// went by its own key until now with few requests, because the class that it is joined to has just been confirmed.
+func (d *class) warmUpTime(c int) float64 {
+	if int(d.warmFrom) == c && d.checks < fewAnswers {
+		return shortWarmUp
 	}
-	return warm
+	return warmUp
 }
 
-// beside is the place by which a class that lacks a witness is asked for; 0 where none would help it to another class's key: only those whose
-// known contents are equal are worth a further fill.
-func (m *Module) beside(v *Service, k []class, c int, t uint32) int {
-	open := func(d *class) bool { return d.n > 0 && !d.disputed && d.until <= t && t < d.expires }
+// missingWitnessAlternate returns the alternate placement for a class that lacks a witness. It is 0 if a further
+// witness could not lead to a join: only classes whose known contents are equal are worth another fill.
+func (m *Module) missingWitnessAlternate(v *Service, k []class, c int, t uint32) int {
+	open := func(d *class) bool { return d.witnessCount > 0 && !d.disputed && d.apartUntil <= t && t < d.expiresAt }
 	d := &k[c]
-	if !open(d) || int(d.n) >= v.Witnesses || d.vain >= maxBeside {
+	if !open(d) || int(d.witnessCount) >= v.Witnesses || d.exhaustedAlternate >= maxAlternate {
 		return 0
 	}
 	for l := range k {
-		if l != c && open(&k[l]) && k[l].proof == d.proof {
-			return min(maxBeside, int(max(d.n, d.vain+1)))
+		if l != c && open(&k[l]) && k[l].contentHash == d.contentHash {
+			return min(maxAlternate, int(max(d.witnessCount, d.exhaustedAlternate+1)))
 		}
 	}
 	return 0
 }
 
-// renews is the place by which a joined class's evidence that would lapse is asked for anew: each of its witnesses must be heard again.
-func (m *Module) renews(v *Service, d *class, draw uint64) int {
-	if v.Witnesses < 2 || d.expires == math.MaxUint32 {
+// renewalAlternate returns the alternate placement by which the evidence of a joined class is renewed before it
+// expires. Each of its witnesses must confirm the content again.
+func (m *Module) renewalAlternate(v *Service, d *class, draw uint64) int {
+	if v.Witnesses < 2 || d.expiresAt == math.MaxUint32 {
 		return 0
 	}
-	return int(draw>>16) % min(maxBeside+1, v.Witnesses+int(d.vain))
+	return int(draw>>16) % min(maxAlternate+1, v.Witnesses+int(d.exhaustedAlternate))
 }
 
-// share is that of a joined class's GETs that ask by their own class all the same.
-func (m *Module) share(v *Service, d *class, t uint32) float64 {
-	s := max(checksLeast, checksFirst/float64(1+d.checks)/float64(max(1, m.peers)))
-	if d.expires != math.MaxUint32 && float64(d.expires-t) < v.Fresh*ticks/2 {
-		s = max(s, checksRenew)
+// checkShare returns the share of a joined class's GETs that go by their own class as a check.
+func (m *Module) checkShare(v *Service, d *class, t uint32) float64 {
+	s := max(minCheckShare, initialCheckShare/float64(1+d.checks)/float64(max(1, m.dispatchers)))
+	if d.expiresAt != math.MaxUint32 && float64(d.expiresAt-t) < v.EvidenceTTL*ticksPerSecond/2 {
+		s = max(s, renewalCheckShare)
 	}
 	return s
 }
 
-// presumable tells whether nothing that is known of an object speaks against its class c being d's.
+// presumable reports whether nothing known about an object contradicts that its class c has the content of class
+// d.
 func (m *Module) presumable(i, d, c int, t uint32) bool {
-	e, k := &m.entries[i], m.of(i)
-	if a, b := min(d, c), max(d, c); k[b].against&(1<<a) != 0 || k[c].until > t || k[d].until > t || k[c].disputed || k[d].disputed {
+	e, k := &m.entries[i], m.classesOf(i)
+	if a, b := min(d, c), max(d, c); k[b].differedFrom&(1<<a) != 0 || k[c].apartUntil > t || k[d].apartUntil > t || k[c].disputed || k[d].disputed {
 		return false
 	}
-	return k[c].n == 0 || k[d].n == 0 || k[c].proof == k[d].proof || e.generation.Purge < m.Told(e.object)
+	return k[c].witnessCount == 0 || k[d].witnessCount == 0 || k[c].contentHash == k[d].contentHash || e.generation.Purge < m.PurgeFloor(e.object)
 }
 
-// Fits tells whether an answer to a GET of class c may be given to its client; else it is to be asked anew by its own class. It is asked
-// after Answered, before the first byte goes out. Without it a new version of one variant reaches clients of another class until it is known.
-func (m *Module) Fits(now float64, c int, k Key, a *Answer) bool {
+// MayServe reports whether an answer may be given to a client of class c. If not, the GET must be requested again
+// by its own class. It is called after RecordAnswer and before the first byte is sent. Guards against a new
+// version of one variant that reaches clients of another class before the change is known.
+func (m *Module) MayServe(now float64, c int, k Key, a *Answer) bool {
 	if a.Class == c {
 		return true
 	}
 	v := m.service(a.Object, c)
-	if v == nil || m.service(a.Object, a.Class) == nil || a.Proof == 0 {
+	if v == nil || m.service(a.Object, a.Class) == nil || a.ContentHash == 0 {
 		return false
 	}
 	i := m.find(a.Object)
-	if !m.heard(a, i) {
+	if !m.isCurrentAnswer(a, i) {
 		return false
 	}
 	t := m.tick(now)
-	if k.Presume {
+	if k.Presumed {
 		if i < 0 {
 			return true
 		}
-		d := &m.of(i)[c]
+		d := &m.classesOf(i)[c]
 		if m.entries[i].generation.Purge > a.Generation.Purge || !m.presumable(i, a.Class, c, t) {
 			return false
 		}
-		return d.n == 0 || m.entries[i].generation != a.Generation || d.proof == a.Proof
+		return d.witnessCount == 0 || m.entries[i].generation != a.Generation || d.contentHash == a.ContentHash
 	}
 	if i < 0 {
 		return false
 	}
-	d, by := &m.of(i)[c], &m.of(i)[a.Class] // both: so many witnesses must bear out either, or one that lies about a tag would do
-	return m.entries[i].generation == a.Generation && m.sure(v, d, t) && d.proof == a.Proof && m.sure(v, by, t) && by.proof == a.Proof
+	d, by := &m.classesOf(i)[c], &m.classesOf(i)[a.Class] // both classes need enough witnesses, or a single host that reports a wrong tag would suffice
+	return m.entries[i].generation == a.Generation && m.confirmed(v, d, t) && d.contentHash == a.ContentHash && m.confirmed(v, by, t) && by.contentHash == a.ContentHash
 }
 
-// sure tells whether a class's content is known as well as is asked for.
-func (m *Module) sure(v *Service, d *class, t uint32) bool {
-	return !d.disputed && int(d.n) >= v.Witnesses && d.until <= t && t < d.expires
+// confirmed reports whether a class has enough witnesses and is neither disputed, held apart nor expired.
+func (m *Module) confirmed(v *Service, d *class, t uint32) bool {
+	return !d.disputed && int(d.witnessCount) >= v.Witnesses && d.apartUntil <= t && t < d.expiresAt
 }
--- a/core/cluster/variant/types.go
+++ b/core/cluster/variant/types.go
@@ -1,104 +1,109 @@
-// Package variant decides by which key a GET of a device class is looked for: its own class's, or that of the class whose answers have
-// the same bytes. It stands on evidence: answers of one generation of an object that bore the same proof. It is pure: GETs, answers, purges
-// and facts of other dispatchers come in with their time, keys and facts go out.
+// Package variant chooses the cache key by which a GET of a device class is requested: the key of its own class,
+// or that of another class whose answers have the same bytes. The choice rests on evidence, which is answers of
+// one generation of an object that had the same content hash. The package does no I/O and reads no clock: callers
+// pass in GETs, answers, purges and the facts of other dispatchers with their times, and receive keys and facts.
 //
-// The invariant, claimed by checkers that know the truth of each variant: without presume no client ever gets bytes of a class that are
-// not its own class's in the generation at hand, as far as the proof is one.
+// Invariant, tested by checkers that know the content of every variant: without a presumption, no client receives
+// bytes that differ from its own class's content in the current generation, as far as equal content hashes prove
+// equal content.
 package variant
 
-// Proof is what sameness is proven by.
-type Proof uint8
+// ProofKind is the part of an answer whose equality proves that two contents are the same.
+type ProofKind uint8
 
-// The proofs.
+// The kinds of proof.
 const (
-	ByTag    Proof = 1 + iota // a content tag that the operator declares strong
-	ByDigest                  // Repr-Digest (RFC 9530)
-	ByBody                    // a digest of the body that passed here
+	ProofByTag    ProofKind = 1 + iota // a content tag that the operator declares strong
+	ProofByDigest                      // the Repr-Digest field (RFC 9530)
+	ProofByBody                        // a digest of the body as it passed through this dispatcher
 )
 
-// Service declares one delivery service. The zero value rewrites nothing.
+// Service is the declaration of one delivery service. With the zero value, every GET keeps the key of its own
+// class.
 type Service struct {
-	Classes   []string  // device classes, the first of them preferred to stand for others; none: keys as they come
-	Proof     Proof     // what proves sameness
-	Witnesses int       // independent hosts that must have borne out sameness, 1 at least
-	Repeats   bool      // GETs may be repeated (idempotent): others are never rewritten
-	Presume   *Presumed // nil where nothing is presumed
-	// Fresh is for how long an answer that names no version is evidence (s). No clock is compared: a peer's fact joins only where beats bound
-	// its age, and else may split alone. 0: such answers are none. +Inf: contents change with purges only.
-	Fresh float64
+	Classes     []string     // device classes; the first is preferred as the canonical class of others; empty: keys are left unchanged
+	Proof       ProofKind    // what proves that contents are the same
+	Witnesses   int          // independent hosts that must confirm a class's content before it is joined, at least 1
+	Idempotent  bool         // the service's GETs may be repeated; GETs of other services are never rewritten
+	Presumption *Presumption // nil if nothing is presumed
+	// EvidenceTTL is how long an answer that names no version counts as evidence, in seconds. Clocks are never
+	// compared: a peer's fact joins classes only if stamps bound its age, and otherwise can only split them. At 0
+	// such answers are no evidence. With +Inf, contents are known to change with purges only.
+	EvidenceTTL float64
 }
 
-// Presumed is where sameness is presumed for new objects of a group.
-type Presumed struct {
-	Objects int     // that bore it out, with none against, before it is presumed
-	Checks  float64 // least share of GETs that are sent by their own class all the same, over 0
+// Presumption says when classes are presumed to have the same content for new objects of a group.
+type Presumption struct {
+	MinObjects    int     // objects that must have shown the two classes equal, with none that showed them different
+	MinCheckShare float64 // least share of GETs that still go by their own class as a check, above 0 and at most 1
 }
 
-// Settings are those of all delivery services, by their number.
+// Settings are the settings of one dispatcher. A service's number is its index in Services.
 type Settings struct {
-	Services []Service
-	Objects  int // in the table at most
-	Parts    int // modules that share the objects between them, and what may wait to be told; 0 for one
-	Seed     uint64
-	Self     string // the dispatcher's name: facts are by witness
+	Services   []Service
+	MaxObjects int // entries in the table
+	Partitions int // modules that divide the objects between them; the limits of waiting facts and notices are divided by it; 0 means 1
+	Seed       uint64
+	Self       string // name of this dispatcher, which is part of its witnesses' names
 }
 
-// Object names one, or a part of one: each part is evidence by itself, and purges are of the whole.
+// Object names an object or one part of it. Each part has evidence of its own, but a purge covers all parts.
 type Object struct {
 	Service int
-	Object  uint64
+	ID      uint64
 	Part    int
 	Group   int
 }
 
-// Generation tells answers of one state of an object from others: the newest purge that counts for it, and the version that an origin names.
-// A higher purge is a later state.
+// Generation distinguishes the states of an object by the newest purge that covers it and by the version that the
+// origin names. A higher purge means a later state.
 type Generation struct {
-	Purge   uint64 // time of the purge as the change log has it (Unix ms), the same at all dispatchers; 0 for none
-	Version uint64 // of the object and not of the variant alone, rising with each change of any of them; 0 where the origin names none
+	Purge   uint64 // time of the purge in the change log (Unix ms), equal at all dispatchers; 0 for none
+	Version uint64 // version of the object as a whole, which rises with each change of any variant; 0 if the origin names none
 }
 
-// Key is what a GET is looked for by.
+// Key is the decision about how a GET is requested.
 type Key struct {
-	Class   int    // index of the class that stands; the GET's own where nothing is known
-	Own     bool   // it is the GET's own class
-	Checks  bool   // sent by its own class to check what is presumed
-	Presume bool   // it rests on what is presumed
-	Beside  int    // place in the order of hosts by which it is sent, 0 for the class's own: another host then bears the class out
-	Told    uint64 // Told as it is now, of declared classes
+	Class     int    // index of the class that is requested; the GET's own class if nothing is known
+	Own       bool   // Class is the GET's own class
+	Check     bool   // sent by its own class to check a join or a presumption
+	Presumed  bool   // the decision rests on a presumption
+	Alternate int    // number of the alternate placement, which leads to another host and so to a further witness; 0 for the class's own placement
+	Purge     uint64 // the object's PurgeFloor at the decision; set for declared classes only
 }
 
-// Answer is what is known of an answer to a forward.
+// Answer describes an answer to a forward.
 type Answer struct {
-	Object     Object
-	Class      int        // that was asked of the host
-	Beside     int        // place in the order of hosts by which it was sent
-	Host       uint32     // witness, by the same number at all dispatchers
-	Proof      uint64     // hash of the tag, digest or body; 0 for none
-	Generation Generation // purge: Told as it was when the forward began
-	Known      uint64     // order of the newest event that whoever sent it had heard by then
-	Sent       float64    // when the forward began; 0 where that is not known: then it bears no beat
+	Object      Object
+	Class       int        // class that the host was asked for
+	Alternate   int        // number of the alternate placement by which the forward was sent
+	Host        uint32     // number of the host, equal at all dispatchers; the witness
+	ContentHash uint64     // hash of the tag, digest or body; 0 for none
+	Generation  Generation // its Purge is the object's PurgeFloor when the forward began
+	KnownEvent  uint64     // number of the newest event that the sender had received when the forward began
+	SentAt      float64    // when the forward began, in seconds; 0 if unknown, and then the answer gets no stamp
 }
 
-// Fact is what dispatchers tell each other: one class's content of an object in a generation, by one witness.
-// Facts of one key are ordered by FactLaw; sameness of two classes is worked out from the facts of both.
+// Fact is a statement that dispatchers exchange: the content of one class of an object in one generation, as seen
+// by one witness. FactMergeOrder decides between facts of one key. Whether two classes are the same follows from
+// the facts of both.
 type Fact struct {
-	Object     Object
-	Class      int
-	Witness    string // dispatcher and host
-	Proof      uint64
-	Generation Generation
-	Split      bool   // contrary: this class had another content than the one that stood for it
-	Splits     uint32 // how often: a flapping object is held apart for longer
-	Beat       Beat   // that was known when the forward began, of answers that name no version: readers tell by it how old it is at most
-	Stands     uint8  // 1 and the class that stands for it at the teller, 0 for none: dispatchers settle on the first declared
+	Object      Object
+	Class       int
+	Witness     string // dispatcher and host
+	ContentHash uint64
+	Generation  Generation
+	Split       bool   // the class had a content that contradicts what was known of it
+	SplitCount  uint32 // how often the class was split off; a class that flaps is held apart for longer
+	Stamp       Stamp  // stamp known when the forward began, set for answers that name no version; readers derive an upper bound of the answer's age from it
+	Canonical   uint8  // 1 + the sender's canonical class for this class, 0 for none; dispatchers converge on the class declared first
 }
 
-// Notice tells that a class was joined to the one that stands for it, or split off it.
+// Notice reports that a class was joined to its canonical class or split off from it.
 type Notice struct {
 	Object     Object
 	Class      int
-	Standing   int // the class's own where it was split off
+	Canonical  int // the class itself after a split
 	Split      bool
 	Generation Generation
 }
--- a/core/sharding/shards.go
+++ b/core/sharding/shards.go
@@ -1,15 +1,15 @@
-// Package sharding decides how the GETs of one process are divided among several modules, each with a lock and state of
-// its own, and what those must have in common. It is pure: no I/O, clock, lock or goroutine; whoever calls it from
-// several goroutines locks.
+// Package sharding divides the GETs of one process among several modules (shards), each with a lock and state of
+// its own, and holds the state that they share. It does no I/O, reads no clock and has no lock or goroutine:
+// callers on several goroutines must lock.
 //
-// What holds at any time:
-//   - an item (an object's part) belongs to one shard, which counts all of its GETs, unless it is so hot that it is
-//     spread, and then to the shards named for it, each of which counts an even part;
-//   - an item that has moved stays for settle seconds, and moves only while one shard has clearly more to do than the
-//     mean: load does not flap;
-//   - a shard that is not heard of gets nothing new;
-//   - what rule 4 allows one module to send to a cold host is spent from one pot by all (Pots), and one trial of a host
-//     that was left is out at a time.
+// Invariants:
+//   - An item (an object's part) belongs to one shard, which counts all of its GETs. If the item is so hot that it is
+//     spread, it belongs to the shards named for it, each of which counts an even part.
+//   - An item that has moved stays for slotHoldTime seconds, and items move only while one shard has clearly more load
+//     than the mean, so that load does not flap.
+//   - A shard that does not respond gets no new GETs.
+//   - The slow-start credit of a cold host (rule 4) is what a single module could spend. All shards spend it from one
+//     bucket (SharedCredits), and only one probe of an ejected host is outstanding at a time.
 package sharding
 
 import (
@@ -21,45 +21,47 @@
 )
 
 const (
-	// Slots is the number of parts into which items are hashed; the least that moves is a thousandth of the load.
+	// Slots is the number of slots into which items are hashed; a slot, about a thousandth of the load, is the
+	// least that moves.
 	Slots = 1024
 
-	mostHot   = 32   // items that are spread at most; by hotFrom there can't be more that matter
-	hotFrom   = 0.5  // share of a shard's even load from which on an item is spread
-	hotUntil  = 0.25 // share under which it is one shard's again: half, so that it does not flap
-	hotPart   = 0.25 // share of a shard's even load that each shard of a spread item is to have of it
-	busyFrom  = 1.3  // multiple of the mean load from which on a shard gives slots away
-	busyUntil = 1.1  // multiple of it that it is brought down to
-	busyTurns = 3    // turns in a row that it must have been so busy: one may be a burst
-	mostMoves = 64   // slots in a turn; moved items are counted anew, so that few are at a time
-	settle    = 5.0  // s; half of the count table's window, which a moved item needs to be known again
-	learn     = 0.3  // share; weight of a turn in a slot's load: the last six count
-	fewGETs   = 200  // a second; below that there is no load to divide
+	maxHotItems         = 32   // items that are spread at most; hotThreshold allows no more than that to matter
+	hotThreshold        = 0.5  // share of a shard's even load above which an item is spread
+	coolThreshold       = 0.25 // share below which the item returns to one shard; it is half of hotThreshold, so that items do not flap
+	hotItemShare        = 0.25 // share of a shard's even load that a spread item should put on each of its shards
+	overloadThreshold   = 1.3  // multiple of the mean load above which a shard gives slots away
+	reliefTarget        = 1.1  // multiple of the mean load to which it is brought down
+	minOverloadedRounds = 3    // consecutive rounds with an overloaded shard before slots move; a single one may be a burst
+	maxMovedSlots       = 64   // slots moved per round; moved items are counted anew, so only a few may be in that state at a time
+	slotHoldTime        = 5.0  // seconds; half of the count table's window, which a moved item needs to be known again
+	loadSmoothing       = 0.3  // weight of a round in a slot's moving average; about the last six rounds count
+	minRequestRate      = 200  // per second; with fewer GETs there is no load to divide
 
-	// Waits is how long, in seconds, a GET may wait in a shard's line before it counts as one that stood still.
-	Waits = 0.02
-	// TooLittle is the time in seconds under which such a GET is not begun any more: of less than that the module keeps
-	// only a quarter back for the answer, not its 50 ms, and a shard that stood still may do so again.
-	TooLittle = 0.2
+	// StallThreshold is how long a GET may wait in a shard's queue, in seconds, before it counts as stalled.
+	StallThreshold = 0.02
+	// MinRemaining is the remaining time, in seconds, below which a stalled GET is not begun any more. With less
+	// than that the module keeps only a quarter back for the answer instead of 50 ms, and a shard that stalled
+	// once may stall again.
+	MinRemaining = 0.2
 )
 
-// Way is how GETs are divided.
-type Way int
+// Mode is how GETs are divided.
+type Mode int
 
-// The ways.
+// The modes.
 const (
-	ByItem       Way = iota // an item's GETs go to one shard
-	ByConnection            // a connection's GETs go to one shard, each a dispatcher of its own
+	ByItem       Mode = iota // all GETs of an item go to one shard
+	ByConnection             // all GETs of a connection go to one shard, and each shard is a dispatcher of its own
 )
 
-// Table tells which shard a GET belongs to. It never changes once it is given out.
+// Table says which shard a GET belongs to. It is not changed once it is published.
 type Table struct {
-	way   Way
+	mode  Mode
 	slots [Slots]uint16
 	hot   map[uint64][]uint16
 }
 
-// Key is the hash of an item, or of a connection, that Of takes.
+// Key returns the hash of an item, or of a connection, for Table.Shard.
 func Key(name string, part int) uint64 {
 	h := uint64(14695981039346656037)
 	for i := range len(name) {
@@ -68,81 +70,81 @@
 	return rendezvous.Mix(h ^ uint64(part)*0x9e3779b97f4a7c15)
 }
 
-// Of is the shard of a key; turn spreads the GETs of one that is hot, in turn.
-func (t *Table) Of(key uint64, turn uint64) int {
+// Shard returns the shard of a key. sequence distributes the GETs of a hot item round robin.
+func (t *Table) Shard(key uint64, sequence uint64) int {
 	if len(t.hot) > 0 {
-		if over := t.hot[key]; over != nil {
-			return int(over[turn%uint64(len(over))])
+		if shards := t.hot[key]; shards != nil {
+			return int(shards[sequence%uint64(len(shards))])
 		}
 	}
 	return int(t.slots[key%Slots])
 }
 
-// Way is how it divides.
-func (t *Table) Way() Way { return t.way }
+// Mode returns how the table divides GETs.
+func (t *Table) Mode() Mode { return t.mode }
 
-// Report is what a shard saw in one turn.
+// Report is what a shard counted in one balancing round.
 type Report struct {
-	Heard bool          // it has answered in this turn
-	Slots [Slots]uint32 // GETs by slot
-	Items []Count       // the items asked for most
+	Responded    bool          // the shard responded in this round
+	SlotRequests [Slots]uint32 // GETs per slot
+	TopItems     []ItemCount   // the items with the most GETs
 }
 
-// Total is the GETs of a report.
+// Total returns the number of GETs in a report.
 func (r *Report) Total() (n float64) {
-	for _, c := range r.Slots {
+	for _, c := range r.SlotRequests {
 		n += float64(c)
 	}
 	return n
 }
 
-// Decision is what a turn changed.
+// Decision is the result of a balancing round.
 type Decision struct {
-	Table *Table
-	Moved int // slots
-	Hot   int // items spread now
+	Table      *Table
+	MovedSlots int // slots moved in this round
+	HotItems   int // items that are spread now
 }
 
-// Module divides the load of one process.
-type Module struct {
-	table   *Table
-	n       int
-	open    []bool    // shards that get anything
-	loads   []float64 // GETs a second, by slot
-	stays   []float64 // until when a slot stays
-	home    []uint16  // where a slot belongs while its shard is not heard of
-	busy    int       // turns in a row
-	last    float64
-	started bool
+// Balancer divides the load of one process among its shards. It is not safe for concurrent use.
+type Balancer struct {
+	table            *Table
+	shards           int
+	responding       []bool    // shards that get new GETs
+	slotLoads        []float64 // GETs per second of each slot
+	heldUntil        []float64 // time until which each slot may not move
+	home             []uint16  // shard that owns each slot, also while it does not respond
+	overloadedRounds int       // consecutive rounds with an overloaded shard
+	lastBalance      float64   // time of the last round
+	assigned         bool      // false until the slots are assigned for the first time
 }
 
-// New divides among n shards.
-func New(n int, way Way) *Module {
-	m := &Module{table: &Table{way: way}, loads: make([]float64, Slots), stays: make([]float64, Slots), home: make([]uint16, Slots)}
+// New returns a balancer for n shards.
+func New(n int, mode Mode) *Balancer {
+	m := &Balancer{table: &Table{mode: mode}, slotLoads: make([]float64, Slots), heldUntil: make([]float64, Slots), home: make([]uint16, Slots)}
 	m.Resize(n)
 	return m
 }
 
-// Table is the one in force.
-func (m *Module) Table() *Table { return m.table }
+// Table returns the table in force.
+func (m *Balancer) Table() *Table { return m.table }
 
-// Shards is how many there are.
-func (m *Module) Shards() int { return m.n }
+// Shards returns the number of shards.
+func (m *Balancer) Shards() int { return m.shards }
 
-// Resize divides among another number of shards, moving no more slots than it must: those of shards that are gone, and
-// an even part for those that are new.
-func (m *Module) Resize(n int) *Table {
-	t := m.next()
-	m.n, m.open = n, make([]bool, n)
-	for i := range m.open {
-		m.open[i] = true
+// Resize changes the number of shards and moves as few slots as possible: those of removed shards, and an even
+// share for new ones.
+func (m *Balancer) Resize(n int) *Table {
+	t := m.copyTable()
+	m.shards, m.responding = n, make([]bool, n)
+	for i := range m.responding {
+		m.responding[i] = true
 	}
 	has := make([]int, n)
 	var free []int
 	even := (Slots + n - 1) / n
 	for slot := range t.slots {
 		s := int(m.home[slot])
-		if s >= n || !m.started && s == 0 && has[0] >= even || has[s] >= even {
+		if s >= n || !m.assigned && s == 0 && has[0] >= even || has[s] >= even {
 			free = append(free, slot)
 			continue
 		}
@@ -159,91 +161,93 @@
 		has[least]++
 		t.slots[slot], m.home[slot] = uint16(least), uint16(least)
 	}
-	t.hot, m.busy, m.started = nil, 0, true
+	t.hot, m.overloadedRounds, m.assigned = nil, 0, true
 	m.table = t
 	return t
 }
 
-// next is a copy of the table to change.
-func (m *Module) next() *Table {
-	t := &Table{way: m.table.way, slots: m.table.slots, hot: m.table.hot}
+// copyTable returns a copy of the table that can be changed.
+func (m *Balancer) copyTable() *Table {
+	t := &Table{mode: m.table.mode, slots: m.table.slots, hot: m.table.hot}
 	return t
 }
 
-// Turn takes what the shards saw since the last one and says how load is divided from now on.
-func (m *Module) Turn(now float64, reports []Report) Decision {
-	gone := now - m.last
-	m.last = now
-	if gone <= 0 || len(reports) != m.n {
-		return Decision{Table: m.table, Hot: len(m.table.hot)}
+// Balance processes the shards' reports since the last round and returns how load is divided from now on. now is
+// in seconds.
+func (m *Balancer) Balance(now float64, reports []Report) Decision {
+	elapsed := now - m.lastBalance
+	m.lastBalance = now
+	if elapsed <= 0 || len(reports) != m.shards {
+		return Decision{Table: m.table, HotItems: len(m.table.hot)}
 	}
-	t := m.next()
-	m.learn(gone, reports)
-	m.stalled(t, reports)
+	t := m.copyTable()
+	m.updateLoads(elapsed, reports)
+	m.reassignStalled(t, reports)
 	d := Decision{Table: t}
-	if m.n > 1 {
-		if t.way == ByItem {
-			t.hot = m.spread(gone, reports)
+	if m.shards > 1 {
+		if t.mode == ByItem {
+			t.hot = m.findHotItems(elapsed, reports)
 		}
-		d.Moved = m.relieve(now, t)
+		d.MovedSlots = m.moveSlots(now, t)
 	}
-	d.Hot = len(t.hot)
+	d.HotItems = len(t.hot)
 	m.table = t
 	return d
 }
 
-func (m *Module) learn(gone float64, reports []Report) {
-	for slot := range m.loads {
+func (m *Balancer) updateLoads(elapsed float64, reports []Report) {
+	for slot := range m.slotLoads {
 		sum := 0.0
 		for i := range reports {
-			sum += float64(reports[i].Slots[slot])
+			sum += float64(reports[i].SlotRequests[slot])
 		}
-		m.loads[slot] += (sum/gone - m.loads[slot]) * learn
+		m.slotLoads[slot] += (sum/elapsed - m.slotLoads[slot]) * loadSmoothing
 	}
 }
 
-// stalled lends the slots of shards that were not heard of to the others, and gives them back. Guards against a shard
-// whose lock is held, or whose goroutine does not run: what it has is its own, but nothing new waits for it.
-func (m *Module) stalled(t *Table, reports []Report) {
-	var open []int
+// reassignStalled lends the slots of shards that did not respond to the others, and gives them back once their
+// shards respond. Guards against a shard whose lock is held or whose goroutine does not run: it keeps the GETs
+// that it has, but no new ones wait for it.
+func (m *Balancer) reassignStalled(t *Table, reports []Report) {
+	var responding []int
 	for i := range reports {
-		if reports[i].Heard {
-			open = append(open, i)
+		if reports[i].Responded {
+			responding = append(responding, i)
 		}
 	}
-	if len(open) == 0 { // whatever it is, it is not one shard
+	if len(responding) == 0 { // if no shard responds, the cause is not a single shard
 		return
 	}
 	for i := range reports {
-		m.open[i] = reports[i].Heard
+		m.responding[i] = reports[i].Responded
 	}
 	for slot, home := range m.home {
-		if m.open[home] {
+		if m.responding[home] {
 			t.slots[slot] = home
 			continue
 		}
-		if s := t.slots[slot]; !m.open[s] {
-			t.slots[slot] = uint16(open[slot%len(open)])
+		if s := t.slots[slot]; !m.responding[s] {
+			t.slots[slot] = uint16(responding[slot%len(responding)])
 		}
 	}
 }
 
-// spread names the shards of each item that one shard should not have alone.
-func (m *Module) spread(gone float64, reports []Report) map[uint64][]uint16 {
+// findHotItems returns the shards of each item that one shard should not serve alone.
+func (m *Balancer) findHotItems(elapsed float64, reports []Report) map[uint64][]uint16 {
 	counts, total := map[uint64]float64{}, 0.0
 	for i := range reports {
 		total += reports[i].Total()
-		for _, c := range reports[i].Items {
-			counts[c.Key] += float64(c.N)
+		for _, c := range reports[i].TopItems {
+			counts[c.Key] += float64(c.Requests)
 		}
 	}
-	even := total / float64(m.n)
-	if total/gone < fewGETs {
+	even := total / float64(m.shards)
+	if total/elapsed < minRequestRate {
 		return nil
 	}
 	var keys []uint64
 	for key, n := range counts {
-		if from := map[bool]float64{true: hotUntil, false: hotFrom}[m.table.hot[key] != nil]; n > from*even {
+		if threshold := map[bool]float64{true: coolThreshold, false: hotThreshold}[m.table.hot[key] != nil]; n > threshold*even {
 			keys = append(keys, key)
 		}
 	}
@@ -251,69 +255,71 @@
 		return cmp.Or(cmp.Compare(counts[b], counts[a]), cmp.Compare(a, b))
 	})
 	hot := map[uint64][]uint16{}
-	for _, key := range keys[:min(len(keys), mostHot)] {
-		hot[key] = m.over(key, int(math.Ceil(counts[key]/(hotPart*even))))
+	for _, key := range keys[:min(len(keys), maxHotItems)] {
+		hot[key] = m.hotItemShards(key, int(math.Ceil(counts[key]/(hotItemShare*even))))
 	}
 	return hot
 }
 
-// over is so many shards for a hot item, from its own on, in an order that a change of their number keeps.
-func (m *Module) over(key uint64, n int) (all []uint16) {
+// hotItemShards returns n shards for a hot item, beginning with its own, in an order that stays the same when n
+// changes.
+func (m *Balancer) hotItemShards(key uint64, n int) (shards []uint16) {
 	first := int(m.home[key%Slots])
-	for i := range m.n {
-		if s := (first + i) % m.n; m.open[s] && len(all) < n {
-			all = append(all, uint16(s))
+	for i := range m.shards {
+		if s := (first + i) % m.shards; m.responding[s] && len(shards) < n {
+			shards = append(shards, uint16(s))
 		}
 	}
-	return all
+	return shards
 }
 
-// relieve moves slots from the busiest shards to the idlest ones. What spread items add is even, and left out.
-func (m *Module) relieve(now float64, t *Table) (moved int) {
-	load, slots, total, open := make([]float64, m.n), make([][]int, m.n), 0.0, 0.0
+// moveSlots moves slots from the busiest shards to the idlest ones. The shards of spread items are chosen by
+// findHotItems instead.
+func (m *Balancer) moveSlots(now float64, t *Table) (moved int) {
+	load, slots, total, responding := make([]float64, m.shards), make([][]int, m.shards), 0.0, 0.0
 	for slot, s := range t.slots {
-		load[s] += m.loads[slot]
-		total += m.loads[slot]
+		load[s] += m.slotLoads[slot]
+		total += m.slotLoads[slot]
 		slots[s] = append(slots[s], slot)
 	}
-	for _, is := range m.open {
-		if is {
-			open++
+	for _, responds := range m.responding {
+		if responds {
+			responding++
 		}
 	}
-	mean := total / math.Max(1, open)
-	if total < fewGETs || slices.Max(load) <= busyFrom*mean {
-		m.busy = 0
+	mean := total / math.Max(1, responding)
+	if total < minRequestRate || slices.Max(load) <= overloadThreshold*mean {
+		m.overloadedRounds = 0
 		return 0
 	}
-	if m.busy++; m.busy < busyTurns {
+	if m.overloadedRounds++; m.overloadedRounds < minOverloadedRounds {
 		return 0
 	}
-	for moved < mostMoves {
+	for moved < maxMovedSlots {
 		from, to := m.extremes(load)
-		if from < 0 || to < 0 || load[from] <= busyUntil*mean {
+		if from < 0 || to < 0 || load[from] <= reliefTarget*mean {
 			break
 		}
-		slot := m.fits(now, slots[from], math.Min(load[from]-mean, mean-load[to]))
+		slot := m.pickSlot(now, slots[from], math.Min(load[from]-mean, mean-load[to]))
 		if slot < 0 {
 			break
 		}
 		slots[from] = slices.DeleteFunc(slots[from], func(s int) bool { return s == slot })
 		slots[to] = append(slots[to], slot)
-		load[from] -= m.loads[slot]
-		load[to] += m.loads[slot]
+		load[from] -= m.slotLoads[slot]
+		load[to] += m.slotLoads[slot]
 		t.slots[slot], m.home[slot] = uint16(to), uint16(to)
-		m.stays[slot] = now + settle
+		m.heldUntil[slot] = now + slotHoldTime
 		moved++
 	}
 	return moved
 }
 
-// extremes is the busiest and the idlest open shard.
-func (m *Module) extremes(load []float64) (from, to int) {
+// extremes returns the busiest and the idlest responding shard, or -1 if none responds.
+func (m *Balancer) extremes(load []float64) (from, to int) {
 	from, to = -1, -1
 	for s, l := range load {
-		if !m.open[s] {
+		if !m.responding[s] {
 			continue
 		}
 		if from < 0 || l > load[from] {
@@ -326,11 +332,11 @@
 	return from, to
 }
 
-// fits is the busiest slot that may move and is no more than what is to move, -1 if there is none.
-func (m *Module) fits(now float64, slots []int, most float64) int {
+// pickSlot returns the busiest slot that may move and whose load is at most limit, or -1 if there is none.
+func (m *Balancer) pickSlot(now float64, slots []int, limit float64) int {
 	best := -1
 	for _, slot := range slots {
-		if l := m.loads[slot]; l > 0 && l <= most && now >= m.stays[slot] && (best < 0 || l > m.loads[best]) {
+		if l := m.slotLoads[slot]; l > 0 && l <= limit && now >= m.heldUntil[slot] && (best < 0 || l > m.slotLoads[best]) {
 			best = slot
 		}
 	}
--- a/emulator/variants.go
+++ b/emulator/variants.go
@@ -190,9 +190,9 @@
 		w.heard = append(w.heard, make([]uint64, s.Objects))
 	}
 	if s.Way == Beats {
-		giver := variant.NewGiver(s.Seed)
+		giver := variant.NewStampIssuer(s.Seed)
 		for i := range w.all {
-			w.acts.Add(w.chance.Float64()*variant.BeatEach, func() { w.ask(giver, i) })
+			w.acts.Add(w.chance.Float64()*variant.StampInterval, func() { w.ask(giver, i) })
 		}
 	}
 	w.every(s.Changes, w.change)
@@ -269,13 +269,13 @@
 }
 
 // ask has a dispatcher ask for a beat, over a way and back as long as facts take.
-func (w *variantsWorld) ask(g *variant.Giver, i int) {
+func (w *variantsWorld) ask(g *variant.StampIssuer, i int) {
 	sent := w.now
 	w.acts.Add(w.now+w.FactDelay*w.chance.ExpFloat64(), func() {
 		b := g.Next()
-		w.acts.Add(w.now+w.FactDelay*w.chance.ExpFloat64(), func() { w.all[i].(*program).Beat(sent, w.now, b) })
+		w.acts.Add(w.now+w.FactDelay*w.chance.ExpFloat64(), func() { w.all[i].(*program).RecordStamp(sent, w.now, b) })
 	})
-	w.acts.Add(w.now+variant.BeatEach, func() { w.ask(g, i) })
+	w.acts.Add(w.now+variant.StampInterval, func() { w.ask(g, i) })
 }
 
 // purge empties the hosts of an object at once; dispatchers hear of it one by one.
@@ -580,51 +580,51 @@
 	}
 	all := make([]variant.Service, services)
 	for s := range all {
-		all[s] = variant.Service{Classes: classes, Proof: variant.ByTag, Witnesses: w.Witnesses, Repeats: s != tokened, Fresh: math.Inf(1)}
+		all[s] = variant.Service{Classes: classes, Proof: variant.ProofByTag, Witnesses: w.Witnesses, Idempotent: s != tokened, EvidenceTTL: math.Inf(1)}
 		if w.Silent > 0 {
-			all[s].Fresh = w.Lapses
+			all[s].EvidenceTTL = w.Lapses
 		}
 		if w.Way == Presumed {
-			all[s].Presume = &variant.Presumed{Objects: 20, Checks: w.Checks}
+			all[s].Presumption = &variant.Presumption{MinObjects: 20, MinCheckShare: w.Checks}
 		}
 	}
-	m, err := variant.New(variant.Settings{Services: all, Objects: w.TablesHold, Seed: w.Seed + uint64(i)<<16, Self: fmt.Sprint("n", i)})
+	m, err := variant.New(variant.Settings{Services: all, MaxObjects: w.TablesHold, Seed: w.Seed + uint64(i)<<16, Self: fmt.Sprint("n", i)})
 	if err != nil {
 		panic(err) // the settings stand above
 	}
 	if w.Way != Alone {
-		m.Peers(w.Dispatchers)
+		m.SetDispatchers(w.Dispatchers)
 	}
 	return &program{Module: m}
 }
 
 func named1(o *item) variant.Object {
-	return variant.Object{Service: o.service, Object: o.id, Group: o.service}
+	return variant.Object{Service: o.service, ID: o.id, Group: o.service}
 }
 
 func (p *program) key(now float64, o *item, class int) (stands, beside int, checks bool) {
-	p.floor, p.known = p.Told(named1(o)), p.order
+	p.floor, p.known = p.PurgeFloor(named1(o)), p.order
 	p.key1 = p.Key(now, named1(o), class)
-	return p.key1.Class, p.key1.Beside, p.key1.Checks
+	return p.key1.Class, p.key1.Alternate, p.key1.Check
 }
 
 func (p *program) answered(now float64, o *item, class int, r response) bool {
 	answer := variant.Answer{
-		Object: named1(o), Class: r.asked, Beside: r.beside, Host: r.host, Proof: r.proof,
-		Generation: variant.Generation{Purge: p.floor, Version: r.version}, Known: p.known, Sent: now,
+		Object: named1(o), Class: r.asked, Alternate: r.beside, Host: r.host, ContentHash: r.proof,
+		Generation: variant.Generation{Purge: p.floor, Version: r.version}, KnownEvent: p.known, SentAt: now,
 	}
-	p.Answered(now, answer)
+	p.RecordAnswer(now, answer)
 	k := p.key1
 	if r.asked == class {
 		k = variant.Key{Class: class, Own: true}
 	}
-	return p.Fits(now, class, k, &answer)
+	return p.MayServe(now, class, k, &answer)
 }
 
 func (p *program) purged(now float64, o *item, purge uint64) {
 	p.order++
-	p.Purged(o.service, o.id, -1, purge, p.order)
+	p.RecordPurge(o.service, o.id, -1, purge, p.order)
 }
 func (p *program) facts() []variantFact             { return p.Facts(1000) }
 func (p *program) learn(now float64, f variantFact) { p.Learn(now, []variant.Fact{f}) }
-func (p *program) objects() int                     { return p.Objects() }
+func (p *program) objects() int                     { return p.ObjectCount() }
--- a/internal/cluster/facts.go
+++ b/internal/cluster/facts.go
@@ -47,7 +47,7 @@
 
 func (s *shares) begin(m *memory) {
 	s.memory, s.all, s.swept = m, true, time.Now()
-	m.follow[variant.ID] = append(m.follow[variant.ID], s.changed)
+	m.follow[variant.KindID] = append(m.follow[variant.KindID], s.changed)
 }
 
 // TakeVariants has what is known of variants told to the others and learned from them, before the fleet is served; now is the variants' time.
@@ -72,7 +72,7 @@
 func (f *Fleet) tellVariants(all []variant.Notice) {
 	for _, n := range all {
 		o := n.Object
-		of := joined{o.Service, fmt.Sprintf("%016x", o.Object), o.Part, n.Class, n.Standing, n.Split}
+		of := joined{o.Service, fmt.Sprintf("%016x", o.ID), o.Part, n.Class, n.Canonical, n.Split}
 		body, err := json.Marshal(of)
 		if err != nil {
 			continue
@@ -133,7 +133,7 @@
 	}
 	for _, f := range s.of.Facts(mostShared) {
 		// One that finds no room, or stands already, is not told: the others keep their own keys the longer.
-		_, _ = m.write(variant.ID, variant.FactKey(&f), variant.EncodeFact(&f), false, replication.WriteConcern{})
+		_, _ = m.write(variant.KindID, variant.FactKey(&f), variant.EncodeFact(&f), false, replication.WriteConcern{})
 	}
 	if time.Since(s.swept) >= sweepEach {
 		s.swept = time.Now()
@@ -144,7 +144,7 @@
 func (s *shares) learn() {
 	if s.all {
 		s.all, s.unread = false, nil
-		s.memory.each(variant.ID, func(r replication.Record) bool {
+		s.memory.each(variant.KindID, func(r replication.Record) bool {
 			if f, err := variant.DecodeFact(r.Value); err == nil && !r.Deleted {
 				s.unread = append(s.unread, f)
 			}
@@ -160,7 +160,7 @@
 // sweep deletes facts that are of no use.
 func (s *shares) sweep() {
 	var old []replication.Record
-	s.memory.each(variant.ID, func(r replication.Record) bool {
+	s.memory.each(variant.KindID, func(r replication.Record) bool {
 		f, err := variant.DecodeFact(r.Value)
 		if err == nil && !r.Deleted && !s.of.Keep(&f, r.Dot.Writer == s.memory.fleet.Name) {
 			old = append(old, r)
@@ -168,6 +168,6 @@
 		return len(old) < mostSwept
 	})
 	for _, r := range old {
-		_, _ = s.memory.write(variant.ID, r.Key, r.Value, true, replication.WriteConcern{}) // it comes again at the next look
+		_, _ = s.memory.write(variant.KindID, r.Key, r.Value, true, replication.WriteConcern{}) // it comes again at the next look
 	}
 }
--- a/internal/cluster/golden_words_test.go
+++ b/internal/cluster/golden_words_test.go
@@ -29,7 +29,7 @@
 	tr.Values("levels of writes", replication.LevelLocal, replication.LevelCopies, replication.LevelMajority)
 	tr.Values("orders of channels", channel.Latest, channel.ByKey, channel.BySender, channel.Causal, channel.Total)
 	tr.Values("words of notes", channel.EventEntry, channel.EventGap, channel.EventReset, channel.EventBehind, channel.EventCutOff, channel.EventDeclarationChanged, channel.EventEnded)
-	tr.Values("kinds of records", purgefloor.KindID, variant.ID, channel.EntryKind, channel.WriterKind)
+	tr.Values("kinds of records", purgefloor.KindID, variant.KindID, channel.EntryKind, channel.WriterKind)
 	tr.Values("kinds of seals", sealedMessage, sealedAsk, sealedTold, sealedRaft, sealedTurn, sealedAnswer, sealedSpend, sealedGive,
 		sealedMemory, sealedNotes)
 	tr.Values("questions", AskMembers, AskWatch, AskLeave, AskDuties, AskTurn, AskCommand, AskSeat, AskFound, AskRecover, AskCounts,
--- a/internal/cluster/memory_test.go
+++ b/internal/cluster/memory_test.go
@@ -68,7 +68,7 @@
 		return b
 	}
 	fact := func(purge uint64, split bool, splits uint32, stands uint8) []byte {
-		return variant.EncodeFact(&variant.Fact{Witness: "d/1", Proof: 1, Generation: variant.Generation{Purge: purge}, Split: split, Splits: splits, Stands: stands})
+		return variant.EncodeFact(&variant.Fact{Witness: "d/1", ContentHash: 1, Generation: variant.Generation{Purge: purge}, Split: split, SplitCount: splits, Canonical: stands})
 	}
 	rules := map[string]struct {
 		words  string
--- a/internal/cluster/variants_test.go
+++ b/internal/cluster/variants_test.go
@@ -189,7 +189,7 @@
 // What is told is written; what its teller does not keep is deleted, so that the kind's bound holds.
 func TestFactsThatAreOfNoUseAreDeleted(t *testing.T) {
 	f := need.Of(Open(Settings{Listen: "127.0.0.1:0", Name: "n0", Memory: &Memory{Horizon: DefaultHorizon, Rate: DefaultRate}}, 1, zerolog.Nop()))(t)
-	fact := variant.Fact{Object: variant.Object{Object: 7, Part: 3}, Witness: "n0/1", Proof: 5}
+	fact := variant.Fact{Object: variant.Object{ID: 7, Part: 3}, Witness: "n0/1", ContentHash: 5}
 	noticed := make(chan variant.Notice, 1)
 	f.TakeVariants(&holder{[]variant.Fact{fact}}, func() float64 { return 1 })
 	f.Notices(func(all []variant.Notice) {
--- a/internal/dispatcher/shard.go
+++ b/internal/dispatcher/shard.go
@@ -103,7 +103,7 @@
 	if !d.tryEnqueue(func(now float64) {
 		d.queue.slots[key%sharding.Slots]++
 		d.queue.tally.Add(key)
-		if g.Deadline -= now - from; now-from > sharding.Waits && g.Deadline < sharding.TooLittle {
+		if g.Deadline -= now - from; now-from > sharding.StallThreshold && g.Deadline < sharding.MinRemaining {
 			d.Options.Counts.Shed.Add(1) // unless it has been answered in the shard's place
 			d.endAdmission(ticket, true)
 			c.Refuse(0)
--- a/internal/dispatcher/task_queue.go
+++ b/internal/dispatcher/task_queue.go
@@ -97,7 +97,7 @@
 // QueueReport queues a report of what the shard saw since the last one.
 func (d *Dispatcher) QueueReport(to chan<- sharding.Report) {
 	d.tryEnqueue(func(float64) {
-		r := sharding.Report{Heard: true, Slots: d.queue.slots, Items: d.queue.tally.Take()}
+		r := sharding.Report{Responded: true, SlotRequests: d.queue.slots, TopItems: d.queue.tally.Take()}
 		d.queue.slots = [sharding.Slots]uint32{}
 		to <- r
 	})
--- a/internal/extproc/extproc_test.go
+++ b/internal/extproc/extproc_test.go
@@ -655,15 +655,15 @@
 // later is a stage past the time in which copies are warmed.
 func declared(t *testing.T, r *rig) {
 	one := pure.Service{
-		Classes: []string{"tv", "phone"}, Proof: pure.ByDigest, Witnesses: 1, Repeats: true, Fresh: math.Inf(1),
-		Presume: &pure.Presumed{Objects: 1, Checks: 1e-6},
+		Classes: []string{"tv", "phone"}, Proof: pure.ProofByDigest, Witnesses: 1, Idempotent: true, EvidenceTTL: math.Inf(1),
+		Presumption: &pure.Presumption{MinObjects: 1, MinCheckShare: 1e-6},
 	}
-	stage, err := variantfilter.New(variantfilter.Settings{Module: pure.Settings{Services: []pure.Service{one}, Objects: 10, Seed: 3, Self: "d1"}, Fields: []string{""}})
+	stage, err := variantfilter.New(variantfilter.Settings{Module: pure.Settings{Services: []pure.Service{one}, MaxObjects: 10, Seed: 3, Self: "d1"}, Fields: []string{""}})
 	require.NoError(t, err)
 	same := func(c int) pure.Answer {
-		return pure.Answer{Object: pure.Object{Object: 99}, Class: c, Host: 1, Proof: 5}
+		return pure.Answer{Object: pure.Object{ID: 99}, Class: c, Host: 1, ContentHash: 5}
 	}
-	stage.Learn(1, []pure.Fact{{Object: same(0).Object, Class: 0, Witness: "d2/1", Proof: 5}, {Object: same(1).Object, Class: 1, Witness: "d2/1", Proof: 5}})
+	stage.Learn(1, []pure.Fact{{Object: same(0).Object, Class: 0, Witness: "d2/1", ContentHash: 5}, {Object: same(1).Object, Class: 1, Witness: "d2/1", ContentHash: 5}})
 	r.handler.Variants = stage
 }
 
--- a/internal/multicore/cores.go
+++ b/internal/multicore/cores.go
@@ -41,13 +41,13 @@
 	members atomic.Pointer[[]*member] // by number, those too that get nothing new any more; nil for those that are gone
 
 	shared sync.Mutex // of pots; taken under shards' locks, and held for no call
-	pots   sharding.Pots
+	pots   sharding.SharedCredits
 	kept   sync.Mutex // of memory, likewise
-	memory sharding.Memory
+	memory sharding.ReplayState
 	order  uint64 // of the newest event
 
 	mu       sync.Mutex // of what follows
-	module   *sharding.Module
+	module   *sharding.Balancer
 	together *dispatcher.Shared
 	draining bool
 	past     *counters.Counters // of shards that are gone
@@ -75,9 +75,9 @@
 }
 
 // New makes a group of n shards; fail answers what a shard that stands still owes by a moment, and tells how many.
-func New(c dispatcher.Config, n int, way sharding.Way, fail func(shard int, by time.Time) int) *Group {
+func New(c dispatcher.Config, n int, way sharding.Mode, fail func(shard int, by time.Time) int) *Group {
 	g := &Group{config: c, module: sharding.New(n, way), together: dispatcher.NewShared(), fail: fail, past: &counters.Counters{}}
-	g.memory.Keep = c.Settings.PurgeGrace
+	g.memory.PurgeWindow = c.Settings.PurgeGrace
 	g.run = c.Options.Group.Go
 	g.members.Store(&[]*member{})
 	_, nodes := g.grow(nil, n)
@@ -109,8 +109,8 @@
 func (g *Group) known() (all []changelog.Event) {
 	g.kept.Lock()
 	defer g.kept.Unlock()
-	hosts, purges := g.memory.All(g.config.Clock.Now())
-	if g.memory.Listed() {
+	hosts, purges := g.memory.Snapshot(g.config.Clock.Now())
+	if g.memory.HasList() {
 		list := changelog.Fleet{Reset: true}
 		for _, h := range hosts {
 			list.Hosts = append(list.Hosts, h.(changelog.Host))
@@ -160,18 +160,18 @@
 	e.Order = g.order
 	if e.Fleet != nil {
 		if e.Fleet.Reset {
-			g.memory.Reset()
+			g.memory.ResetHosts()
 		}
 		for _, h := range e.Fleet.Hosts {
 			if h.State == "DELETED" {
-				g.memory.Gone(h.ID)
+				g.memory.RemoveHost(h.ID)
 			} else {
-				g.memory.Host(h.ID, h)
+				g.memory.SetHost(h.ID, h)
 			}
 		}
 	}
 	if p := e.Purge; p != nil {
-		g.memory.Purge(g.config.Clock.Now(), p.Object, p.Group, *p)
+		g.memory.AddPurge(g.config.Clock.Now(), p.Object, p.Group, *p)
 	}
 	return e
 }
@@ -207,12 +207,12 @@
 func (g *Group) Process(c call.Call, in call.GET) {
 	p := g.places.Load()
 	var key uint64
-	if p.table.Way() == sharding.ByConnection {
+	if p.table.Mode() == sharding.ByConnection {
 		key = rendezvous.Mix(c.Origin())
 	} else {
 		key = sharding.Key(in.Object, in.Part)
 	}
-	p.nodes[p.table.Of(key, g.turns.Add(1))].ProcessAs(c, in, key)
+	p.nodes[p.table.Shard(key, g.turns.Add(1))].ProcessAs(c, in, key)
 }
 
 // GiveUp hands word that a client no longer waits to the shard that has its GET.
@@ -325,12 +325,12 @@
 	if len(nodes) != len(g.places.Load().nodes) {
 		return // resized meanwhile
 	}
-	d := g.module.Turn(g.config.Clock.Now(), reports)
+	d := g.module.Balance(g.config.Clock.Now(), reports)
 	g.places.Store(&places{d.Table, g.places.Load().nodes})
-	if d.Moved > 0 {
-		g.config.Options.Counts.MovedSlots.Add(int64(d.Moved))
+	if d.MovedSlots > 0 {
+		g.config.Options.Counts.MovedSlots.Add(int64(d.MovedSlots))
 	}
-	g.config.Options.Counts.HotItems.Store(int64(d.Hot))
+	g.config.Options.Counts.HotItems.Store(int64(d.HotItems))
 }
 
 // watch answers what a shard that stands still owes, before its clients have gone.
@@ -379,7 +379,7 @@
 func (p *peers) AccrueCredit(host uint32, since, first, add, most float64) float64 {
 	p.shared.Lock()
 	defer p.shared.Unlock()
-	return p.pots.Add(host, since, first, add, most)
+	return p.pots.Accrue(host, since, first, add, most)
 }
 
 func (p *peers) SpendCredit(host uint32, work float64) bool {
@@ -391,14 +391,14 @@
 func (p *peers) ClaimProbe(now float64, host uint32) bool {
 	p.shared.Lock()
 	defer p.shared.Unlock()
-	return p.pots.Trial(now, host, p.index)
+	return p.pots.ClaimProbe(now, host, p.index)
 }
 
 // Publish passes news on to the other shards; it is called under the lock of one, so it only puts them in line.
 func (p *peers) Publish(news routing.PeerUpdate) {
 	if !news.Ejected && news.Limit == routing.NoLimit {
 		p.shared.Lock()
-		p.pots.Done(news.Host)
+		p.pots.EndProbe(news.Host)
 		p.shared.Unlock()
 	}
 	for i, m := range *p.members.Load() {
--- a/internal/multicore/cores_test.go
+++ b/internal/multicore/cores_test.go
@@ -47,7 +47,7 @@
 
 func (t telling) GiveUp(c call.Call) { t.Group.GiveUp(c); t.gaveUp.Add(1) }
 
-func newRig(t *testing.T, n int, way sharding.Way, hosts int, changes ...func(*dispatcher.Config)) *rig {
+func newRig(t *testing.T, n int, way sharding.Mode, hosts int, changes ...func(*dispatcher.Config)) *rig {
 	r := &rig{T: t, hosts: rigs.NewHosts(t, hosts)}
 	o, _ := rigs.Life(t)
 	o.Streams, r.counts = 100, o.Counts
@@ -108,7 +108,7 @@
 func (r *rig) of(shard int) string {
 	for i := 0; ; i++ {
 		name := fmt.Sprintf("%016x", i)
-		if r.places.Load().table.Of(sharding.Key(name, 0), 0) == shard {
+		if r.places.Load().table.Shard(sharding.Key(name, 0), 0) == shard {
 			return name
 		}
 	}
@@ -123,7 +123,7 @@
 }
 
 func TestGETsOfAllShards(t *testing.T) {
-	for _, way := range []sharding.Way{sharding.ByItem, sharding.ByConnection} {
+	for _, way := range []sharding.Mode{sharding.ByItem, sharding.ByConnection} {
 		r := newRig(t, 4, way, 3)
 		c := r.dial()
 		for i := range 200 {
@@ -140,7 +140,7 @@
 				at++
 			}
 		}
-		assert.Equal(t, map[sharding.Way]int{sharding.ByItem: 4, sharding.ByConnection: 1}[way], at)
+		assert.Equal(t, map[sharding.Mode]int{sharding.ByItem: 4, sharding.ByConnection: 1}[way], at)
 		assert.EqualValues(t, 1000, r.sum().Returned.Load())
 	}
 }
@@ -322,7 +322,7 @@
 	need.Soon(t, func() bool { return r.counts.HotItems.Load() > 0 })
 	over := map[int]bool{}
 	for i := range uint64(64) {
-		over[r.places.Load().table.Of(sharding.Key(rigs.Object, 3), i)] = true
+		over[r.places.Load().table.Shard(sharding.Key(rigs.Object, 3), i)] = true
 	}
 	end()
 	assert.Greater(t, len(over), 2, "60%% of the load is more than two shards should have")
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -257,8 +257,8 @@
 	c := need.Of(decode("f", string(need.Of(os.ReadFile("../../examples/variants.jsonnet"))(t)), services))(t)
 	v := c.Variants
 	assert.Equal(t, pure.Service{
-		Classes: []string{"tv", "phone", "car"}, Proof: pure.ByTag, Witnesses: 2, Repeats: true, Fresh: 600,
-		Presume: &pure.Presumed{Objects: 200, Checks: 0.01},
+		Classes: []string{"tv", "phone", "car"}, Proof: pure.ProofByTag, Witnesses: 2, Idempotent: true, EvidenceTTL: 600,
+		Presumption: &pure.Presumption{MinObjects: 200, MinCheckShare: 0.01},
 	}, v.Module.Services[0])
 	assert.Empty(t, v.Module.Services[1].Classes)
 	assert.Equal(t, []string{"dev", ""}, v.Fields)
@@ -270,7 +270,7 @@
 	const good = `classes: ['a', 'b'], field: 'Dev', host_field: 'dev', proof: 'body'`
 	one := func(more string) string { return file(`variants: {services: {segment: {` + good + more + `}}}`) }
 	c = need.Of(decode("f", one(`, fresh: 'until purged'`), services))(t)
-	assert.True(t, math.IsInf(c.Variants.Module.Services[0].Fresh, 1))
+	assert.True(t, math.IsInf(c.Variants.Module.Services[0].EvidenceTTL, 1))
 	c = need.Of(decode("f", strings.Replace(strings.TrimSuffix(one(""), "}")+`, proxies: {listen: '127.0.0.1:1', paths: [`+onePath+`]}}`, "'body'", "'tag'", 1), services))(t)
 	assert.Equal(t, map[string]string{"segment": "dev"}, c.Proxies.Rules.Devices)
 	c = need.Of(decode("f", `{fleet: {listen: '127.0.0.1:5100'}}`, services))(t)
--- a/internal/operator/variants.go
+++ b/internal/operator/variants.go
@@ -53,8 +53,8 @@
 	to.Module.Self = "check" // until the dispatcher's is known
 	to.Fields = make([]string, len(d.services))
 	to.Devices.By = map[string]downstream.Device{}
-	to.Module.Objects = objectsDefault
-	o.Count("objects", &to.Module.Objects, 1, pure.MaxObjects)
+	to.Module.MaxObjects = objectsDefault
+	o.Count("objects", &to.Module.MaxObjects, 1, pure.MaxObjects)
 	in := o.Inner("services")
 	if in == nil || len(in.Keys()) == 0 {
 		o.Fault("services", "is needed: the delivery services that have variants")
@@ -75,7 +75,7 @@
 	if place < 0 && !d.open {
 		in.Fault(name, "%q is no delivery service", name)
 	}
-	v := pure.Service{Classes: o.Texts("classes"), Witnesses: 1, Repeats: true}
+	v := pure.Service{Classes: o.Texts("classes"), Witnesses: 1, Idempotent: true}
 	var field, header, host string
 	o.Text("field", &field)
 	if header = strings.ToLower(field); !fieldPattern.MatchString(field) || thrift.Known(field) {
@@ -88,16 +88,16 @@
 	v.Proof = d.proof(o)
 	o.Count("witnesses", &v.Witnesses, 1, pure.MaxWitnesses)
 	if text, _ := o.Get("fresh"); text == untilPurged {
-		v.Fresh = math.Inf(1)
+		v.EvidenceTTL = math.Inf(1)
 	} else {
-		o.Duration("fresh", &v.Fresh, 0, mostFresh)
+		o.Duration("fresh", &v.EvidenceTTL, 0, mostFresh)
 	}
 	if p := o.Inner("presume"); p != nil {
-		v.Presume = readPresumed(p)
+		v.Presumption = readPresumed(p)
 	}
 	o.Done()
 	device := downstream.Device{Classes: deviceClasses(o, v.Classes)}
-	one := pure.Settings{Services: []pure.Service{v}, Objects: 1, Self: "check"}
+	one := pure.Settings{Services: []pure.Service{v}, MaxObjects: 1, Self: "check"}
 	if _, err := pure.New(one); err != nil && v.Proof != 0 {
 		d.Each(in.At(name), err)
 	}
@@ -114,24 +114,24 @@
 }
 
 // proof reads what shows that two copies are the same.
-func (d *decoder) proof(o *configfile.Object) pure.Proof {
+func (d *decoder) proof(o *configfile.Object) pure.ProofKind {
 	var word string
 	o.Word("proof", &word, "tag", "digest", "body")
-	proof := map[string]pure.Proof{"tag": pure.ByTag, "digest": pure.ByDigest, "body": pure.ByBody}[word]
+	proof := map[string]pure.ProofKind{"tag": pure.ProofByTag, "digest": pure.ProofByDigest, "body": pure.ProofByBody}[word]
 	if word == "" {
 		o.Fault("proof", "is needed, one of tag, digest and body")
 	}
-	if p := d.config.Proxies; proof == pure.ByBody && p != nil && p.Rules.Routing {
+	if p := d.config.Proxies; proof == pure.ProofByBody && p != nil && p.Rules.Routing {
 		o.Fault("proof", "no bodies pass here where proxies send: it must be tag or digest")
 	}
 	return proof
 }
 
 // readPresumed reads from how many objects on variants are presumed, and how often that is checked.
-func readPresumed(o *configfile.Object) *pure.Presumed {
-	p := &pure.Presumed{Objects: 100, Checks: 0.01}
-	o.Count("objects", &p.Objects, 1, pure.MaxObjects)
-	o.Number("checks", &p.Checks, 1e-6, 1)
+func readPresumed(o *configfile.Object) *pure.Presumption {
+	p := &pure.Presumption{MinObjects: 100, MinCheckShare: 0.01}
+	o.Count("objects", &p.MinObjects, 1, pure.MaxObjects)
+	o.Number("checks", &p.MinCheckShare, 1e-6, 1)
 	o.Done()
 	return p
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -93,7 +93,7 @@
 type Cores struct {
 	Count  int // cores, 0 for what the platform's configuration says
 	Shards int // modules among which GETs are divided; below 2 there is one, as on the platform
-	Way    sharding.Way
+	Way    sharding.Mode
 }
 
 // core is what GETs are handed to: one node, or several as shards.
--- a/internal/variantfilter/bench_test.go
+++ b/internal/variantfilter/bench_test.go
@@ -23,8 +23,8 @@
 // known is a stage that knows two classes of objects as one, and a GET of one of them on its whole way through it: a key, a field, the
 // evidence of its answer, and whether that fits.
 func known(t testing.TB, n int) (stage *variantfilter.Stage, get func(in *routing.Request, i int) bool) {
-	one := pure.Service{Classes: classes, Proof: pure.ByTag, Witnesses: 1, Repeats: true, Fresh: math.Inf(1)}
-	of := pure.Settings{Services: []pure.Service{one}, Objects: 2 * max(n, 1<<11), Seed: 7, Self: "d1"}
+	one := pure.Service{Classes: classes, Proof: pure.ProofByTag, Witnesses: 1, Idempotent: true, EvidenceTTL: math.Inf(1)}
+	of := pure.Settings{Services: []pure.Service{one}, MaxObjects: 2 * max(n, 1<<11), Seed: 7, Self: "d1"}
 	stage, err := variantfilter.New(variantfilter.Settings{Module: of, Fields: []string{"dev"}})
 	require.NoError(t, err)
 	var names []string
@@ -59,12 +59,12 @@
 	require.Len(t, all, 200)
 	other.Learn(2, all)
 	assert.Len(t, other.Notices(), 1+99, "one object both knew")
-	one := pure.Service{Classes: classes, Proof: pure.ByTag, Witnesses: 1, Repeats: true, Fresh: 20}
-	timed := need.Of(variantfilter.New(variantfilter.Settings{Module: pure.Settings{Services: []pure.Service{one}, Objects: 1 << 12, Self: "d2"}, Fields: []string{"dev"}}))(t)
-	timed.Beat(2, 3, pure.Beat{Giver: 1, Number: 5})
+	one := pure.Service{Classes: classes, Proof: pure.ProofByTag, Witnesses: 1, Idempotent: true, EvidenceTTL: 20}
+	timed := need.Of(variantfilter.New(variantfilter.Settings{Module: pure.Settings{Services: []pure.Service{one}, MaxObjects: 1 << 12, Self: "d2"}, Fields: []string{"dev"}}))(t)
+	timed.Beat(2, 3, pure.Stamp{Issuer: 1, Number: 5})
 	aged := slices.Clone(all)
 	for n := range aged {
-		aged[n].Beat = pure.Beat{Giver: 1, Number: 6}
+		aged[n].Stamp = pure.Stamp{Issuer: 1, Number: 6}
 	}
 	timed.Learn(4, aged)
 	assert.Len(t, timed.Notices(), 100, "a beat is for all parts")
@@ -104,7 +104,7 @@
 func BenchmarkGET(b *testing.B) {
 	for _, on := range []bool{false, true} {
 		b.Run(fmt.Sprint("on ", on), func(b *testing.B) {
-			w := newWay(b, pure.ByTag, false)
+			w := newWay(b, pure.ProofByTag, false)
 			w.joined()
 			device := "fridge" // goes as it came
 			if on {
--- a/internal/variantfilter/variants.go
+++ b/internal/variantfilter/variants.go
@@ -44,7 +44,7 @@
 
 // service is how a delivery service's classes are told.
 type service struct {
-	proof variant.Proof // 0 where nothing is declared
+	proof variant.ProofKind // 0 where nothing is declared
 	names []string
 	pairs []string // fields of requests to hosts
 }
@@ -58,9 +58,9 @@
 
 // New makes a stage, or names all that is wrong with the settings.
 func New(s Settings) (*Stage, error) {
-	st := &Stage{settings: s, parts: make([]part, variant.Parts(&s.Module)), names: make([]atomic.Pointer[name], nameSlots)}
+	st := &Stage{settings: s, parts: make([]part, variant.Partitions(&s.Module)), names: make([]atomic.Pointer[name], nameSlots)}
 	of := s.Module
-	of.Parts, of.Objects = len(st.parts), of.Objects/len(st.parts)
+	of.Partitions, of.MaxObjects = len(st.parts), of.MaxObjects/len(st.parts)
 	for i := range st.parts {
 		module, err := variant.New(of)
 		if err != nil {
@@ -70,9 +70,9 @@
 	}
 	for i, of := range s.Module.Services {
 		v := service{names: of.Classes}
-		if len(of.Classes) > 0 && of.Repeats {
+		if len(of.Classes) > 0 && of.Idempotent {
 			v.proof = of.Proof
-			st.most, st.places = max(st.most, len(of.Classes)), max(st.places, of.Places())
+			st.most, st.places = max(st.most, len(of.Classes)), max(st.places, of.MaxAlternate())
 		}
 		for _, class := range of.Classes {
 			pair := ""
@@ -87,7 +87,7 @@
 }
 
 // part is the one of an object's number.
-func (s *Stage) part(number uint64) *part { return &s.parts[variant.PartOf(number, len(s.parts))] }
+func (s *Stage) part(number uint64) *part { return &s.parts[variant.PartitionOf(number, len(s.parts))] }
 
 // all does something with each part.
 func (s *Stage) all(do func(m *variant.Module)) {
@@ -104,7 +104,7 @@
 
 // object is what the module knows of a GET's object by, with its own number.
 func object(in *routing.Request, number uint64) variant.Object {
-	return variant.Object{Service: in.Service, Object: number, Part: in.Part, Group: in.Group}
+	return variant.Object{Service: in.Service, ID: number, Part: in.Part, Group: in.Group}
 }
 
 // digits are the values of hex digits in small letters, 0x80 for what is none. A table: which digits are letters can't be foretold.
@@ -151,13 +151,13 @@
 	if class < 0 || !ok {
 		return v, "", false
 	}
-	v = dispatcher.Variant{Number: number, Own: class, Asked: class, Declared: true, Tagged: of.proof == variant.ByTag}
+	v = dispatcher.Variant{Number: number, Own: class, Asked: class, Declared: true, Tagged: of.proof == variant.ProofByTag}
 	p := s.part(number)
 	p.Lock()
 	k := p.module.Key(now, object(in, number), int(class))
 	p.Unlock()
-	v.Asked, v.Beside, v.Presumed, v.Told = int16(k.Class), int16(k.Beside), k.Presume, k.Told
-	return v, s.name(in.Object, number, int(v.Asked), k.Beside), true
+	v.Asked, v.Beside, v.Presumed, v.Told = int16(k.Class), int16(k.Alternate), k.Presumed, k.Purge
+	return v, s.name(in.Object, number, int(v.Asked), k.Alternate), true
 }
 
 // Own is dispatcher.Variants.
@@ -167,7 +167,7 @@
 
 // name is an object's by a class and place.
 func (s *Stage) name(as string, number uint64, class, beside int) string {
-	key := variant.PlaceOf(number, class, beside)
+	key := variant.PlacementKey(number, class, beside)
 	if key == number {
 		return as
 	}
@@ -203,9 +203,9 @@
 	switch {
 	case of == nil:
 		return 0
-	case of.proof == variant.ByTag:
+	case of.proof == variant.ProofByTag:
 		return p.Tag
-	case of.proof == variant.ByDigest:
+	case of.proof == variant.ProofByDigest:
 		return p.Digest
 	case body == nil:
 		return 0
@@ -216,8 +216,8 @@
 // answer is evidence as the module takes it.
 func answer(in *routing.Request, v dispatcher.Variant, e dispatcher.Evidence) variant.Answer {
 	return variant.Answer{
-		Object: object(in, v.Number), Class: int(e.Asked), Beside: int(e.Beside), Host: e.Host, Proof: e.Proof,
-		Generation: variant.Generation{Purge: e.Told, Version: e.Version}, Known: e.Known,
+		Object: object(in, v.Number), Class: int(e.Asked), Alternate: int(e.Beside), Host: e.Host, ContentHash: e.Proof,
+		Generation: variant.Generation{Purge: e.Told, Version: e.Version}, KnownEvent: e.Known,
 	}
 }
 
@@ -226,7 +226,7 @@
 	a := answer(in, v, e)
 	p := s.part(v.Number)
 	p.Lock()
-	p.module.Answered(now, a)
+	p.module.RecordAnswer(now, a)
 	fits = v.Own == e.Asked || p.fits(now, v, &a)
 	p.Unlock()
 	return fits
@@ -245,7 +245,7 @@
 }
 
 func (p *part) fits(now float64, v dispatcher.Variant, a *variant.Answer) bool {
-	return p.module.Fits(now, int(v.Own), variant.Key{Class: a.Class, Presume: v.Presumed}, a)
+	return p.module.MayServe(now, int(v.Own), variant.Key{Class: a.Class, Presumed: v.Presumed}, a)
 }
 
 // Purged is dispatcher.Variants.
@@ -259,9 +259,9 @@
 		switch {
 		case s.of(i) == nil:
 		case object == "":
-			s.all(func(m *variant.Module) { m.Purged(i, 0, group, at, order) })
+			s.all(func(m *variant.Module) { m.RecordPurge(i, 0, group, at, order) })
 		default:
-			s.part(key).do(func(m *variant.Module) { m.Purged(i, key, -1, at, order) })
+			s.part(key).do(func(m *variant.Module) { m.RecordPurge(i, key, -1, at, order) })
 		}
 	}
 	if object == "" {
@@ -270,7 +270,7 @@
 	for beside := range s.places + 1 {
 		for c := range s.most {
 			if c+beside > 0 {
-				names = append(names, text(variant.PlaceOf(key, c, beside)))
+				names = append(names, text(variant.PlacementKey(key, c, beside)))
 			}
 		}
 	}
@@ -291,7 +291,7 @@
 func (s *Stage) Learn(now float64, facts []variant.Fact) {
 	by := map[*part][]variant.Fact{}
 	for _, f := range facts {
-		p := s.part(f.Object.Object)
+		p := s.part(f.Object.ID)
 		by[p] = append(by[p], f)
 	}
 	for p, of := range by {
@@ -307,16 +307,16 @@
 
 // Peers tells how many dispatchers share their facts, this one too.
 func (s *Stage) Peers(n int) {
-	s.all(func(m *variant.Module) { m.Peers(n) })
+	s.all(func(m *variant.Module) { m.SetDispatchers(n) })
 }
 
 // Beat takes the answer to a question for a beat, of one process as for all parts. Those that it has not reached yet know the beats before it.
-func (s *Stage) Beat(sent, heard float64, b variant.Beat) {
-	s.all(func(m *variant.Module) { m.Beat(sent, heard, b) })
+func (s *Stage) Beat(sent, heard float64, b variant.Stamp) {
+	s.all(func(m *variant.Module) { m.RecordStamp(sent, heard, b) })
 }
 
 // Keep tells whether a fact that was told is still of use; own for one that this dispatcher told.
 func (s *Stage) Keep(f *variant.Fact, own bool) (keeps bool) {
-	s.part(f.Object.Object).do(func(m *variant.Module) { keeps = m.Keeps(f, own) })
+	s.part(f.Object.ID).do(func(m *variant.Module) { keeps = m.IsUsefulFact(f, own) })
 	return keeps
 }
--- a/internal/variantfilter/way_test.go
+++ b/internal/variantfilter/way_test.go
@@ -81,7 +81,7 @@
 	hosts   *rig.Hosts
 }
 
-func newWay(t testing.TB, proof pure.Proof, joins bool, witnesses ...uint32) *way {
+func newWay(t testing.TB, proof pure.ProofKind, joins bool, witnesses ...uint32) *way {
 	w := &way{TB: t, truth: &truth{changed: map[string]int{}}, hosts: rig.NewHosts(t, 2)}
 	w.hosts.Answer(w.answer)
 	o, _ := rig.Life(t)
@@ -90,8 +90,8 @@
 	tokened := s.Settings.Services[0]
 	tokened.Idempotency = routing.IdempotencyKeyed
 	s.Settings.Services = append(s.Settings.Services, tokened)
-	one := pure.Service{Classes: classes, Proof: proof, Witnesses: max(1, len(witnesses)), Repeats: true, Fresh: math.Inf(1)}
-	w.stage = &later{Stage: need.Of(variantfilter.New(variantfilter.Settings{Module: pure.Settings{Services: []pure.Service{one, one}, Objects: 1000, Seed: 7, Self: "d1"}, Fields: []string{"dev", "dev"}}))(t)}
+	one := pure.Service{Classes: classes, Proof: proof, Witnesses: max(1, len(witnesses)), Idempotent: true, EvidenceTTL: math.Inf(1)}
+	w.stage = &later{Stage: need.Of(variantfilter.New(variantfilter.Settings{Module: pure.Settings{Services: []pure.Service{one, one}, MaxObjects: 1000, Seed: 7, Self: "d1"}, Fields: []string{"dev", "dev"}}))(t)}
 	o.Proofs = true
 	w.Dispatcher = dispatcher.New(dispatcher.Config{Settings: s, Clock: clock.New(), Options: o, Connections: 100, Variants: w.stage, Coalesce: []bool{joins, joins}})
 	w.take(rig.Whole(w.hosts.Entries...))
@@ -189,7 +189,7 @@
 }
 
 func TestClassesWithTheSameBytesShareCopies(t *testing.T) {
-	for name, proof := range map[string]pure.Proof{"tag": pure.ByTag, "body": pure.ByBody} {
+	for name, proof := range map[string]pure.ProofKind{"tag": pure.ProofByTag, "body": pure.ProofByBody} {
 		t.Run(name, func(t *testing.T) {
 			w := newWay(t, proof, false)
 			w.joined()
@@ -210,7 +210,7 @@
 
 // A class goes to one host; a second witness comes by another place in the order of hosts, whose name a purge reaches too.
 func TestTwoWitnesses(t *testing.T) {
-	w := newWay(t, pure.ByTag, false, 1, 2)
+	w := newWay(t, pure.ProofByTag, false, 1, 2)
 	for n := 0; w.Options.Counts.Rewritten.Load() == 0; n++ {
 		require.Less(t, n, 1000, "never rewritten")
 		w.holds(w.send(objects[0], classes[n%2]))
@@ -223,7 +223,7 @@
 func TestContraryEvidenceSplitsBeforeAByteGoesOut(t *testing.T) {
 	for _, joins := range []bool{false, true} {
 		t.Run(fmt.Sprint("joins ", joins), func(t *testing.T) {
-			w := newWay(t, pure.ByBody, joins)
+			w := newWay(t, pure.ProofByBody, joins)
 			w.joined()
 			release, before := w.hold(), w.Options.Counts.GETs.Load()
 			var all []client
@@ -249,7 +249,7 @@
 }
 
 func TestClassesOfOneContentShareAForward(t *testing.T) {
-	w := newWay(t, pure.ByTag, true)
+	w := newWay(t, pure.ProofByTag, true)
 	w.joined()
 	release := w.hold()
 	joined := w.Options.Counts.Joined.Load()
@@ -270,7 +270,7 @@
 
 // A purge voids what was known, also of an answer that is under way by then, and no older copy will do for any class.
 func TestPurges(t *testing.T) {
-	w := newWay(t, pure.ByTag, false)
+	w := newWay(t, pure.ProofByTag, false)
 	w.joined()
 	var under client
 	var release func()
@@ -306,7 +306,7 @@
 
 // What is never rewritten: tokened services, GETs with a body, devices that are not declared.
 func TestNeverRewritten(t *testing.T) {
-	w := newWay(t, pure.ByTag, false)
+	w := newWay(t, pure.ProofByTag, false)
 	w.joined()
 	before := w.Options.Counts.Rewritten.Load()
 	for range 50 {
@@ -323,7 +323,7 @@
 
 // A host hears of a client's copy only where its tag tells contents apart whatever the class.
 func TestCopiesOfClients(t *testing.T) {
-	for proof, told := range map[pure.Proof]bool{pure.ByTag: true, pure.ByBody: false} {
+	for proof, told := range map[pure.ProofKind]bool{pure.ProofByTag: true, pure.ProofByBody: false} {
 		w := newWay(t, proof, false)
 		w.joined()
 		tag := ""
@@ -345,7 +345,7 @@
 // before the stage was told.
 func TestEvidenceOfBeforeAPurge(t *testing.T) {
 	for known, same := range map[uint64]bool{4: false, 5: true, 0: false} {
-		w := newWay(t, pure.ByTag, false)
+		w := newWay(t, pure.ProofByTag, false)
 		in := routing.Request{Object: objects[0], Part: 40}
 		for class := range int16(2) {
 			v := dispatcher.Variant{Own: class, Asked: class, Declared: true}
