--- a/core/proxycall/calls.go
+++ b/core/proxycall/calls.go
@@ -1,12 +1,13 @@
-// Package proxycall keeps the life of GETs that a proxy asks about and sends itself: what an answer, a silence or a stream that
-// ends proves of a forward, how long a GET waits for its proxy's further call, and how many may be open. It is pure: time
-// comes in as float seconds, and chance from the seed.
+// Package proxycall tracks GETs that a proxy asks the dispatcher about but sends itself. It decides what a
+// response, a missing response or a closed stream shows about a forward, how long a GET waits for the next
+// call of its proxy, and how many GETs may be open. It does no I/O: the caller passes times as seconds on its
+// monotonic clock, and IDs are drawn from the seed.
 //
-// What holds:
-//   - a call has one decision, and a GET one end;
-//   - a forward that was named stays out until its proxy has told of it or has come again, or the hold is over: no stream
-//     that just ends proves that a host did not get it;
-//   - a further call belongs to a GET only if the same proxy brings the id that it was given.
+// Invariants:
+//   - A call gets one decision, and a GET ends exactly once.
+//   - An assigned forward counts as outstanding until its proxy has reported its end or called again, or until
+//     the hold has expired. The mere end of a stream never shows that a host did not get the forward.
+//   - A further call belongs to a GET only if the same proxy passes the ID that it was given for this GET.
 package proxycall
 
 import (
@@ -16,216 +17,226 @@
 	"elderwall/core/timerwheel"
 )
 
-// ID is what a proxy is given for a GET, and brings for a further forward of it.
+// ID identifies a GET. A proxy gets it with the first decision and passes it to ask for a further forward.
 type ID uint64
 
 const (
-	graceShare = 0.5 // share of the drain's grace within which a proxy must have sent what was named
-	drainGrace = 0.5 // s; the platform's
+	sendGraceShare = 0.5 // share of the platform's drain grace within which a proxy must have sent a forward
+	drainGrace     = 0.5 // seconds; set by the platform
 )
 
-// SendWithin is the time in seconds within which a proxy must send a forward that it was named.
-const SendWithin = graceShare * drainGrace
+// SendTimeout is the time in seconds within which a proxy must send a forward that was assigned to it.
+const SendTimeout = sendGraceShare * drainGrace
 
-// Settings bound the table. The zero value of one takes its default.
+// Settings limit a table. A field that is zero gets its default.
 type Settings struct {
-	Open  int     // GETs at a time
-	Share float64 // of those that one proxy may have
-	Hold  float64 // s; how long a GET whose forward failed, or whose stream ended, waits for its proxy's further call
+	MaxOpen       int     // maximum number of open GETs
+	MaxProxyShare float64 // maximum share of MaxOpen that one proxy may use
+	// HoldTime is how long, in seconds, a GET waits for the next call of its proxy after its forward failed or
+	// its stream ended.
+	HoldTime float64
 }
 
-// Defaults of Settings.
+// These are the defaults of Settings, and of the operator's further settings for proxies.
 const (
-	DefaultOpen  = 4096
-	DefaultShare = 0.5
-	DefaultHold  = 1.0
-	// DefaultDecide is how many seconds a decision may take: it takes microseconds, so what waits longer waits for the machine.
-	DefaultDecide = 0.005
-	// DefaultBudget is how many seconds a client waits at most where nothing is said.
-	DefaultBudget = 1.5
+	DefaultMaxOpen       = 4096
+	DefaultMaxProxyShare = 0.5
+	DefaultHoldTime      = 1.0
+	// DefaultDecisionTimeout is the time in seconds that a decision may take. Decisions take microseconds, so
+	// a longer delay means that the machine is overloaded.
+	DefaultDecisionTimeout = 0.005
+	// DefaultViewerTimeout is the maximum time in seconds that a client waits if none is configured.
+	DefaultViewerTimeout = 1.5
 )
 
-// Phase is where a GET is.
+// Phase is the state of a GET.
 type Phase int
 
-// The phases.
+// These are the phases.
 const (
-	Deciding Phase = iota // no answer is out
-	Named                 // a forward is with the proxy, whose stream is open
-	Held                  // its proxy may come again
-	Over
+	Deciding        Phase = iota // no decision has been sent
+	ForwardAssigned              // a forward was assigned to the proxy, whose stream is open
+	Held                         // waits for the next call of its proxy
+	Ended
 )
 
 // Call is one GET.
 type Call struct {
-	ID       ID
-	Proxy    uint64
-	Phase    Phase
-	Until    float64 // its viewer timeout
-	SendBy   float64 // the forward that is named must be sent by then
-	Forward  int     // the number of that
-	out      bool    // whether its end is still to be told
-	held     timerwheel.Timer[*Call]
-	Forwards int
+	ID            ID
+	Proxy         uint64
+	Phase         Phase
+	Deadline      float64                 // seconds; when the client stops waiting
+	SendBy        float64                 // seconds; time by which the proxy must have sent the assigned forward
+	ForwardNumber int                     // number of the assigned forward
+	unresolved    bool                    // whether the outcome of the assigned forward is still unknown
+	holdTimer     timerwheel.Timer[*Call] // fires when the hold expires
+	ForwardCount  int                     // number of forwards that were assigned
 }
 
-// Table is all that are open.
+// Table holds all open GETs. It is not safe for concurrent use.
 type Table struct {
 	Settings
-	ids   *rand.ChaCha8 // ids are not to be guessed: a GET that waits would go on with another's call
-	calls map[ID]*Call
-	by    map[uint64]int
-	due   timerwheel.Wheel[*Call]
+	// ids draws IDs that are hard to guess. Otherwise a held GET could be continued by another client's call.
+	ids         *rand.ChaCha8
+	calls       map[ID]*Call
+	openByProxy map[uint64]int
+	holds       timerwheel.Wheel[*Call] // held GETs by the time at which their hold expires
 }
 
-// New makes a table.
+// New returns an empty table. IDs are derived from the seed.
 func New(s Settings, seed [32]byte) *Table {
-	if s.Open == 0 {
-		s.Open = DefaultOpen
+	if s.MaxOpen == 0 {
+		s.MaxOpen = DefaultMaxOpen
 	}
-	if s.Share == 0 {
-		s.Share = DefaultShare
+	if s.MaxProxyShare == 0 {
+		s.MaxProxyShare = DefaultMaxProxyShare
 	}
-	if s.Hold == 0 {
-		s.Hold = DefaultHold
+	if s.HoldTime == 0 {
+		s.HoldTime = DefaultHoldTime
 	}
-	return &Table{Settings: s, ids: rand.NewChaCha8(seed), calls: map[ID]*Call{}, by: map[uint64]int{}}
+	return &Table{Settings: s, ids: rand.NewChaCha8(seed), calls: map[ID]*Call{}, openByProxy: map[uint64]int{}}
 }
 
-// Len is how many are open.
+// Len returns the number of open GETs.
 func (t *Table) Len() int { return len(t.calls) }
 
-// Begin takes a new GET of a proxy; nil where it, or all of them, have too many open.
-func (t *Table) Begin(proxy uint64, until float64) *Call {
-	if len(t.calls) >= t.Open || float64(t.by[proxy]) >= math.Max(1, t.Share*float64(t.Open)) {
+// Begin opens a GET of a proxy with a deadline in seconds. It returns nil if the proxy, or all proxies
+// together, have too many open.
+func (t *Table) Begin(proxy uint64, deadline float64) *Call {
+	if len(t.calls) >= t.MaxOpen || float64(t.openByProxy[proxy]) >= math.Max(1, t.MaxProxyShare*float64(t.MaxOpen)) {
 		return nil
 	}
-	c := &Call{Proxy: proxy, Until: until}
+	c := &Call{Proxy: proxy, Deadline: deadline}
 	for c.ID == 0 || t.calls[c.ID] != nil {
 		c.ID = ID(t.ids.Uint64())
 	}
 	t.calls[c.ID] = c
-	t.by[proxy]++
+	t.openByProxy[proxy]++
 	return c
 }
 
-// Name books that a forward is with the proxy, and by when it must be sent: a time at the latest.
-func (t *Table) Name(now float64, c *Call, number int, before float64) {
-	c.Phase, c.Forward, c.out = Named, number, true
-	c.Forwards++
-	c.SendBy = math.Min(now+SendWithin, math.Min(c.Until, before))
-	t.due.Remove(&c.held)
+// AssignForward records that a forward is assigned to the proxy, and sets the time by which it must be sent,
+// which is sendBy at the latest.
+func (t *Table) AssignForward(now float64, c *Call, number int, sendBy float64) {
+	c.Phase, c.ForwardNumber, c.unresolved = ForwardAssigned, number, true
+	c.ForwardCount++
+	c.SendBy = math.Min(now+SendTimeout, math.Min(c.Deadline, sendBy))
+	t.holds.Remove(&c.holdTimer)
 }
 
-// Proof is what is known of the end of a forward.
-type Proof int
+// Outcome is what is known about the end of a forward.
+type Outcome int
 
-// The proofs.
+// These are the outcomes.
 const (
-	Nothing   Proof = iota // it is out still, or its end was told before
-	Returned               // the client has it
-	HostError              // the host answered with an error
-	Full                   // the host did not take it
-	Lacks                  // it looked, and has no copy
-	TooOld                 // its copy is older than a purge allows: it must not be used
-	Unreached              // the proxy says that it could not send it
-	Dropped                // the proxy gave it up, and it may have run
-	Left                   // nobody waits any more
+	Unknown    Outcome = iota // the forward is still outstanding, or its outcome was already reported
+	Returned                  // the client gets the response
+	HostError                 // the host answered with an error
+	HostFull                  // the host rejected the forward because it is full
+	NotCached                 // the host was only to look in its cache, and has no copy
+	StaleCopy                 // the host's copy is older than a purge allows and must not be used
+	NotSent                   // the proxy reports that it could not send the forward
+	Abandoned                 // the proxy gave up the forward, which may have been executed
+	ClientLeft                // nobody waits for the GET any more
 )
 
-// Reply is what a proxy tells of a response.
-type Reply struct {
+// Response is what a proxy reports about the response of a host.
+type Response struct {
 	Status int
-	Full   bool    // the host said that it is full
-	Age    float64 // s; of the copy, below 0 where it was not told
+	Full   bool    // the host reported that it is full
+	Age    float64 // seconds; age of the copy, negative if it was not reported
 }
 
-// Lowest statuses of a kind (RFC 9110, section 15).
+// These are status codes of RFC 9110, section 15. statusError is the lowest one of a server error.
 const (
 	statusError    = 500
 	statusNotFound = 404
 )
 
-// Replied takes a response's headers. oldest is the age that a copy may have after purges, 0 for any; heldOnly tells that
-// the host was only to look. A copy whose age is not told passes only where any would.
-func (t *Table) Replied(now float64, c *Call, r Reply, oldest float64, heldOnly bool) Proof {
-	if c.Phase != Named || !c.out {
-		return Nothing
+// HandleResponse handles the headers of a response. maxAge is the age in seconds that a copy may have after
+// purges, or 0 for any; cachedOnly tells that the host was only to look in its cache. With a maxAge, a copy of
+// unknown age is rejected.
+func (t *Table) HandleResponse(now float64, c *Call, r Response, maxAge float64, cachedOnly bool) Outcome {
+	if c.Phase != ForwardAssigned || !c.unresolved {
+		return Unknown
 	}
-	c.out = false
-	proof := Returned
+	c.unresolved = false
+	outcome := Returned
 	switch {
 	case r.Full && r.Status >= statusError:
-		proof = Full
+		outcome = HostFull
 	case r.Status >= statusError:
-		proof = HostError
-	case r.Status == statusNotFound && heldOnly:
-		proof = Lacks
-	case oldest > 0 && (r.Age < 0 || r.Age > oldest):
-		proof = TooOld
+		outcome = HostError
+	case r.Status == statusNotFound && cachedOnly:
+		outcome = NotCached
+	case maxAge > 0 && (r.Age < 0 || r.Age > maxAge):
+		outcome = StaleCopy
 	}
-	if proof == Returned {
+	if outcome == Returned {
 		t.End(c)
 	} else {
-		t.hold(now, c)
+		t.startHold(now, c)
 	}
-	return proof
+	return outcome
 }
 
-// Ended takes the end of a stream. It proves nothing of a forward that is out: the GET waits for its proxy.
-func (t *Table) Ended(now float64, c *Call) Proof {
+// StreamEnded handles the end of a stream. A GET without a decision ends, with the outcome ClientLeft.
+// For a forward that is outstanding the end of the stream shows nothing, and the GET is held until its proxy
+// calls again.
+func (t *Table) StreamEnded(now float64, c *Call) Outcome {
 	switch c.Phase {
 	case Deciding:
 		t.End(c)
-		return Left
-	case Named:
-		t.hold(now, c)
+		return ClientLeft
+	case ForwardAssigned:
+		t.startHold(now, c)
 	}
-	return Nothing
+	return Unknown
 }
 
-// hold waits for the proxy's further call.
-func (t *Table) hold(now float64, c *Call) {
+// startHold makes a GET wait for the next call of its proxy, at most until its deadline.
+func (t *Table) startHold(now float64, c *Call) {
 	c.Phase = Held
-	t.due.Put(&c.held, math.Min(now+t.Hold, c.Until), c)
+	t.holds.Put(&c.holdTimer, math.Min(now+t.HoldTime, c.Deadline), c)
 }
 
-// Again takes a further call: the GET that it goes on with, and what it proves of the forward that was out. It is nil
-// where the id is not of a GET that waits for this proxy.
-func (t *Table) Again(now float64, proxy uint64, id ID, unsent bool) (*Call, Proof) {
+// Resume handles a further call of a proxy; unsent tells that the proxy could not send the forward. It returns
+// the GET that the call continues, and the outcome of the forward that was outstanding. The GET is nil if the
+// ID is not that of a GET that is held for this proxy.
+func (t *Table) Resume(now float64, proxy uint64, id ID, unsent bool) (*Call, Outcome) {
 	c := t.calls[id]
-	if c == nil || c.Proxy != proxy || c.Phase != Held || now >= c.Until {
-		return nil, Nothing
+	if c == nil || c.Proxy != proxy || c.Phase != Held || now >= c.Deadline {
+		return nil, Unknown
 	}
-	t.due.Remove(&c.held)
+	t.holds.Remove(&c.holdTimer)
 	c.Phase = Deciding
-	if !c.out {
-		return c, Nothing
+	if !c.unresolved {
+		return c, Unknown
 	}
-	if c.out = false; unsent {
-		return c, Unreached
+	if c.unresolved = false; unsent {
+		return c, NotSent
 	}
-	return c, Dropped
+	return c, Abandoned
 }
 
-// Pass gives the next GET whose hold is over: nobody waits for it any more.
-func (t *Table) Pass(now float64) (*Call, bool) {
-	c, ok := t.due.Pop(now)
+// NextExpired ends and returns the next GET whose hold has expired, and returns false if there is none.
+func (t *Table) NextExpired(now float64) (*Call, bool) {
+	c, ok := t.holds.Pop(now)
 	if ok {
 		t.End(c)
 	}
 	return c, ok
 }
 
-// End closes a GET's books; again does nothing.
+// End ends a GET and removes it from the table. It does nothing if the GET has already ended.
 func (t *Table) End(c *Call) {
-	if c.Phase == Over {
+	if c.Phase == Ended {
 		return
 	}
-	c.Phase = Over
-	t.due.Remove(&c.held)
+	c.Phase = Ended
+	t.holds.Remove(&c.holdTimer)
 	delete(t.calls, c.ID)
-	if t.by[c.Proxy]--; t.by[c.Proxy] == 0 {
-		delete(t.by, c.Proxy)
+	if t.openByProxy[c.Proxy]--; t.openByProxy[c.Proxy] == 0 {
+		delete(t.openByProxy, c.Proxy)
 	}
 }
--- a/core/proxycall/calls_test.go
+++ b/core/proxycall/calls_test.go
@@ -8,75 +8,86 @@
 	"pgregory.net/rapid"
 )
 
-func named(t *Table) *Call { c := t.Begin(1, 10); t.Name(1, c, 0, c.Until); return c }
+// beginAssigned opens a GET and assigns a forward to its proxy.
+func beginAssigned(t *Table) *Call {
+	c := t.Begin(1, 10)
+	t.AssignForward(1, c, 0, c.Deadline)
+	return c
+}
 
-func TestWhatAReplyProves(t *testing.T) {
+// Only a response that the client may get must end the GET. After an error, or a copy from before a purge, the
+// GET must wait for another forward, and a response that is reported twice must count once.
+func TestResponseOutcomes(t *testing.T) {
 	for name, tt := range map[string]struct {
-		reply    Reply
-		oldest   float64
-		heldOnly bool
-		want     Proof
-		phase    Phase
+		response   Response
+		maxAge     float64
+		cachedOnly bool
+		want       Outcome
+		phase      Phase
 	}{
-		"a copy":                          {Reply{Status: 200, Age: -1}, 0, false, Returned, Over},
-		"the client's own copy":           {Reply{Status: 304, Age: -1}, 0, false, Returned, Over},
-		"a client's fault":                {Reply{Status: 403, Age: -1}, 0, false, Returned, Over},
-		"an error":                        {Reply{Status: 502, Age: -1}, 0, false, HostError, Held},
-		"full":                            {Reply{Status: 503, Full: true, Age: -1}, 0, false, Full, Held},
-		"nothing held":                    {Reply{Status: 404, Age: -1}, 0, true, Lacks, Held},
-		"not there at all":                {Reply{Status: 404, Age: -1}, 0, false, Returned, Over},
-		"a copy from before a purge":      {Reply{Status: 200, Age: 5}, 2, false, TooOld, Held},
-		"a copy from after a purge":       {Reply{Status: 200, Age: 1}, 2, false, Returned, Over},
-		"a copy that may be from before":  {Reply{Status: 200, Age: -1}, 2, false, TooOld, Held},
-		"an error of whatever age it was": {Reply{Status: 500, Age: 9}, 2, false, HostError, Held},
+		"a copy":                              {Response{Status: 200, Age: -1}, 0, false, Returned, Ended},
+		"the client's own copy":               {Response{Status: 304, Age: -1}, 0, false, Returned, Ended},
+		"a client error":                      {Response{Status: 403, Age: -1}, 0, false, Returned, Ended},
+		"an error":                            {Response{Status: 502, Age: -1}, 0, false, HostError, Held},
+		"full":                                {Response{Status: 503, Full: true, Age: -1}, 0, false, HostFull, Held},
+		"not cached":                          {Response{Status: 404, Age: -1}, 0, true, NotCached, Held},
+		"not found at the origin":             {Response{Status: 404, Age: -1}, 0, false, Returned, Ended},
+		"a copy from before a purge":          {Response{Status: 200, Age: 5}, 2, false, StaleCopy, Held},
+		"a copy from after a purge":           {Response{Status: 200, Age: 1}, 2, false, Returned, Ended},
+		"a copy of unknown age after a purge": {Response{Status: 200, Age: -1}, 2, false, StaleCopy, Held},
+		"an error with an age":                {Response{Status: 500, Age: 9}, 2, false, HostError, Held},
 	} {
 		table := New(Settings{}, [32]byte{7})
-		c := named(table)
-		assert.Equal(t, tt.want, table.Replied(1.1, c, tt.reply, tt.oldest, tt.heldOnly), name)
+		c := beginAssigned(table)
+		assert.Equal(t, tt.want, table.HandleResponse(1.1, c, tt.response, tt.maxAge, tt.cachedOnly), name)
 		assert.Equal(t, tt.phase, c.Phase, name)
-		assert.Equal(t, Nothing, table.Replied(1.1, c, tt.reply, tt.oldest, tt.heldOnly), "%s, told twice", name)
+		assert.Equal(t, Unknown, table.HandleResponse(1.1, c, tt.response, tt.maxAge, tt.cachedOnly), "%s, reported twice", name)
 	}
 }
 
-func TestFurtherCalls(t *testing.T) {
-	table := New(Settings{Hold: 1}, [32]byte{7})
-	c := named(table)
-	_, proof := table.Again(1.1, 1, c.ID, false)
-	assert.Equal(t, Nothing, proof)
-	assert.Equal(t, Named, c.Phase, "its stream is open still")
-	assert.Equal(t, Nothing, table.Ended(1.2, c), "a stream that ends proves nothing")
+// The end of a stream must not count as the failure of a forward, which may still be executed. Only the next
+// call of the same proxy with the right ID, or the end of the hold, resolves it.
+func TestResumeReportsForwardOutcome(t *testing.T) {
+	table := New(Settings{HoldTime: 1}, [32]byte{7})
+	c := beginAssigned(table)
+	_, outcome := table.Resume(1.1, 1, c.ID, false)
+	assert.Equal(t, Unknown, outcome)
+	assert.Equal(t, ForwardAssigned, c.Phase, "its stream is still open")
+	assert.Equal(t, Unknown, table.StreamEnded(1.2, c), "the end of a stream shows nothing")
 	for proxy, id := range map[uint64]ID{2: c.ID, 1: c.ID + 1} {
-		other, _ := table.Again(1.3, proxy, id, false)
-		assert.Nil(t, other, "another proxy's, or nobody's")
+		other, _ := table.Resume(1.3, proxy, id, false)
+		assert.Nil(t, other, "the ID is another proxy's or unknown")
 	}
-	again, proof := table.Again(1.4, 1, c.ID, false)
-	assert.Same(t, c, again)
-	assert.Equal(t, Dropped, proof, "it may have run")
-	table.Name(1.4, c, 1, c.Until)
-	table.Ended(1.5, c)
-	_, proof = table.Again(1.6, 1, c.ID, true)
-	assert.Equal(t, Unreached, proof)
-	table.Name(1.7, c, 2, c.Until)
+	resumed, outcome := table.Resume(1.4, 1, c.ID, false)
+	assert.Same(t, c, resumed)
+	assert.Equal(t, Abandoned, outcome, "the forward may have been executed")
+	table.AssignForward(1.4, c, 1, c.Deadline)
+	table.StreamEnded(1.5, c)
+	_, outcome = table.Resume(1.6, 1, c.ID, true)
+	assert.Equal(t, NotSent, outcome)
+	table.AssignForward(1.7, c, 2, c.Deadline)
 	assert.InDelta(t, 1.95, c.SendBy, 1e-9)
-	table.Replied(2, c, Reply{Status: 500}, 0, false)
-	_, proof = table.Again(2.1, 1, c.ID, false)
-	assert.Equal(t, Nothing, proof, "its end was told before")
-	table.Name(2.1, c, 3, c.Until)
-	table.Ended(2.2, c)
-	_, ok := table.Pass(3.1)
+	table.HandleResponse(2, c, Response{Status: 500}, 0, false)
+	_, outcome = table.Resume(2.1, 1, c.ID, false)
+	assert.Equal(t, Unknown, outcome, "its outcome was already reported")
+	table.AssignForward(2.1, c, 3, c.Deadline)
+	table.StreamEnded(2.2, c)
+	_, ok := table.NextExpired(3.1)
 	assert.False(t, ok)
-	gone, ok := table.Pass(3.3)
+	expired, ok := table.NextExpired(3.3)
 	assert.True(t, ok)
-	assert.Same(t, c, gone)
+	assert.Same(t, c, expired)
 	assert.Zero(t, table.Len())
-	again, _ = table.Again(3.4, 1, c.ID, false)
-	assert.Nil(t, again)
+	resumed, _ = table.Resume(3.4, 1, c.ID, false)
+	assert.Nil(t, resumed)
 }
 
-func TestBounds(t *testing.T) {
-	table := New(Settings{Open: 10, Share: 0.5}, [32]byte{7})
+// One proxy must not use more than its share of the open GETs, and all proxies together no more than the
+// limit.
+func TestOpenCallLimits(t *testing.T) {
+	table := New(Settings{MaxOpen: 10, MaxProxyShare: 0.5}, [32]byte{7})
 	var got [4]int                 // by proxy
-	for proxy := range uint64(4) { // the first two have their share, then there are no more
+	for proxy := range uint64(4) { // the first two proxies use up their shares, which leaves none for the others
 		for range 7 {
 			if table.Begin(proxy, 10) != nil {
 				got[proxy]++
@@ -86,97 +97,101 @@
 	assert.Equal(t, [4]int{5, 5}, got)
 }
 
-// step does one of what a proxy or time can do to a call, and gives what that proved of a forward.
-func step(t *rapid.T, table *Table, now float64, c *Call) Proof {
+// randomStep performs one random action of a proxy or of time on a call, and returns the outcome that it
+// reports.
+func randomStep(t *rapid.T, table *Table, now float64, c *Call) Outcome {
 	switch rapid.IntRange(0, 5).Draw(t, "what") {
 	case 0:
 		if c.Phase == Deciding {
-			table.Name(now, c, c.Forwards, c.Until)
+			table.AssignForward(now, c, c.ForwardCount, c.Deadline)
 		}
 	case 1:
 		status := rapid.SampledFrom([]int{200, 404, 500}).Draw(t, "status")
-		return table.Replied(now, c, Reply{Status: status, Age: -1}, 0, false)
+		return table.HandleResponse(now, c, Response{Status: status, Age: -1}, 0, false)
 	case 2:
-		return table.Ended(now, c)
+		return table.StreamEnded(now, c)
 	case 3:
-		_, p := table.Again(now, rapid.Uint64Range(1, 3).Draw(t, "by"), c.ID, rapid.Bool().Draw(t, "unsent"))
+		_, p := table.Resume(now, rapid.Uint64Range(1, 3).Draw(t, "by"), c.ID, rapid.Bool().Draw(t, "unsent"))
 		return p
 	case 4:
-		for gone, ok := table.Pass(now); ok; gone, ok = table.Pass(now) {
-			require.Equal(t, Over, gone.Phase, "passed, and not over")
+		for expired, ok := table.NextExpired(now); ok; expired, ok = table.NextExpired(now) {
+			require.Equal(t, Ended, expired.Phase, "the hold has expired, but the GET has not ended")
 		}
 	case 5:
 		table.End(c)
 	}
-	return Nothing
+	return Unknown
 }
 
-// openByProxy is the sum of all proxies' open calls.
-func openByProxy(table *Table) (sum int) {
-	for _, n := range table.by {
+// sumOpenByProxy returns the sum of the open calls of all proxies.
+func sumOpenByProxy(table *Table) (sum int) {
+	for _, n := range table.openByProxy {
 		sum += n
 	}
 	return sum
 }
 
-// Whatever proxies do in whatever order: ids differ, the books add up, nothing is told twice, and all ends once the holds are over.
-func TestWhatHolds(t *testing.T) {
+// The invariants must hold for any sequence of actions of proxies: IDs differ, the counts by proxy add up, no
+// outcome is reported twice, and all GETs end once their holds have expired.
+func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table, now := New(Settings{Open: 20, Share: 0.6, Hold: 1}, [32]byte{rapid.Byte().Draw(t, "seed")}), 1.0
+		table, now := New(Settings{MaxOpen: 20, MaxProxyShare: 0.6, HoldTime: 1}, [32]byte{rapid.Byte().Draw(t, "seed")}), 1.0
 		var open []*Call
-		seen, told := map[ID]bool{}, map[*Call]int{}
+		seen, reported := map[ID]bool{}, map[*Call]int{}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now += rapid.SampledFrom([]float64{0, 0, 0.01, 0.5, 2}).Draw(t, "passes")
 			if len(open) == 0 || rapid.IntRange(0, 3).Draw(t, "new") == 0 {
 				if c := table.Begin(rapid.Uint64Range(1, 3).Draw(t, "proxy"), now+5); c != nil {
-					require.False(t, seen[c.ID], "an id is given twice")
+					require.False(t, seen[c.ID], "an ID is used twice")
 					seen[c.ID] = true
 					open = append(open, c)
 				}
 				continue
 			}
 			c := open[rapid.IntRange(0, len(open)-1).Draw(t, "which")]
-			if p := step(t, table, now, c); p != Nothing && p != Left {
-				told[c]++
-				require.False(t, told[c] > c.Forwards, "%d ends of %d forwards", told[c], c.Forwards)
+			if p := randomStep(t, table, now, c); p != Unknown && p != ClientLeft {
+				reported[c]++
+				require.False(t, reported[c] > c.ForwardCount, "%d outcomes of %d forwards", reported[c], c.ForwardCount)
 			}
-			by := openByProxy(table)
-			require.False(t, by != table.Len() || table.Len() > 20, "%d by proxy, %d in all", by, table.Len())
+			sum := sumOpenByProxy(table)
+			require.False(t, sum != table.Len() || table.Len() > 20, "%d open by proxy, %d in total", sum, table.Len())
 		}
 		for _, c := range open {
-			table.Ended(now, c)
+			table.StreamEnded(now, c)
 		}
-		for _, ok := table.Pass(now + 10); ok; _, ok = table.Pass(now + 10) {
+		for _, ok := table.NextExpired(now + 10); ok; _, ok = table.NextExpired(now + 10) {
 		}
-		require.False(t, table.Len() != 0 || len(table.by) != 0, "%d are left", table.Len())
+		require.False(t, table.Len() != 0 || len(table.openByProxy) != 0, "%d GETs are still open", table.Len())
 	})
 }
 
-func TestLine(t *testing.T) {
-	l := Line[string]{Most: 5}
+// First forwards must come before further ones, and GETs whose deadline has passed must be skipped.
+func TestQueueOrder(t *testing.T) {
+	queue := Queue[string]{Capacity: 5}
 	for _, w := range []struct {
-		further bool
-		by      float64
-		item    string
+		further  bool
+		deadline float64
+		item     string
 	}{{true, 9, "further"}, {false, 2, "too late"}, {false, 9, "old"}, {false, 9, "new"}, {true, 9, "further 2"}} {
-		assert.True(t, l.Put(w.further, w.by, w.item))
+		assert.True(t, queue.Put(w.further, w.deadline, w.item))
 	}
-	assert.False(t, l.Put(false, 9, "one too many"))
+	assert.False(t, queue.Put(false, 9, "one too many"))
 	var got []string
-	for s, ok := l.Next(3); ok; s, ok = l.Next(3) {
+	for s, ok := queue.Next(3); ok; s, ok = queue.Next(3) {
 		got = append(got, s)
 	}
 	assert.Equal(t, []string{"old", "new", "further", "further 2"}, got)
-	assert.Zero(t, l.Len())
+	assert.Zero(t, queue.Len())
 }
 
+// BenchmarkCall measures a GET with one forward, from its begin to its response.
 func BenchmarkCall(b *testing.B) {
 	table := New(Settings{}, [32]byte{7})
 	b.ReportAllocs()
 	for i := range b.N {
 		now := float64(i) * 1e-4
 		c := table.Begin(uint64(i&1), now+2)
-		table.Name(now, c, 0, c.Until)
-		table.Replied(now+0.01, c, Reply{Status: 200, Age: -1}, 0, false)
+		table.AssignForward(now, c, 0, c.Deadline)
+		table.HandleResponse(now+0.01, c, Response{Status: 200, Age: -1}, 0, false)
 	}
 }
--- a/core/routing/congestion/congestion_test.go
+++ b/core/routing/congestion/congestion_test.go
@@ -10,7 +10,8 @@
 	"elderwall/core/routing/congestion"
 )
 
-// newTrained returns a tracker and its cache after hits of many sizes at the usual 0.2 s/KB.
+// newTrained returns a tracker and its cache after hits of several sizes at the usual pace of 0.2 seconds per
+// KB.
 func newTrained() (tracker congestion.Tracker, cache congestion.Link) {
 	for i := range 50 {
 		kb := float64(1 + i%7)
@@ -19,27 +20,28 @@
 	return tracker, cache
 }
 
-// One result shows that a host is congested, whatever the size: large objects do not look like congestion.
-func TestOneAnswerTellsThatAHostIsCongested(t *testing.T) {
+// One answer must show that a host is congested whatever its size, and the slow transfer of a large object
+// must not look like congestion.
+func TestOneAnswerShowsCongestion(t *testing.T) {
 	for _, kb := range []float64{0.3, 3, 200} {
 		tracker, _ := newTrained()
 		var host, other congestion.Link
 		assert.InDelta(t, 0.2*kb, tracker.ExpectedTime(kb), 0.02*kb)
-		assert.Equal(t, 1.0, tracker.Slowdown(5, &host), "nothing is known of it")
+		assert.Equal(t, 1.0, tracker.Slowdown(5, &host), "nothing is known of the host")
 		tracker.ObserveHit(5, &other, kb, 0.2*kb)
 		assert.InDelta(t, 1, tracker.Slowdown(5, &other), 0.1)
 		tracker.ObserveHit(5, &host, kb, 0.2*kb*4)
 		assert.InDelta(t, 4, tracker.Slowdown(5, &host), 0.4)
 		tracker.ObserveHit(5.1, &host, kb, 0.2*kb)
-		assert.Less(t, tracker.Slowdown(5.1, &host), 2.7, "a result as usual halves it")
-		assert.Less(t, tracker.Slowdown(30, &host), 1.1, "it fades")
+		assert.Less(t, tracker.Slowdown(5.1, &host), 2.7, "an answer at the usual pace halves it")
+		assert.Less(t, tracker.Slowdown(30, &host), 1.1, "the slowdown decays")
 	}
 }
 
-// observeFill observes a fill of 3 KB, which usually takes 0.6 s. A slowdown of 0 is a fill that never ends, a negative one a
-// rejection.
+// observeFill records a fill of 3 KB, which usually takes 0.6 seconds. A slowdown of 0 means a fill that never
+// ends, and a negative one means a rejection.
 func observeFill(tracker *congestion.Tracker, now float64, cache, source *congestion.Link, slowdown float64) {
-	const sizeKB, usual = 3, 0.6 // s
+	const sizeKB, usual = 3, 0.6 // KB; seconds
 	switch {
 	case slowdown < 0:
 		tracker.ObserveRejection(now, source)
@@ -51,13 +53,15 @@
 	}
 }
 
-func TestLateFillsAreBlamedOnWhatIsSlow(t *testing.T) {
+// A late fill must be charged to its source only if that source alone is slow, and to the ingress if fills from
+// all sources are slow.
+func TestLateFillCauses(t *testing.T) {
 	const unknown, source, ingress = congestion.CauseUnknown, congestion.CauseSource, congestion.CauseIngress
 	for _, tt := range []struct {
 		name     string
 		slowdown [4]float64 // by source, as for observeFill
 		causes   [4]congestion.Cause
-		ingress  float64 // slowdown
+		ingress  float64 // expected slowdown of the ingress
 	}{
 		{
 			"nothing",
@@ -83,7 +87,7 @@
 			[4]congestion.Cause{ingress, ingress, ingress, ingress},
 			8,
 		},
-		{ // only fills in time would tell otherwise
+		{ // fills that finish in time would show another cause
 			"fills that never end",
 			[4]float64{},
 			[4]congestion.Cause{ingress, ingress, ingress, ingress},
@@ -107,13 +111,13 @@
 			assert.InDelta(t, math.Min(1, 4/tt.ingress/tt.ingress), tracker.FillShare(now), 0.05)
 			assert.InDelta(t, math.Max(0, 1-2/tt.ingress), tracker.IngressExcess(now), 0.1)
 			assert.Equal(t, tt.ingress == 1, tracker.IngressHasSpare(now))
-			assert.Equal(t, 1.0, tracker.FillShare(now+20), "with no more fills it fades")
+			assert.Equal(t, 1.0, tracker.FillShare(now+20), "without further fills the slowdown decays")
 		})
 	}
 }
 
-// Whatever is observed, times, shares and slowdowns stay finite and in their ranges.
-func TestRangesHold(t *testing.T) {
+// Durations, shares and slowdowns must stay finite and within their ranges, whatever is observed.
+func TestEstimatesStayInRange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var tracker congestion.Tracker
 		hosts, now := make([]congestion.Link, 3), 0.0
@@ -136,7 +140,7 @@
 			inRange := slowdown >= 1 && slowdown <= 33 && ingress >= 1 && ingress <= 33 &&
 				share > 0 && share <= 1 && excess >= 0 && excess < 1
 			if !inRange || math.IsInf(expected, 0) {
-				t.Fatalf("slowdown %g, of the ingress %g, share %g, excess %g, expected %g s",
+				t.Fatalf("slowdown %g, ingress slowdown %g, fill share %g, excess %g, expected %g s",
 					slowdown, ingress, share, excess, expected)
 			}
 		}
--- a/core/routing/congestion/link.go
+++ b/core/routing/congestion/link.go
@@ -6,74 +6,80 @@
 )
 
 const (
-	// share; least weight of one answer in a link's slowdown: two that agree are believed
+	// minSampleWeight is the minimum weight of one answer in the slowdown of a link, so that two answers that
+	// agree dominate it.
 	minSampleWeight = 0.5
-	// s; after which half of what is known of a link has faded: congestion comes and goes in seconds
+	// halfLife is the time in seconds after which half of what is known of a link has decayed. Congestion
+	// comes and goes within seconds.
 	halfLife = 4.0
-	// s; the same of a source, of which one router among hundreds hears each ten seconds
+	// sourceHalfLife is the same for a source, in seconds. It is longer because one router among hundreds gets
+	// an answer from a source only every ten seconds.
 	sourceHalfLife    = 12.0
-	rejectionSlowdown = 4.0  // slowdown that a source counts with which rejected a fill
-	maxSlowdown       = 32.0 // one answer that stood still must not be remembered for a minute
-	recentFills       = 5    // fills whose median tells of the ingress: one slow source among them does not
+	rejectionSlowdown = 4.0  // slowdown that is recorded for a source that rejected a fill
+	maxSlowdown       = 32.0 // limit, so that one answer that took very long is not remembered for a minute
+	// recentFillCount is the number of fills whose median describes the ingress. With the median, one slow
+	// source among them has no effect.
+	recentFillCount = 5
 )
 
-// Link is what is known of one host's link. The zero value is a link of which nothing is known.
+// Link is what is known of the link of one host. The zero value means that nothing is known.
 type Link struct {
-	slowerBy float64 // slowdown above 1, as of at
-	samples  float64 // answers that tell it, as of at
-	at       float64 // s
-	isSource bool    // the last sample was of a fill from it
+	excessSlowdown float64 // slowdown minus 1, as of sampledAt
+	samples        float64 // decayed number of answers behind it, as of sampledAt
+	sampledAt      float64 // seconds
+	isSource       bool    // whether the last sample was of a fill from this host
 }
 
-// learn takes in one slowdown.
+// learn records one slowdown.
 func (l *Link) learn(now, slowdown float64) {
 	sample, known := clampExcess(slowdown), l.excess(now)
 	l.samples = 1 + l.samples*l.remaining(now)
-	l.slowerBy, l.at = known+(sample-known)*math.Max(minSampleWeight, 1/l.samples), now
+	l.excessSlowdown, l.sampledAt = known+(sample-known)*math.Max(minSampleWeight, 1/l.samples), now
 }
 
-// excess is the slowdown above 1 that has not faded.
+// excess returns the decayed slowdown minus 1.
 func (l *Link) excess(now float64) float64 {
-	if l.slowerBy == 0 {
+	if l.excessSlowdown == 0 {
 		return 0
 	}
-	return l.slowerBy * l.remaining(now)
+	return l.excessSlowdown * l.remaining(now)
 }
 
-// remaining is the share of what is known that has not faded.
+// remaining returns the share of what is known that has not decayed.
 func (l *Link) remaining(now float64) float64 {
 	half := halfLife
 	if l.isSource {
 		half = sourceHalfLife
 	}
-	return math.Exp2(-math.Max(0, now-l.at) / half)
+	return math.Exp2(-math.Max(0, now-l.sampledAt) / half)
 }
 
-// clampExcess is a slowdown above 1, within what is remembered.
+// clampExcess returns a slowdown minus 1, limited to the range that is remembered.
 func clampExcess(slowdown float64) float64 { return math.Min(maxSlowdown, math.Max(1, slowdown)) - 1 }
 
-// ingress is what the latest fills tell of the links that all fills share.
+// ingress holds what the latest fills show about the links that all fills share.
 type ingress struct {
-	fills [recentFills]fillSample
-	next  int // place of the oldest in fills
+	fills [recentFillCount]fillSample
+	next  int // position of the oldest entry in fills
 }
 
-// fillSample is the slowdown above 1 of one fill, as of a moment.
-type fillSample struct{ slowerBy, at float64 }
+// fillSample is the slowdown of one fill minus 1, with the time in seconds at which it was recorded.
+type fillSample struct{ excessSlowdown, sampledAt float64 }
 
+// learn records the slowdown of a fill in place of the oldest one.
 func (i *ingress) learn(now, slowdown float64) {
 	i.fills[i.next] = fillSample{clampExcess(slowdown), now}
-	i.next = (i.next + 1) % recentFills
+	i.next = (i.next + 1) % recentFillCount
 }
 
-// medianExcess is the median of the latest fills' slowdowns above 1, each faded.
+// medianExcess returns the median of the latest fills' slowdowns minus 1, each decayed by its age.
 func (i *ingress) medianExcess(now float64) float64 {
-	var faded [recentFills]float64
-	for place, fill := range i.fills {
-		if fill.slowerBy > 0 { // most fills are as usual, and each request asks
-			faded[place] = fill.slowerBy * math.Exp2(-math.Max(0, now-fill.at)/halfLife)
+	var decayed [recentFillCount]float64
+	for position, fill := range i.fills {
+		if fill.excessSlowdown > 0 { // most fills are as fast as usual, and this runs for each request
+			decayed[position] = fill.excessSlowdown * math.Exp2(-math.Max(0, now-fill.sampledAt)/halfLife)
 		}
 	}
-	slices.Sort(faded[:])
-	return faded[recentFills/2]
+	slices.Sort(decayed[:])
+	return decayed[recentFillCount/2]
 }
--- a/core/routing/endpoint_table.go
+++ b/core/routing/endpoint_table.go
@@ -190,7 +190,7 @@
 // setGroup assigns a cache to the group of its kind, zone and cell, or to no group if hosts are not grouped.
 func (t *endpointTable) setGroup(h *host, grouped bool) {
 	group := grouphealth.Group{Kind: h.Kind, Zone: h.Zone, Cell: h.Cell}
-	if grouped && h.health.group.In(group) {
+	if grouped && h.health.group.BelongsTo(group) {
 		return
 	}
 	t.groups.Remove(h.health.group)
--- a/core/routing/golden_test.go
+++ b/core/routing/golden_test.go
@@ -293,7 +293,7 @@
 		baseCase("no cancel", 14, settings(func(s *routing.Settings) { s.CanCancel = false })),
 		baseCase("retry budget", 18, settings(func(s *routing.Settings) {
 			shared := 0
-			s.Retries = retrybudget.Settings{Share: 0.05, Floor: 2, Fleet: func() bool { shared++; return shared%5 > 0 }}
+			s.Retries = retrybudget.Settings{Share: 0.05, Floor: 2, FleetQuota: func() bool { shared++; return shared%5 > 0 }}
 		})),
 		baseCase("default retry budget", 31, func(c *goldenCase) {
 			c.change = func(s *routing.Settings) { s.Retries = retrybudget.Default() }
--- a/core/routing/large_cluster_test.go
+++ b/core/routing/large_cluster_test.go
@@ -266,10 +266,10 @@
 	c.router.UpdateEndpoints(2, ListChanges, []Endpoint{e, e})
 	assert.Equal(t, id, first())
 	assert.Len(t, c.router.endpoints.caches, 300, "a host that is listed twice is known once")
-	assert.True(t, c.router.endpoints.byID[id].health.group.In(grouphealth.Group{Cell: 77}))
+	assert.True(t, c.router.endpoints.byID[id].health.group.BelongsTo(grouphealth.Group{Cell: 77}))
 	e.Cell = 78
 	c.router.UpdateEndpoints(3, ListChanges, []Endpoint{e})
-	assert.True(t, c.router.endpoints.byID[id].health.group.In(grouphealth.Group{Cell: 78}))
+	assert.True(t, c.router.endpoints.byID[id].health.group.BelongsTo(grouphealth.Group{Cell: 78}))
 	c.router.UpdateEndpoints(4, ListComplete, c.hosts[:3+grouphealth.MinHosts-1])
 	for _, h := range c.router.endpoints.caches {
 		assert.Nil(t, h.health.group, "few hosts have no groups")
--- a/core/routing/rendezvous/prefix.go
+++ b/core/routing/rendezvous/prefix.go
@@ -2,59 +2,62 @@
 
 import "slices"
 
-// PrefixLength is the number of hosts of an order that are kept with an object: copies are few, and so are
-// hosts that can't be used.
+// PrefixLength is the number of hosts in the prefix kept with each object. A few are enough, because objects
+// have few copies and few hosts are unusable.
 const PrefixLength = 6
 
 const (
-	// longer prefixes that are kept: those of the hottest objects, which have many copies
-	longPrefixCount = 256
-	longPrefixStart = 32      // hosts of such a one at first
-	longPrefixTotal = 1 << 18 // hosts of all of them together: 1 MB
-	growthOfLonger  = 4       // multiple of its hosts that a longer one grows to
+	// longPrefixCount is the number of cached long prefixes. They are for the hottest objects, which have many
+	// copies.
+	longPrefixCount    = 256
+	longPrefixStart    = 32      // initial number of hosts of a long prefix
+	maxLongPrefixHosts = 1 << 18 // limit on the hosts of all long prefixes together: 1 MB
+	longPrefixGrowth   = 4       // factor by which a long prefix grows
 
-	// hostsPerChange is the number of hosts for each change above which a prefix catches up with the changes:
-	// it is found anew where it lags so far behind that a look at all hosts is as cheap.
+	// hostsPerChange is the cost of applying one change to a prefix, in hosts that could be scanned instead. A
+	// prefix that has missed more than one change for each hostsPerChange hosts is computed anew, because
+	// scanning all hosts is then as cheap.
 	hostsPerChange = 8
 )
 
-// Prefix is the beginning of an object's order.
+// Prefix holds the first hosts of an object's order. It belongs to one index and one hash.
 type Prefix struct {
 	prefix
 	store [PrefixLength]int32
 }
 
-// prefix is the beginning of an order, as of a version of the index.
+// prefix holds the first slots of an order as of a version of the index.
 type prefix struct {
 	version uint64
 	slots   []int32
 }
 
-// longPrefixes caches longer prefixes by hash.
+// longPrefixes caches long prefixes by hash.
 type longPrefixes struct {
-	entries [longPrefixCount]longPrefix
-	hosts   int // hosts that all entries have space for
+	entries       [longPrefixCount]longPrefix
+	totalCapacity int // number of hosts that all entries have space for
 }
 
+// longPrefix is an entry of longPrefixes.
 type longPrefix struct {
 	hash uint64
 	prefix
 }
 
-// reserve counts the space for a prefix to grow to so many hosts; where all together would grow too large,
-// the others go.
+// reserve accounts for the space that p needs to grow to the given number of hosts. If all prefixes together
+// would exceed the limit, it evicts all entries.
 func (c *longPrefixes) reserve(p *longPrefix, hosts int) {
-	c.hosts += max(0, hosts-cap(p.slots))
-	if c.hosts > longPrefixTotal {
+	c.totalCapacity += max(0, hosts-cap(p.slots))
+	if c.totalCapacity > maxLongPrefixHosts {
 		c.entries = [longPrefixCount]longPrefix{}
-		c.hosts = hosts
+		c.totalCapacity = hosts
 	}
 }
 
-// catchUp lets a prefix of at most most hosts catch up with the hosts that were added and removed since its
-// version: it stays the beginning of the order, though it may become shorter. False tells that it must be
-// found anew.
-func (x *Index[V]) catchUp(hash uint64, p *prefix, most int) bool {
+// catchUp applies the hosts added and removed since the version of p, which may hold at most maxHosts
+// hosts. p remains the beginning of the order but may become shorter. It returns false if p must be computed
+// anew.
+func (x *Index[V]) catchUp(hash uint64, p *prefix, maxHosts int) bool {
 	version := x.version()
 	if p.version == version || len(p.slots) == 0 {
 		return len(p.slots) > 0
@@ -62,11 +65,12 @@
 	if p.version < x.changesDropped {
 		return false
 	}
-	if (version-p.version)*hostsPerChange*uint64(max(1, most/PrefixLength)) > uint64(x.hosts) {
+	if (version-p.version)*hostsPerChange*uint64(max(1, maxHosts/PrefixLength)) > uint64(x.hostCount) {
 		return false
 	}
 	changes := x.changes[p.version-x.changesDropped:]
-	// first, as a slot may have another host now, which would stand in the wrong place
+	// Removals come first, because a slot may have been reused by another host, which would be in the wrong
+	// position.
 	for _, c := range changes {
 		if !c.added {
 			p.remove(c.slot)
@@ -74,27 +78,28 @@
 	}
 	for _, c := range changes {
 		if c.added && x.used[c.slot] && !slices.Contains(p.slots, c.slot) {
-			p.insert(hash, c.slot, x.keys, most)
+			p.insert(hash, c.slot, x.keys, maxHosts)
 		}
 	}
 	p.version = version
 	return len(p.slots) > 0
 }
 
-// remove takes a host out.
+// remove removes a slot, if it is present.
 func (p *prefix) remove(slot int32) {
 	if i := slices.Index(p.slots, slot); i >= 0 {
 		p.slots = slices.Delete(p.slots, i, i+1)
 	}
 }
 
-// insert puts a host where it belongs; one behind the last host of the prefix is not known to be the next.
-func (p *prefix) insert(hash uint64, slot int32, keys []uint64, most int) {
+// insert inserts a slot at its position in the order. A slot that ranks behind the last one of the prefix is
+// left out, because others that are not in the prefix may rank before it. The prefix stays within maxHosts.
+func (p *prefix) insert(hash uint64, slot int32, keys []uint64, maxHosts int) {
 	score := Mix(hash ^ keys[slot])
 	for i, other := range p.slots {
 		if score > Mix(hash^keys[other]) {
-			if len(p.slots) >= most {
-				p.slots = p.slots[:most-1]
+			if len(p.slots) >= maxHosts {
+				p.slots = p.slots[:maxHosts-1]
 			}
 			p.slots = slices.Insert(p.slots, min(i, len(p.slots)), slot)
 			return
@@ -102,7 +107,8 @@
 	}
 }
 
-// find finds an object's prefix: one look at each host, and hardly more for those that are not in it.
+// find computes the prefix of an object. It scans all hosts once and does little work for those that are not
+// in the prefix.
 func (x *Index[V]) find(hash uint64, p *Prefix) {
 	var best [PrefixLength]scored
 	n := 0
@@ -111,12 +117,12 @@
 		if n == PrefixLength && score <= best[n-1].score || !x.used[slot] {
 			continue
 		}
-		place := min(n, PrefixLength-1)
+		position := min(n, PrefixLength-1)
 		n = min(n+1, PrefixLength)
-		for ; place > 0 && best[place-1].score < score; place-- {
-			best[place] = best[place-1]
+		for ; position > 0 && best[position-1].score < score; position-- {
+			best[position] = best[position-1]
 		}
-		best[place] = scored{score, int32(slot)}
+		best[position] = scored{score, int32(slot)}
 	}
 	p.version, p.slots = x.version(), p.store[:n]
 	for i := range n {
--- a/core/routing/rendezvous/rendezvous_test.go
+++ b/core/routing/rendezvous/rendezvous_test.go
@@ -14,25 +14,25 @@
 	"elderwall/internal/standin/need"
 )
 
-// positions returns 0 to n-1.
+// positions returns the numbers 0 to n-1.
 func positions(n int) []int {
-	places := make([]int, n)
-	for i := range places {
-		places[i] = i
+	order := make([]int, n)
+	for i := range order {
+		order[i] = i
 	}
-	return places
+	return order
 }
 
-// sortedOrder returns the order by its definition: all hosts hashed and sorted.
+// sortedOrder returns the order by its definition: all hosts are hashed and sorted.
 func sortedOrder(ids []uint32, hash uint64) []int {
-	places := positions(len(ids))
-	sort.Slice(places, func(i, j int) bool {
-		return Mix(hash^Mix(uint64(ids[places[i]]))) > Mix(hash^Mix(uint64(ids[places[j]])))
+	order := positions(len(ids))
+	sort.Slice(order, func(i, j int) bool {
+		return Mix(hash^Mix(uint64(ids[order[i]]))) > Mix(hash^Mix(uint64(ids[order[j]])))
 	})
-	return places
+	return order
 }
 
-// manyHosts returns the identifiers of n hosts.
+// manyHosts returns the IDs of n hosts.
 func manyHosts(n int) []uint32 {
 	ids := make([]uint32, n)
 	for i := range ids {
@@ -41,29 +41,29 @@
 	return ids
 }
 
-// hashOf is the hash of an object by its number.
+// hashOf returns the hash of an object, given its number.
 func hashOf(i int) uint64 { return uint64(i) * 0x9e3779b97f4a7c15 }
 
-// setHosts sets the hosts of an index, each with its position as the value.
+// setHosts sets the hosts of an index, with the position of each as its value.
 func setHosts(x *Index[int], ids []uint32) { x.Set(ids, positions(len(ids))) }
 
-// walk returns the first hosts of the order for an object.
-func walk(x *Index[int], hash uint64, cached **Prefix, most int) []int {
-	return walkFrom(x, hash, cached, 0, most)
+// walk returns the first hosts of the order for an object, at most limit.
+func walk(x *Index[int], hash uint64, cached **Prefix, limit int) []int {
+	return walkFrom(x, hash, cached, 0, limit)
 }
 
-// walkFrom returns hosts of the order for an object from a position on.
-func walkFrom(x *Index[int], hash uint64, cached **Prefix, from, most int) (places []int) {
-	x.Walk(hash, cached, from, func(place int) bool {
-		places = append(places, place)
-		return len(places) < most
+// walkFrom returns hosts of the order for an object, beginning at position from, at most limit.
+func walkFrom(x *Index[int], hash uint64, cached **Prefix, from, limit int) (order []int) {
+	x.Walk(hash, cached, from, func(position int) bool {
+		order = append(order, position)
+		return len(order) < limit
 	})
-	return places
+	return order
 }
 
-// The index gives what a plain sort gives after any changes of the hosts, with a cached prefix and without, and however far it is
-// walked.
-func TestTheIndexGivesWhatAPlainSortGives(t *testing.T) {
+// The order must equal that of a plain sort after any changes of the hosts, with and without a cached prefix,
+// and however far it is walked.
+func TestIndexMatchesPlainSort(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var x Index[int]
 		prefixes, hashes := map[uint64]**Prefix{}, rapid.SliceOfN(rapid.Uint64(), 1, 5).Draw(t, "hashes")
@@ -74,18 +74,18 @@
 				if prefixes[hash] == nil {
 					prefixes[hash] = new(*Prefix)
 				}
-				most, want := rapid.IntRange(1, 70).Draw(t, "most"), sortedOrder(ids, hash)
-				want = want[:min(len(want), most)]
+				limit, want := rapid.IntRange(1, 70).Draw(t, "most"), sortedOrder(ids, hash)
+				want = want[:min(len(want), limit)]
 				for _, cached := range []**Prefix{prefixes[hash], prefixes[hash], nil} {
-					got := walk(&x, hash, cached, most)
-					require.True(t, slices.Equal(got, want), "%d hosts, %d walked: %v, a sort gives %v", len(ids), most, got, want)
+					got := walk(&x, hash, cached, limit)
+					require.True(t, slices.Equal(got, want), "%d hosts, %d walked: %v, a sort gives %v", len(ids), limit, got, want)
 				}
 			}
 		}
 	})
 }
 
-// changingHosts is an index of hosts that are added and removed a few at a time.
+// changingHosts is an index of which a few hosts are added and removed at a time.
 type changingHosts struct {
 	*rapid.T
 	index  Index[int]
@@ -107,7 +107,7 @@
 	return c.lastID * 7919
 }
 
-// change removes hosts and adds others.
+// change removes some hosts and adds others.
 func (c *changingHosts) change() {
 	for range rapid.IntRange(0, 6).Draw(c.T, "removed") {
 		if len(c.ids) > 1 {
@@ -122,7 +122,7 @@
 	setHosts(&c.index, c.ids)
 }
 
-// drawHost draws the position of any host, or of one that was the first of an order.
+// drawHost draws the position of any host, or of one that is the first of an order.
 func (c *changingHosts) drawHost() int {
 	i := rapid.IntRange(0, len(c.ids)-1).Draw(c.T, "which")
 	if rapid.Bool().Draw(c.T, "first of an order") {
@@ -131,21 +131,22 @@
 	return i
 }
 
-// checkWalks compares walks with a cached prefix with a plain sort.
+// checkWalks compares walks that use a cached prefix with a plain sort.
 func (c *changingHosts) checkWalks(hash uint64, cached **Prefix) {
-	most := rapid.SampledFrom([]int{1, 2, 5, 6, 7, 9, 40, 130, 900}).Draw(c.T, "most")
+	limit := rapid.SampledFrom([]int{1, 2, 5, 6, 7, 9, 40, 130, 900}).Draw(c.T, "most")
 	order := sortedOrder(c.ids, hash)
 	start := rapid.SampledFrom([]int{0, 0, 3, 6, 200}).Draw(c.T, "from")
 	for _, from := range []int{start, 0} {
 		want := order[min(len(order), from):]
-		want = want[:min(len(want), most)]
-		got := walkFrom(&c.index, hash, cached, from, most)
+		want = want[:min(len(want), limit)]
+		got := walkFrom(&c.index, hash, cached, from, limit)
 		require.True(c.T, slices.Equal(got, want), "%d hosts, from %d: %v, a sort gives %v", len(c.ids), from, got, want)
 	}
 }
 
-// Cached prefixes catch up with lists of hosts that change a little at a time.
-func TestPrefixesCatchUp(t *testing.T) {
+// Cached prefixes must stay correct while the list of hosts changes a little at a time, also when a prefix
+// missed several changes.
+func TestPrefixesCatchUpWithChangedHosts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := newChangingHosts(t)
 		cached := make([]*Prefix, 3)
@@ -161,30 +162,33 @@
 	})
 }
 
-// BenchmarkAfterAChange measures a walk for a known object after 1% of the hosts were replaced, and the update by such a list.
-func BenchmarkAfterAChange(b *testing.B) {
+// BenchmarkCatchUpAfterChange measures updating a cached prefix after 1% of the hosts were replaced, and the
+// update of the index by such a list.
+func BenchmarkCatchUpAfterChange(b *testing.B) {
 	for _, n := range []int{1000, 10000} {
 		var x Index[int]
 		ids := manyHosts(n)
 		setHosts(&x, ids)
-		changed, prefixes, places := slices.Clone(ids), make([]*Prefix, 4096), make([]int, n)
+		changed, prefixes, values := slices.Clone(ids), make([]*Prefix, 4096), make([]int, n)
 		for i := range n / 100 {
 			changed[i*100] = uint32(n+i) * 7919
 		}
 		for i := range prefixes {
 			walk(&x, hashOf(i), &prefixes[i], 1)
 		}
-		x.Set(changed, places)
+		x.Set(changed, values)
 		need.Bench(b, fmt.Sprint(n, "/caught up"), func(i int) {
 			stale := *prefixes[i&4095]
 			stale.slots = slices.Clone(stale.slots)
 			x.catchUp(hashOf(i&4095), &stale.prefix, PrefixLength)
 		})
-		need.Bench(b, fmt.Sprint(n, "/list"), func(i int) { x.Set([][]uint32{ids, changed}[i%2], places) })
+		need.Bench(b, fmt.Sprint(n, "/list"), func(i int) { x.Set([][]uint32{ids, changed}[i%2], values) })
 	}
 }
 
-func TestOneHostLessMovesOnlyItsOwnObjects(t *testing.T) {
+// Two lists that differ in 1% of their hosts must give the same first host for all other objects, and objects
+// must be spread evenly over the hosts.
+func TestRemovedHostsMoveOnlyTheirOwnObjects(t *testing.T) {
 	ids := manyHosts(1000)
 	var all, less Index[int]
 	setHosts(&all, ids)
@@ -207,8 +211,8 @@
 	assert.Less(t, slices.Max(objectsAt), 100, "objects of one host, 50 if all were equal")
 }
 
-// BenchmarkOrder measures walks for known and new objects, and a plain sort.
-func BenchmarkOrder(b *testing.B) {
+// BenchmarkWalk measures walks for known objects and new ones, and a plain sort.
+func BenchmarkWalk(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		var x Index[int]
 		ids, prefixes := manyHosts(n), make([]*Prefix, 4096)
--- a/core/routing/rendezvous/walk.go
+++ b/core/routing/rendezvous/walk.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// Walk yields the hosts in the order of a hash, from one of its places on, until it is told to stop. known
-// keeps what is found of the beginning; nil where nothing is to be kept. A walk must have ended before the
-// next one of the same index.
-func (x *Index[V]) Walk(hash uint64, known **Prefix, from int, yield func(host V) bool) {
-	if x.hosts <= smallIndex || known == nil {
+// Walk yields the hosts in the order for a hash, starting at position from, until yield returns false. It
+// caches the beginning of the order in *cached; a nil cached disables this. A walk must end before the next
+// walk of the same index begins.
+func (x *Index[V]) Walk(hash uint64, cached **Prefix, from int, yield func(host V) bool) {
+	if x.hostCount <= smallIndex || cached == nil {
 		x.walkSorted(hash, from, yield)
 		return
 	}
-	p := *known
+	p := *cached
 	if p == nil {
 		p = &Prefix{}
 		p.slots = p.store[:0]
-		*known = p
+		*cached = p
 	}
 	if !x.catchUp(hash, &p.prefix, PrefixLength) {
 		x.find(hash, p)
@@ -30,7 +30,7 @@
 	x.walkLong(hash, from, yield)
 }
 
-// walkLong yields an order behind its prefix, from the cache of longer ones.
+// walkLong yields the part of an order behind its Prefix, using the cache of long prefixes.
 func (x *Index[V]) walkLong(hash uint64, from int, yield func(host V) bool) {
 	if x.longPrefixes == nil {
 		x.longPrefixes = &longPrefixes{}
@@ -45,16 +45,16 @@
 				return
 			}
 		}
-		if from >= x.hosts {
+		if from >= x.hostCount {
 			return
 		}
-		x.findLong(hash, p, max(longPrefixStart, growthOfLonger*len(p.slots), from+longPrefixStart))
+		x.findLong(hash, p, max(longPrefixStart, longPrefixGrowth*len(p.slots), from+longPrefixStart))
 	}
 }
 
-// findLong finds a longer prefix of so many hosts.
+// findLong computes a long prefix with the given number of hosts.
 func (x *Index[V]) findLong(hash uint64, p *longPrefix, hosts int) {
-	hosts = min(hosts, x.hosts)
+	hosts = min(hosts, x.hostCount)
 	x.longPrefixes.reserve(p, hosts)
 	p.hash, p.version, p.slots = hash, x.version(), slices.Grow(p.slots[:0], hosts)
 	x.sorted(hash, func(slot int32) bool {
@@ -63,7 +63,7 @@
 	})
 }
 
-// walkSorted yields an order from one of its places on, with nothing known of it.
+// walkSorted yields the hosts of an order from position from on, without using known prefixes.
 func (x *Index[V]) walkSorted(hash uint64, from int, yield func(host V) bool) {
 	x.sorted(hash, func(slot int32) bool {
 		from--
@@ -71,13 +71,14 @@
 	})
 }
 
-// scored is a slot with its weight for a hash.
+// scored is a slot with its score for a hash.
 type scored struct {
 	score uint64
 	slot  int32
 }
 
-// sorted yields all slots in the order of a hash, from a heap: those that are not asked for are not sorted.
+// sorted yields all slots in the order for a hash. It uses a heap, so that slots that are not requested are
+// not sorted.
 func (x *Index[V]) sorted(hash uint64, yield func(slot int32) bool) {
 	heap := x.scratch[:0]
 	for slot, key := range x.keys {
@@ -100,7 +101,7 @@
 	}
 }
 
-// siftDown lets the entry at a place of a heap sink to where it belongs.
+// siftDown moves entry i of a max-heap down until no child has a higher score.
 func siftDown(heap []scored, i int) {
 	for {
 		largest := i
--- a/core/routing/retrybudget/retrybudget.go
+++ b/core/routing/retrybudget/retrybudget.go
@@ -1,47 +1,50 @@
-// Package retrybudget bounds retries by what succeeds, so that on a bad day they do not multiply the load
-// that made it bad. It is a token bucket, filled by answers and by time. It only narrows what routing may do,
-// and is pure.
+// Package retrybudget limits retries by the number of successful answers, so that retries do not multiply the
+// load during an overload. It is a token bucket that answers and time refill. It only restricts what routing
+// may do, does no I/O and reads no clock.
 package retrybudget
 
 import "math"
 
 const (
-	// and defaultFloor: what the emulator's failing caches recovered soonest with (docs/deadlines.md)
+	// With defaultShare and defaultFloor the failing caches of the emulator recovered soonest
+	// (docs/deadlines.md).
 	defaultShare = 0.1
-	defaultFloor = 5.0 // per second
+	defaultFloor = 5.0 // retries per second
 
-	floorSavedFor = 2.0 // s; of the floor that may be saved up
-	// answers whose share may be saved up: a burst of failures on a calm day is retried completely
-	savedAnswers = 50.0
+	floorSavingTime = 2.0 // seconds; retries of the floor can be saved up for this long
+	// savedSuccesses is the number of answers whose retries can be saved up. It allows all retries of a burst
+	// of failures that follows normal operation.
+	savedSuccesses = 50.0
 )
 
-// Settings say how many retries may go. The zero value bounds nothing.
+// Settings configure a retry budget. The zero value imposes no limit.
 type Settings struct {
-	Share float64     // of answers: so many retries are earned by one
-	Floor float64     // retries per second that may go whatever succeeds
-	Fleet func() bool // whether the cluster's quota has one for this router; nil where there is none
+	Share      float64     // retries that each successful answer earns
+	Floor      float64     // retries per second that are allowed regardless of answers
+	FleetQuota func() bool // takes a retry out of the cluster's quota; false if none is left; nil without a quota
 }
 
-// Default is the budget where an operator asks for one and says no more.
+// Default returns the settings for an operator who enables the budget without further values.
 func Default() Settings { return Settings{Share: defaultShare, Floor: defaultFloor} }
 
-// capacity is the number of retries that may be saved up.
+// capacity returns the number of retries that can be saved up.
 func (s Settings) capacity() float64 {
-	return math.Max(1, s.Floor*floorSavedFor+s.Share*savedAnswers)
+	return math.Max(1, s.Floor*floorSavingTime+s.Share*savedSuccesses)
 }
 
-// unbounded reports whether nothing but the cluster's quota bounds retries.
+// unbounded reports whether only the cluster's quota limits retries.
 func (s Settings) unbounded() bool { return s.Share == 0 && s.Floor == 0 }
 
-// quotaAllows takes one retry out of the cluster's quota, where there is one.
-func (s Settings) quotaAllows() bool { return s.Fleet == nil || s.Fleet() }
+// quotaAllows takes one retry out of the cluster's quota and reports whether that was possible. It returns
+// true if there is no quota.
+func (s Settings) quotaAllows() bool { return s.FleetQuota == nil || s.FleetQuota() }
 
-// Budget is what may be retried now.
+// Budget holds the retries that are currently available. It is not safe for concurrent use.
 type Budget struct {
 	Settings
-	tokens   float64
-	filledAt float64 // s; up to when the floor is counted
-	Spent    int     // retries so far
+	tokens   float64 // retries that are available
+	filledAt float64 // seconds; time up to which the floor has been added
+	Spent    int     // number of retries so far
 }
 
 // New returns a full budget. now is in seconds.
@@ -49,10 +52,11 @@
 	return Budget{Settings: s, tokens: s.capacity(), filledAt: now}
 }
 
-// Earn counts an answer.
+// Earn adds the share of a retry that one successful answer earns.
 func (b *Budget) Earn() { b.tokens = math.Min(b.capacity(), b.tokens+b.Share) }
 
-// Spend takes a retry out; false if none is left. Time that goes back gives nothing.
+// Spend takes out one retry. It returns false if none is left. now is in seconds; time that goes back adds
+// nothing.
 func (b *Budget) Spend(now float64) bool {
 	if b.unbounded() {
 		return b.quotaAllows()
--- a/core/routing/retrybudget/retrybudget_test.go
+++ b/core/routing/retrybudget/retrybudget_test.go
@@ -8,6 +8,8 @@
 	"pgregory.net/rapid"
 )
 
+// The budget must start full, refill by answers and by time up to its capacity, and ignore time that goes
+// back.
 func TestBudget(t *testing.T) {
 	budget := New(Settings{Share: 0.1, Floor: 2}, 0)
 	spend := func(now float64) (n int) {
@@ -28,8 +30,9 @@
 	assert.True(t, unlimited.Spend(1), "the zero value has no limit")
 }
 
-// No more is spent than the capacity, the share of successes and the floor over time.
-func TestNeverMore(t *testing.T) {
+// Retries must never exceed the capacity, the share of the successful answers and the floor over time
+// together.
+func TestSpentRetriesStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Settings{
 			Share: rapid.Float64Range(0.01, 1).Draw(t, "share"),
@@ -47,24 +50,24 @@
 				budget.Spend(now)
 			}
 		}
-		most := s.capacity() + earned + s.Floor*now + 1e-6
-		require.False(t, float64(budget.Spent) > most, "%d spent, at most %g", budget.Spent, most)
+		limit := s.capacity() + earned + s.Floor*now + 1e-6
+		require.False(t, float64(budget.Spent) > limit, "%d spent, at most %g", budget.Spent, limit)
 	})
 }
 
-// The cluster's quota applies besides the own budget: a retry needs both, and the quota is checked only where the own budget
-// allows the retry.
-func TestTheClustersQuota(t *testing.T) {
+// A retry needs both the router's own budget and the cluster's quota. The quota must be asked only if the own
+// budget allows the retry.
+func TestFleetQuotaLimitsRetries(t *testing.T) {
 	for _, tt := range []struct {
 		settings              Settings
-		quota, retries, calls int // calls of the cluster's quota
+		quota, retries, calls int // calls is the number of calls of the cluster's quota
 	}{
 		{Settings{}, 2, 2, 5},
 		{Settings{Floor: 1}, 9, 2, 2},
 		{Settings{Floor: 1}, 1, 1, 5},
 	} {
 		retries, calls, quota := 0, 0, tt.quota
-		tt.settings.Fleet = func() bool {
+		tt.settings.FleetQuota = func() bool {
 			calls++
 			quota--
 			return quota >= 0
--- a/core/routing/sketch/boundedmap.go
+++ b/core/routing/sketch/boundedmap.go
@@ -1,37 +1,40 @@
 package sketch
 
-// queueSlack is the number of stale entries of the queue that may be left beside as many as there are live
+// queueSlack is the number of stale queue entries that are tolerated in addition to as many as there are live
 // ones.
 const queueSlack = 64
 
-// BoundedMap remembers a value by hash, in some 50 bytes each; beyond its size the entries that were put
-// first are dropped. Two things with one hash pass for one, which 64 bits make as good as never.
+// BoundedMap maps hashes to values in about 50 bytes per entry. When it is full, it drops the entries that
+// were put first. Two objects with the same 64-bit hash share an entry, which almost never happens. It is not
+// safe for concurrent use.
 type BoundedMap struct {
 	size     int
-	lastPut  uint32 // number of the last put, which tells a live entry of the queue from a stale one
+	lastPut  uint32 // number of the last put; distinguishes live queue entries from stale ones
 	entries  map[uint64]mapEntry
-	putOrder []queuedKey // may have stale entries, of what was taken or put again since
+	putOrder []queuedKey // queue of puts; entries are stale once their hash was taken or put again
 }
 
+// mapEntry is a value with the number of its put.
 type mapEntry struct {
 	value float64
 	put   uint32
 }
 
+// queuedKey is a hash with the number of its put.
 type queuedKey struct {
 	hash uint64
 	put  uint32
 }
 
-// NewBoundedMap returns an empty map for so many entries.
+// NewBoundedMap returns an empty map that holds at most size entries.
 func NewBoundedMap(size int) *BoundedMap {
 	return &BoundedMap{size: size, entries: map[uint64]mapEntry{}}
 }
 
-// Len is the number of entries.
+// Len returns the number of entries.
 func (m *BoundedMap) Len() int { return len(m.entries) }
 
-// Put adds an entry, as the last that was put, or replaces it.
+// Put adds or replaces an entry and makes it the newest.
 func (m *BoundedMap) Put(hash uint64, value float64) {
 	m.lastPut++
 	m.entries[hash] = mapEntry{value, m.lastPut}
@@ -42,7 +45,7 @@
 	}
 }
 
-// Trim drops the entries that were put first, until so many are left.
+// Trim drops the oldest entries until at most size are left.
 func (m *BoundedMap) Trim(size int) {
 	for len(m.entries) > size {
 		first := m.putOrder[0]
@@ -64,7 +67,7 @@
 	m.putOrder = live
 }
 
-// Take removes an entry and returns its value.
+// Take removes an entry and returns its value; ok is false if there is none.
 func (m *BoundedMap) Take(hash uint64) (value float64, ok bool) {
 	e, ok := m.entries[hash]
 	delete(m.entries, hash)
--- a/core/routing/sketch/boundedmap_test.go
+++ b/core/routing/sketch/boundedmap_test.go
@@ -8,8 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// A bounded map behaves like a plain list that drops what was put first.
-func TestABoundedMapDropsWhatWasPutFirst(t *testing.T) {
+// A bounded map must behave like a plain list that drops what was put first, and its queue must not grow with
+// entries that were taken.
+func TestBoundedMapDropsOldestEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const capacity = 8
 		bounded, order, values := NewBoundedMap(capacity), []uint64{}, map[uint64]float64{}
--- a/core/routing/sketch/sketch.go
+++ b/core/routing/sketch/sketch.go
@@ -1,103 +1,108 @@
-// Package sketch counts how often objects are requested, in memory that does not grow with their number: a
-// count-min sketch with conservative update (Cormode and Muthukrishnan; Estan and Varghese) over the buckets
-// of a window, and a bounded map. A count is never too low within its window, and too high by what falls on
-// the same counters. It is pure.
+// Package sketch counts how often objects are requested, in memory that does not grow with the number of
+// objects. It has a count-min sketch with conservative update (Cormode and Muthukrishnan; Estan and Varghese)
+// over the buckets of a sliding window, and a bounded map. A count within the window is never too low, except
+// that a counter saturates; it is too high by what other objects add to the same counters. The package does no
+// I/O and reads no clock.
 package sketch
 
 import "math"
 
 const (
-	// counters of an object in a bucket: the least counts, and one in 2^4 is wrong if half are taken
-	rows = 4
-	// a counter stands still there: what is requested that often stands in the table of objects
-	maxCount     = 255
+	// rowCount is the number of counters of an object in a bucket, of which the lowest is used. If half of the
+	// counters are in use, one object in 2^4 gets a wrong count.
+	rowCount = 4
+	// maxCount is the value at which a counter saturates. Objects that are requested more often are
+	// in the table of objects anyway.
+	maxCount = 255
+	// secondFactor derives the second hash from the first.
 	secondFactor = 0x9e3779b97f4a7c15
-	minWidth     = 1 << 10 // counters of a row
+	minRowWidth  = 1 << 10 // minimum number of counters in a row
 )
 
-// Sketch counts what was requested in a window of buckets.
+// Sketch counts requests per object in a sliding window of buckets. It is not safe for concurrent use.
 type Sketch struct {
-	buckets  int
-	span     float64 // s; of a bucket
-	width    uint64  // counters of a row
-	epoch    int     // number of the current bucket, counted from time 0
-	counters []uint8 // by bucket, row and column
+	bucketCount int
+	bucketSpan  float64 // seconds; duration of a bucket
+	width       uint64  // number of counters in a row
+	epoch       int     // number of the current bucket, counted from time 0
+	counters    []uint8 // indexed by bucket, row and column
 }
 
-// New returns a sketch of a window of so many buckets of span seconds each, in at most so many bytes.
+// New returns a sketch with a window of the given number of buckets, each span seconds long. It uses at most
+// the given number of bytes, but rows never have fewer than minRowWidth counters.
 func New(buckets int, span float64, bytes int) *Sketch {
-	width := minWidth
-	for width*2*rows*buckets <= bytes {
+	width := minRowWidth
+	for width*2*rowCount*buckets <= bytes {
 		width *= 2
 	}
 	return &Sketch{
-		buckets:  buckets,
-		span:     span,
-		width:    uint64(width),
-		counters: make([]uint8, width*rows*buckets),
+		bucketCount: buckets,
+		bucketSpan:  span,
+		width:       uint64(width),
+		counters:    make([]uint8, width*rowCount*buckets),
 	}
 }
 
-// Bytes is the memory that the counters take.
+// Bytes returns the size of the counters in bytes.
 func (s *Sketch) Bytes() int { return len(s.counters) }
 
-// advance clears the buckets that have left the window. Time that stands still or goes back changes nothing.
+// advance clears the buckets that have left the window. It does nothing if time stands still or goes back.
 func (s *Sketch) advance(now float64) {
-	epoch := int(math.Min(now/s.span, math.MaxInt32))
-	if epoch-s.epoch > s.buckets {
-		s.epoch = epoch - s.buckets
+	epoch := int(math.Min(now/s.bucketSpan, math.MaxInt32))
+	if epoch-s.epoch > s.bucketCount {
+		s.epoch = epoch - s.bucketCount
 	}
 	for s.epoch < epoch {
 		s.epoch++
-		clear(s.bucket(s.epoch % s.buckets))
+		clear(s.bucket(s.epoch % s.bucketCount))
 	}
 }
 
-// bucket is the counters of one bucket by its place.
-func (s *Sketch) bucket(place int) []uint8 {
-	size := rows * int(s.width)
-	return s.counters[place*size : (place+1)*size]
+// bucket returns the counters of the bucket at the given position.
+func (s *Sketch) bucket(position int) []uint8 {
+	size := rowCount * int(s.width)
+	return s.counters[position*size : (position+1)*size]
 }
 
-// index is where an object's counter of a row stands in a bucket: two hashes from one, as Kirsch and
-// Mitzenmacher have it.
+// index returns the position of an object's counter within a bucket, for one row. It derives two hashes from
+// one, as Kirsch and Mitzenmacher describe.
 func (s *Sketch) index(hash, row uint64) uint64 {
 	mixed := hash + row*(hash*secondFactor|1)
 	return row*s.width + mixed>>17&(s.width-1)
 }
 
-// Add counts a request for an object. Only the lowest of its counters go up, as the others count more than it
-// for sure.
+// Add counts a request for an object. It raises only the lowest of the object's counters, because the others
+// already count too much.
 func (s *Sketch) Add(now float64, hash uint64) {
 	s.advance(now)
-	bucket := s.bucket(s.epoch % s.buckets)
-	least := uint8(maxCount)
-	var indexes [rows]uint64
+	bucket := s.bucket(s.epoch % s.bucketCount)
+	lowest := uint8(maxCount)
+	var indexes [rowCount]uint64
 	for row := range indexes {
 		indexes[row] = s.index(hash, uint64(row))
-		least = min(least, bucket[indexes[row]])
+		lowest = min(lowest, bucket[indexes[row]])
 	}
-	if least == maxCount {
+	if lowest == maxCount {
 		return
 	}
 	for _, i := range indexes {
-		bucket[i] = max(bucket[i], least+1)
+		bucket[i] = max(bucket[i], lowest+1)
 	}
 }
 
-// Buckets writes how often an object was requested in each bucket of the window into counts, at the bucket's
-// number modulo the number of buckets, and returns the sum. It is never less than it was, but for the most
-// that a counter holds.
+// Buckets writes the number of requests for an object in each bucket of the window to counts, indexed by
+// bucket number modulo the number of buckets, and returns their sum. A count is never too low unless its
+// counter is saturated.
 func (s *Sketch) Buckets(now float64, hash uint64, counts []float64) (sum float64) {
 	s.advance(now)
-	for place := range s.buckets {
-		bucket := s.bucket(place)
-		least := uint8(maxCount)
-		for row := range uint64(rows) {
-			least = min(least, bucket[s.index(hash, row)])
+	for position := range s.bucketCount {
+		bucket := s.bucket(position)
+		lowest := uint8(maxCount)
+		for row := range uint64(rowCount) {
+			lowest = min(lowest, bucket[s.index(hash, row)])
 		}
-		counts[place] = float64(least)
-		sum += float64(least)
+		counts[position] = float64(lowest)
+		sum += float64(lowest)
 	}
 	return sum
 }
--- a/core/routing/sketch/sketch_test.go
+++ b/core/routing/sketch/sketch_test.go
@@ -17,8 +17,8 @@
 
 const windowBuckets, span = 5, 2.0
 
-// A sketch never underestimates, and buckets that are out of the window count no more.
-func TestNeverTooLittle(t *testing.T) {
+// A sketch must never underestimate, and buckets that have left the window must no longer count.
+func TestSketchNeverUndercounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New(windowBuckets, span, rapid.SampledFrom([]int{0, 1 << 16}).Draw(t, "bytes"))
 		type bucket struct {
@@ -46,7 +46,8 @@
 	})
 }
 
-func TestWindow(t *testing.T) {
+// Counters must saturate, leave the window at its end, and stay unchanged when time goes back.
+func TestSketchWindowAndSaturation(t *testing.T) {
 	s := New(windowBuckets, span, 1<<16)
 	var got [windowBuckets]float64
 	for range 300 {
@@ -62,22 +63,22 @@
 	assert.LessOrEqual(t, New(windowBuckets, span, 1<<20).Bytes(), 1<<20)
 }
 
-// countTable counts exactly, for a bounded number of objects; it evicts the least recently used.
+// countTable counts exactly for a bounded number of objects and evicts the least recently used one.
 type countTable struct {
 	capacity  int
 	byRecency *list.List
 	byHash    map[uint64]*list.Element
-	sketch    *Sketch // has the counts of evicted objects; nil for none
+	sketch    *Sketch // keeps the counts of evicted objects; nil for none
 }
 
-// entry is the count of one object by epoch.
+// entry holds the counts of one object by epoch.
 type entry struct {
 	hash  uint64
 	sums  [windowBuckets]float64
 	epoch int
 }
 
-// count counts a request and returns how many the window has.
+// count counts a request and returns the object's count in the window.
 func (t *countTable) count(now float64, hash uint64) float64 {
 	epoch := int(now / span)
 	e := t.byHash[hash]
@@ -98,7 +99,7 @@
 	return e.Value.(*entry).add(epoch)
 }
 
-// add counts one in an epoch, and returns the sum of the window.
+// add counts one request in an epoch and returns the sum of the window.
 func (e *entry) add(epoch int) (sum float64) {
 	e.epoch = max(e.epoch, epoch-windowBuckets)
 	for ; e.epoch < epoch; e.epoch++ {
@@ -111,7 +112,8 @@
 	return sum
 }
 
-// requestStream is requests, half of them for ten million objects by Zipf, and half a scan that requests each object once.
+// requestStream generates requests. Half of them follow a Zipf distribution over ten million objects, and half
+// are a scan that requests each object once.
 type requestStream struct {
 	zipf        *rand.Zipf
 	random      *rand.Rand
@@ -132,8 +134,9 @@
 	return rank, rendezvous.Mix(rank)
 }
 
-// relativeErrors returns the mean relative error of counts by the decade of the rank, for 20,000 requests a second over three
-// windows. Only objects requested at least six times in the window count, as no other is ever stored at a second cache.
+// relativeErrors returns the mean relative error of counts by decade of the object's rank, for 20,000 requests
+// per second over three windows. It ignores objects that are requested fewer than six times in the window,
+// because those are never stored at a second cache.
 func relativeErrors(count func(now float64, hash uint64) float64) (errors [6]float64) {
 	s, exact := newStream(), map[uint64]*entry{}
 	var samples [6]float64
@@ -162,8 +165,9 @@
 	return &countTable{capacity: capacity, byRecency: list.New(), byHash: map[uint64]*list.Element{}, sketch: sketch}
 }
 
-// The table alone loses counts in a scan; with the sketch behind it objects keep them.
-func TestAScanLeavesTheCountsOfOthers(t *testing.T) {
+// A scan evicts objects from a bounded table, which then loses their counts. With a sketch behind the table
+// the objects must keep them.
+func TestScanKeepsCountsOfOtherObjects(t *testing.T) {
 	alone := relativeErrors(newCountTable(1<<15, nil).count)
 	withSketch := relativeErrors(newCountTable(1<<15, New(windowBuckets, span, 1<<21)).count)
 	t.Logf("error by decade of rank: table %.3f, with sketch %.3f", alone, withSketch)
@@ -171,7 +175,7 @@
 	assert.Greater(t, slices.Max(alone[:]), 2*slices.Max(withSketch[:]), "worst error of the table alone")
 }
 
-// BenchmarkCount measures counting a request, with the sketch and without.
+// BenchmarkCount measures counting a request with and without the sketch.
 func BenchmarkCount(b *testing.B) {
 	hashes, s := make([]uint64, 1<<20), newStream()
 	for i := range hashes {
--- a/core/settings/golden_test.go
+++ b/core/settings/golden_test.go
@@ -9,6 +9,7 @@
 	"elderwall/internal/goldentest"
 )
 
+// The decoded form of valid and malformed settings objects, and the errors, must match the golden file.
 func TestGoldenSettings(t *testing.T) {
 	inputs, err := filepath.Glob("testdata/*.json")
 	if err != nil || len(inputs) == 0 {
--- a/core/settings/settings.go
+++ b/core/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings decodes the settings object that the simulator's first message and the real dispatcher's
-// configuration share.
+// Package settings decodes the settings object, which is shared by the first message of the simulator and the
+// configuration of the real dispatcher.
 package settings
 
 import (
@@ -9,20 +9,21 @@
 	"elderwall/core/routing"
 )
 
-// Settings is what the object tells: what the module goes by, and what sockets need besides. Times are in seconds.
+// Settings are the decoded settings: those of the router, and those that only the connections need. Times are
+// in seconds.
 type Settings struct {
 	routing.Settings
-	Zones, Kinds, Services []string // the names in the module's order
+	Zones, Kinds, Services []string // names, in the order in which the router numbers them
 
-	ConnectTimeout float64 // a connection not up by then counts as refused
-	IdleClose      float64 // hosts close connections that were idle for so long
-	MaxStreams     int     // GETs out on one connection
-	MostHeld       int     // GETs that a dispatcher may hold
+	ConnectTimeout  float64 // seconds; a connection that is not established by then counts as refused
+	IdleTimeout     float64 // seconds; hosts close connections that were idle for this long
+	MaxStreams      int     // maximum number of concurrent GETs on one connection
+	MaxHeldRequests int     // maximum number of GETs that a dispatcher may hold
 }
 
-// object is the settings object as its sender writes it; times are in microseconds. It is an alias, as errors of
-// encoding/json would otherwise bear the type's name.
-type object = struct {
+// wireSettings is the settings object as its sender writes it. Times are in microseconds. It is an alias
+// because errors of encoding/json would otherwise contain the name of the type.
+type wireSettings = struct {
 	Balancers    int      `json:"Balancers"`
 	Index        int      `json:"Index"`
 	Zone         int      `json:"Zone"`
@@ -73,24 +74,25 @@
 	} `json:"Rules"`
 }
 
-// Decode reads the settings object; keys that it does not know are skipped.
+// Decode decodes the settings object and skips unknown keys. It returns an error if raw is not valid JSON or a
+// value has the wrong type.
 func Decode(raw []byte) (Settings, error) {
-	var o object
+	var o wireSettings
 	if err := json.Unmarshal(raw, &o); err != nil {
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	x := o.Extra
 	s := Settings{
 		Zones: o.Zones, Kinds: o.MachineTypes,
-		ConnectTimeout: seconds(o.Limits.ConnectTimeout), IdleClose: seconds(o.Limits.IdleClose),
-		MaxStreams: o.Limits.MaxStreams, MostHeld: o.Limits.MostHeld,
+		ConnectTimeout: seconds(o.Limits.ConnectTimeout), IdleTimeout: seconds(o.Limits.IdleClose),
+		MaxStreams: o.Limits.MaxStreams, MaxHeldRequests: o.Limits.MostHeld,
 	}
 	s.Settings = routing.Settings{
 		Index: o.Index, Dispatchers: o.Balancers, Zone: o.Zone,
 		ParentKind: kind(x.ShieldKind), OriginKind: kind(x.SourceKind),
 		TransferRateKB: x.FlowKbPerS, WeightsKnown: o.Weights == "nominal" || o.Weights == "rough",
 		BypassCaches: x.Straight, CoalesceFills: x.SharesFills,
-		NoteDetail: details[x.NoteLevel], PollEndpoints: o.MembershipMode == "on_request",
+		NoteDetail: noteDetails[x.NoteLevel], PollEndpoints: o.MembershipMode == "on_request",
 		MaxAttempts: o.Limits.MaxAttempts, CanCancel: o.Limits.MayCancel, Hedging: o.Limits.SecondCopies,
 		SlowStartInitial: o.Rules.ColdFrom, SlowStartRamp: seconds(o.Rules.RampTime), OverloadMultiple: o.Rules.TipMultiple,
 		OverloadWindow: seconds(o.Rules.Fall), ParentSlowStartInitial: x.ParentColdFrom, ParentSlowStartRamp: seconds(x.ParentCold),
@@ -99,38 +101,41 @@
 	if o.Limits.RetryAfter {
 		s.MaxRetryAfter = seconds(o.Limits.MaxRetryAfter)
 	}
-	for _, seats := range x.SeatsByZone {
-		s.DispatchersByZone = append(s.DispatchersByZone, int(seats))
+	for _, dispatchers := range x.SeatsByZone {
+		s.DispatchersByZone = append(s.DispatchersByZone, int(dispatchers))
 	}
 	for i, c := range o.Classes {
 		s.Services = append(s.Services, c.Name)
 		s.Settings.Services = append(s.Settings.Services, routing.DeliveryService{
 			Objective: seconds(c.Aim), Stretch: c.AimStretch, ViewerTimeout: seconds(c.Deadline), PriorityWeight: c.Worth,
 			Idempotency: effects[c.Effect], DedupScope: scopes[c.DedupScope], DedupWindow: seconds(c.RepeatWindow),
-			TTL: seconds(at(x.GoodFor, i)),
+			TTL: seconds(valueAt(x.GoodFor, i)),
 		})
 	}
 	return s, nil
 }
 
+// These maps translate names in the settings object. An unknown name gives the zero value.
 var (
-	effects = map[string]routing.Idempotency{"safe": routing.Idempotent, "keyed": routing.IdempotencyKeyed, "unsafe": routing.NonIdempotent}
-	scopes  = map[string]routing.DedupScope{"all": routing.AllHosts, "zone": routing.SameZone, "cell": routing.SameCell}
-	details = map[string]routing.NoteDetail{"all": routing.FillNotes, "hit": routing.HitNotes, "silent": routing.NoNotes}
+	effects     = map[string]routing.Idempotency{"safe": routing.Idempotent, "keyed": routing.IdempotencyKeyed, "unsafe": routing.NonIdempotent}
+	scopes      = map[string]routing.DedupScope{"all": routing.AllHosts, "zone": routing.SameZone, "cell": routing.SameCell}
+	noteDetails = map[string]routing.NoteDetail{"all": routing.FillNotes, "hit": routing.HitNotes, "silent": routing.NoNotes}
 )
 
+// seconds converts microseconds to seconds.
 func seconds(us int64) float64 { return float64(us) / 1e6 }
 
-// kind is a place in the list of machine kinds, or one that no machine has where none is told.
-func kind(place *int) int {
-	if place == nil {
+// kind returns the given index into the list of machine kinds. If it is nil, kind returns -1, which matches no
+// machine.
+func kind(index *int) int {
+	if index == nil {
 		return -1
 	}
-	return *place
+	return *index
 }
 
-// at is a value by delivery service, or its zero where the list is short.
-func at[T any](values []T, i int) (v T) {
+// valueAt returns the value of delivery service i, or the zero value if the list is too short.
+func valueAt[T any](values []T, i int) (v T) {
 	if i < len(values) {
 		v = values[i]
 	}
--- a/core/timerwheel/due_test.go
+++ b/core/timerwheel/wheel_test.go
@@ -14,7 +14,9 @@
 	"elderwall/internal/standin/need"
 )
 
-func TestWheel(t *testing.T) {
+// Items must be returned in the order of their due times, and items with the same time in the order in which
+// they were added. Removed items must not be returned.
+func TestWheelOrderAndRemoval(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
 		at     []float64
@@ -44,31 +46,33 @@
 	}
 }
 
-// plain is the plain way, against which the wheel is held: a list of all that is due, in the order in which it was added.
-type plain []Due[int]
+// referenceQueue is the simple implementation that the wheel is compared with: a list of all items in the
+// order in which they were added.
+type referenceQueue []Due[int]
 
-// popAt takes out the first of those that are due earliest.
-func (p *plain) popAt(now float64) (d Due[int], ok bool) {
+// popAt removes and returns the item that is due first. Of items with the same time it takes the one that was
+// added first.
+func (q *referenceQueue) popAt(now float64) (d Due[int], ok bool) {
 	at := -1
-	for i, d := range *p {
-		if d.At <= now && (at < 0 || d.At < (*p)[at].At) {
+	for i, d := range *q {
+		if d.At <= now && (at < 0 || d.At < (*q)[at].At) {
 			at = i
 		}
 	}
 	if at < 0 {
 		return d, false
 	}
-	d = (*p)[at]
-	*p = slices.Delete(*p, at, at+1)
+	d = (*q)[at]
+	*q = slices.Delete(*q, at, at+1)
 	return d, true
 }
 
-// The wheel gives what the heap gives, in its order, whatever is added, removed and waited for: also when time stands
-// still, jumps by an hour, or goes back.
-func TestAWheelIsAQueue(t *testing.T) {
+// The wheel must return the same items in the same order as a simple queue, whatever is added and removed,
+// also when time stands still, jumps by an hour or goes back.
+func TestWheelMatchesReferenceQueue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var w Wheel[int]
-		var p plain
+		var reference referenceQueue
 		var timers []*Timer[int]
 		var added []int
 		now := rapid.SampledFrom([]float64{0, 5, 1e6}).Draw(t, "start")
@@ -78,29 +82,30 @@
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
 				at := now + delays.Draw(t, "in")
-				timers, added, p = append(timers, w.Add(at, i)), append(added, i), append(p, Due[int]{at, i})
+				timers, added, reference = append(timers, w.Add(at, i)), append(added, i), append(reference, Due[int]{at, i})
 			case 2:
 				if len(timers) > 0 {
 					k := rapid.IntRange(0, len(timers)-1).Draw(t, "which")
-					p = slices.DeleteFunc(p, func(d Due[int]) bool { return d.Item == added[k] })
+					reference = slices.DeleteFunc(reference, func(d Due[int]) bool { return d.Item == added[k] })
 					w.Remove(timers[k])
 				}
 			case 3:
 				now += rapid.SampledFrom([]float64{0, 0.001, 0.01, 1, 70, 3600, -0.5}).Draw(t, "passes")
 				for range rapid.IntRange(1, 100).Draw(t, "taken") {
 					got, ok := w.PopAt(now)
-					want, wantOK := p.popAt(now)
+					want, wantOK := reference.popAt(now)
 					if got != want || ok != wantOK {
 						t.Fatalf("%v %t, want %v %t", got, ok, want, wantOK)
 					}
 				}
 			}
-			require.Equal(t, len(p), w.Len(), "%d items, want %d", w.Len(), len(p))
+			require.Equal(t, len(reference), w.Len(), "%d items, want %d", w.Len(), len(reference))
 		}
 	})
 }
 
-func TestAnHourCostsTheWheelNoMoreThanATick(t *testing.T) {
+// A wheel whose next item is an hour away must reach it without visiting each tick, and without allocating.
+func TestLongJumpAllocatesNothing(t *testing.T) {
 	var w Wheel[int]
 	w.Add(3600, 1)
 	w.Add(7200, 2)
@@ -111,8 +116,8 @@
 	assert.LessOrEqual(t, testing.AllocsPerRun(10, func() { w.Pop(7000) }), 0.0)
 }
 
-// BenchmarkTimers is what a GET does to the timers of a module that has so many open: it adds one some time ahead, and
-// takes one out that is not due; each hundredth is waited for.
+// BenchmarkTimers measures what a GET does to the timers of a router that has n of them open: it adds one and
+// removes one that is not due. Expired timers are popped on every hundredth GET.
 func BenchmarkTimers(b *testing.B) {
 	for _, n := range []int{100, 10_000, 1_000_000} {
 		ahead, which, r := make([]float64, 1<<16), make([]int, 1<<16), rand.New(rand.NewPCG(1, 2))
--- a/internal/dispatcher/coalescing.go
+++ b/internal/dispatcher/coalescing.go
@@ -30,8 +30,8 @@
 	if q.variant.Declared {
 		key.Service = ^s
 	}
-	w, role := d.coalescer.Enter(now, key, q.deadline, q)
-	if q.waiter = w; role == coalescing.Follows {
+	w, role := d.coalescer.Join(now, key, q.deadline, q)
+	if q.waiter = w; role == coalescing.Follower {
 		d.Options.Counts.Joined.Add(1)
 		return true
 	}
@@ -43,7 +43,7 @@
 	leads := d.newLeaders
 	d.newLeaders = nil
 	for _, q := range leads {
-		if !q.finished || q.waiter.Needed() {
+		if !q.finished || q.waiter.HasFollowers() {
 			d.router.HandleRequest(now, q.routed)
 		}
 	}
@@ -57,7 +57,7 @@
 		return
 	}
 	now := d.Clock.Now()
-	answered, _ := d.coalescer.Ended(now, q.waiter, coalescing.Served)
+	answered, _ := d.coalescer.FinishLeader(now, q.waiter, coalescing.Served)
 	for _, o := range answered {
 		if o.finished || d.Variants != nil && d.redirectFollower(now, o, of) {
 			continue
@@ -76,7 +76,7 @@
 
 // endFollowers takes the end of a leader that got nothing: those that wait have the same, or one of them goes
 // on.
-func (d *Dispatcher) endFollowers(q *request, how coalescing.How, answer func(*request)) {
+func (d *Dispatcher) endFollowers(q *request, how coalescing.Outcome, answer func(*request)) {
 	if q.waiter == nil || d.coalescer == nil {
 		return
 	}
@@ -88,13 +88,13 @@
 		return
 	}
 	now := d.Clock.Now()
-	answered, next := d.coalescer.Ended(now, q.waiter, how)
+	answered, next := d.coalescer.FinishLeader(now, q.waiter, how)
 	for _, o := range answered {
 		answer(o)
 	}
 	if next != nil {
 		d.Options.Counts.TookLead.Add(1)
-		d.newLeaders = append(d.newLeaders, next.W) // the module is at work on the one that ended
+		d.newLeaders = append(d.newLeaders, next.Value) // the module is at work on the one that ended
 	}
 	d.forget(q)
 }
@@ -112,7 +112,7 @@
 	if stops {
 		d.router.HandleClientGone(now, stop.id)
 		d.forget(stop)
-	} else if !follows && !q.waiter.Needed() {
+	} else if !follows && !q.waiter.HasFollowers() {
 		d.router.HandleClientGone(now, q.id)
 	}
 }
@@ -122,11 +122,11 @@
 	if d.coalescer == nil {
 		return
 	}
-	for late, ok := d.coalescer.Pass(now); ok; late, ok = d.coalescer.Pass(now) {
-		d.shedRequest(late.Over, 0)
-		if late.Stops {
-			d.router.HandleClientGone(now, late.Stop.id)
-			d.forget(late.Stop)
+	for late, ok := d.coalescer.NextTimedOut(now); ok; late, ok = d.coalescer.NextTimedOut(now) {
+		d.shedRequest(late.Follower, 0)
+		if late.StopLeader {
+			d.router.HandleClientGone(now, late.Leader.id)
+			d.forget(late.Leader)
 		}
 	}
 }
--- a/internal/dispatcher/endpoints.go
+++ b/internal/dispatcher/endpoints.go
@@ -110,7 +110,7 @@
 			h.phase = routing.Removed // what was to go to this address does not
 			h.Leave()
 		}
-		wait := clock.Duration(endpoints.First(d.Settings.Seed, e.ID, together))
+		wait := clock.Duration(endpoints.FirstConnectionDelay(d.Settings.Seed, e.ID, together))
 		h = &host{Host: upstream.New(told.Address, d.Options, wait), name: told.ID, address: told.Address}
 		d.hosts[e.ID] = h
 	}
--- a/internal/dispatcher/events.go
+++ b/internal/dispatcher/events.go
@@ -10,7 +10,7 @@
 
 // Take takes an event of the change log; a long list in steps, between which requests go on.
 func (d *Dispatcher) Take(e changelog.Event) {
-	if e.Fleet == nil || len(e.Fleet.Hosts) <= endpoints.MostTaken || d.Shard != nil || !d.endpointsKnown.Load() {
+	if e.Fleet == nil || len(e.Fleet.Hosts) <= endpoints.MaxBatch || d.Shard != nil || !d.endpointsKnown.Load() {
 		d.callRecovering(func(now float64) { d.handleEvent(now, e) })
 		return
 	}
@@ -20,7 +20,7 @@
 		changes = d.changedHosts(*e.Fleet)
 	})
 	e.Fleet = nil
-	for _, step := range endpoints.Steps(changes, func(h changelog.Host) bool { return h.State != "SERVING" }, endpoints.MostTaken) {
+	for _, step := range endpoints.Batches(changes, func(h changelog.Host) bool { return h.State != "SERVING" }, endpoints.MaxBatch) {
 		d.callRecovering(func(now float64) { d.updateEndpoints(now, changelog.Fleet{Hosts: step}) })
 	}
 	d.callRecovering(func(now float64) { d.handleEvent(now, e) })
@@ -58,7 +58,7 @@
 func (d *Dispatcher) applyPurge(now float64, object string, group int, at float64) {
 	d.router.HandlePurge(now, object, group, now-at)
 	if d.coalescer != nil {
-		d.coalescer.Purged(object, group)
+		d.coalescer.Purge(object, group)
 	}
 	d.withdrawUnsent(func(a *attempt) bool {
 		asks := a.request.routed
--- a/internal/dispatcher/request.go
+++ b/internal/dispatcher/request.go
@@ -81,7 +81,7 @@
 // twice, by its last attempt and again by whoever ended it: shards would count one request too few as open,
 // and free an id that may be another's by then.
 func (d *Dispatcher) forget(q *request) {
-	if !q.finished || q.waiter.Needed() || d.requests[q.id] != q {
+	if !q.finished || q.waiter.HasFollowers() || d.requests[q.id] != q {
 		return
 	}
 	if q.outstanding > 0 {
--- a/internal/dispatcher/results.go
+++ b/internal/dispatcher/results.go
@@ -14,7 +14,7 @@
 	f.returned = true
 	f.request.outstanding--
 	a.RequestID, a.Attempt, a.Elapsed = f.request.id, f.number, d.Clock.Now()-f.sentAt
-	a.Final = f.request.finished && !f.request.waiter.Needed() || a.Outcome == routing.Succeeded
+	a.Final = f.request.finished && !f.request.waiter.HasFollowers() || a.Outcome == routing.Succeeded
 	d.pendingResults = append(d.pendingResults, a)
 	d.forget(f.request)
 }
--- a/internal/dispatcher/shard.go
+++ b/internal/dispatcher/shard.go
@@ -127,9 +127,9 @@
 // them together.
 func (d *Dispatcher) reserve(body int) bool {
 	if d.Shard == nil {
-		return len(d.requests) < d.Settings.MostHeld && d.Options.Room.Take(body)
+		return len(d.requests) < d.Settings.MaxHeldRequests && d.Options.Room.Take(body)
 	}
-	if d.Shard.Shared.Open.Add(1) <= int64(d.Settings.MostHeld) && d.Options.Room.Take(body) {
+	if d.Shard.Shared.Open.Add(1) <= int64(d.Settings.MaxHeldRequests) && d.Options.Room.Take(body) {
 		return true
 	}
 	d.Shard.Shared.Open.Add(-1)
--- a/internal/extensions/extras.go
+++ b/internal/extensions/extras.go
@@ -107,7 +107,7 @@
 func (e *Extras) Retries() retrybudget.Settings {
 	s := e.told.Retries
 	if e.divides() {
-		s.Fleet = func() bool {
+		s.FleetQuota = func() bool {
 			_, ok := spender{e}.Spend(quota.UseRetries) // a rate: nothing is to be given back
 			return ok
 		}
--- a/internal/extproc/extproc_test.go
+++ b/internal/extproc/extproc_test.go
@@ -73,7 +73,7 @@
 	s.Settings.Services[0].Objective, s.Settings.Services[0].ViewerTimeout = 1, 10
 	n := dispatcher.New(dispatcher.Config{Settings: s, Clock: clock.New(), Options: o, Connections: 400})
 	r.handler = &paused{Dispatcher: n}
-	options := Options{Decide: 0.5, Calls: proxycall.Settings{Hold: 0.1, Share: 1, Open: 20_000}, Rules: rules()}
+	options := Options{Decide: 0.5, Calls: proxycall.Settings{HoldTime: 0.1, MaxProxyShare: 1, MaxOpen: 20_000}, Rules: rules()}
 	if change != nil {
 		change(&options)
 	}
@@ -225,7 +225,7 @@
 	budget, _ := strconv.Atoi(set["x-elderwall-budget-ms"])
 	assert.InDelta(t, 2000, budget, 100)
 	by, _ := strconv.ParseInt(set["x-elderwall-send-by"], 10, 64)
-	assert.LessOrEqual(t, by, time.Now().Add(proxycall.SendWithin*1e9).UnixMilli(), "what was named is to be sent within half of the drain's grace")
+	assert.LessOrEqual(t, by, time.Now().Add(proxycall.SendTimeout*1e9).UnixMilli(), "what was named is to be sent within half of the drain's grace")
 	assert.Contains(t, common.GetHeaderMutation().GetRemoveHeaders(), "x-elderwall-unsent", "what clients forge is taken out")
 	assert.Equal(t, set["x-elderwall-host"], m.GetDynamicMetadata().GetFields()["elderwall"].GetStructValue().GetFields()["host"].GetStringValue())
 	require.NoError(t, s.CloseSend())
@@ -317,7 +317,7 @@
 
 // An id goes on with a GET for its own proxy alone, and only while that waits.
 func TestAnotherProxysID(t *testing.T) {
-	r := newRig(t, func(o *Options) { o.Calls.Hold = 5 })
+	r := newRig(t, func(o *Options) { o.Calls.HoldTime = 5 })
 	s, m := r.told(r.proxy(), ":path", path)
 	id := proxy.Set(m.GetRequestHeaders().GetResponse().GetHeaderMutation())["x-elderwall-get"]
 	assert.Equal(t, 200, r.one(proxy.None, "x-elderwall-get", id).Status)
@@ -408,7 +408,7 @@
 }
 
 func TestABoundOnWhatIsOpen(t *testing.T) {
-	r := newRig(t, func(o *Options) { o.Calls = proxycall.Settings{Open: 10, Share: 0.5, Hold: 0.3} })
+	r := newRig(t, func(o *Options) { o.Calls = proxycall.Settings{MaxOpen: 10, MaxProxyShare: 0.5, HoldTime: 0.3} })
 	statuses := map[int]int{}
 	for range 8 {
 		statuses[r.one(proxy.GoneAfterTold).Status]++
@@ -428,7 +428,7 @@
 
 // Several thousand calls with all that proxies do wrong: none is left undecided, each GET has one end, and nothing is out at any host in the end.
 func TestThousandsOfCalls(t *testing.T) {
-	r := newRig(t, func(o *Options) { o.Calls.Hold, o.Decide = 0.2, 2 })
+	r := newRig(t, func(o *Options) { o.Calls.HoldTime, o.Decide = 0.2, 2 })
 	var failing atomic.Int64
 	r.answer = func(string, map[string]string) proxy.Answer {
 		switch n := failing.Add(1); {
@@ -527,7 +527,7 @@
 
 // A route that waits for its proxy to come again is decided anew when its host is told to drain: it would outlast the grace.
 func TestADrainBeforeAFurtherCall(t *testing.T) {
-	r := newRig(t, func(o *Options) { o.Calls.Hold = 5 })
+	r := newRig(t, func(o *Options) { o.Calls.HoldTime = 5 })
 	r.answer = func(string, map[string]string) proxy.Answer { return proxy.Answer{Status: 500} }
 	p := r.proxy()
 	p.Tries = 1
@@ -559,7 +559,7 @@
 	if text := os.Getenv(callsEnv); text != "" {
 		n, _ = strconv.Atoi(text)
 	}
-	r := newRig(t, func(o *Options) { o.Calls.Hold, o.Decide = 0.1, 2 })
+	r := newRig(t, func(o *Options) { o.Calls.HoldTime, o.Decide = 0.1, 2 })
 	var held atomic.Int64 // forwards that caches are at
 	r.answer = func(string, map[string]string) proxy.Answer {
 		held.Add(1)
--- a/internal/extproc/rules.go
+++ b/internal/extproc/rules.go
@@ -180,7 +180,7 @@
 
 // response is what the headers of a host's response tell.
 type response struct {
-	reply  proxycall.Reply
+	reply  proxycall.Response
 	note   string
 	proofs hostproto.Proofs // none where no devices are told apart
 }
@@ -196,7 +196,7 @@
 		return response{}, fmt.Errorf("%w: status", ErrBad)
 	}
 	got := response{note: h[r.Prefix+"note"]}
-	got.reply = proxycall.Reply{Status: status, Full: got.note == "full", Age: -1}
+	got.reply = proxycall.Response{Status: status, Full: got.note == "full", Age: -1}
 	if age, err := strconv.ParseFloat(h[ageName], 64); err == nil && age >= 0 {
 		got.reply.Age = age
 	}
--- a/internal/extproc/server.go
+++ b/internal/extproc/server.go
@@ -78,7 +78,7 @@
 	asks  map[proxycall.ID]*ask
 
 	lineMu sync.Mutex
-	line   proxycall.Line[*ask]
+	line   proxycall.Queue[*ask]
 	wake   chan struct{}
 }
 
@@ -86,7 +86,7 @@
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	s.begin()
 	options := []grpc.ServerOption{
-		grpc.MaxRecvMsgSize(longestMessage), grpc.MaxConcurrentStreams(uint32(s.table.Open)),
+		grpc.MaxRecvMsgSize(longestMessage), grpc.MaxConcurrentStreams(uint32(s.table.MaxOpen)),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveEach, Timeout: keepaliveIn}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: keepaliveIn, PermitWithoutStream: true}),
 	}
@@ -119,7 +119,7 @@
 	var seed [32]byte
 	_, _ = crypto.Read(seed[:])
 	s.table, s.asks = proxycall.New(s.Calls, seed), map[proxycall.ID]*ask{}
-	s.line.Most, s.wake, s.health = s.table.Open, make(chan struct{}, 1), health.NewServer()
+	s.line.Capacity, s.wake, s.health = s.table.MaxOpen, make(chan struct{}, 1), health.NewServer()
 	s.health.SetServingStatus("", healthpb.HealthCheckResponse_SERVING)
 }
 
@@ -214,7 +214,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Clock.Now()
-	for row, ok := s.table.Pass(now); ok; row, ok = s.table.Pass(now) {
+	for row, ok := s.table.NextExpired(now); ok; row, ok = s.table.NextExpired(now) {
 		if a := s.asks[row.ID]; a != nil {
 			gone = append(gone, a)
 			delete(s.asks, row.ID)
@@ -410,15 +410,15 @@
 // again goes on with a GET of this proxy that waits for it; false if there is none.
 func (st *stream) again(asked Asked) bool {
 	st.mu.Lock()
-	row, proof := st.table.Again(st.Clock.Now(), st.proxy, asked.Again, asked.Unsent)
+	row, proof := st.table.Resume(st.Clock.Now(), st.proxy, asked.Again, asked.Unsent)
 	a := st.asks[asked.Again]
 	st.mu.Unlock()
 	if row == nil || a == nil {
 		return false
 	}
 	st.Counts.ProxyAgain.Add(1)
-	st.ask, st.closes = a, time.Now().Add(clock.Duration(row.Until-st.Clock.Now())+linger)
-	if route := a.current(); route != nil && proof != proxycall.Nothing {
+	st.ask, st.closes = a, time.Now().Add(clock.Duration(row.Deadline-st.Clock.Now())+linger)
+	if route := a.current(); route != nil && proof != proxycall.Unknown {
 		route.End(func(float64) (routing.Outcome, routing.Note, bool) { return outcomes[proof], routing.NoNote, true })
 	}
 	return true
@@ -437,7 +437,7 @@
 		return st.Rules.immediate(f)
 	}
 	st.mu.Lock()
-	st.table.Name(st.Clock.Now(), a.row, route.Number, route.Before)
+	st.table.AssignForward(st.Clock.Now(), a.row, route.Number, route.Before)
 	sendIn := a.row.SendBy - st.Clock.Now()
 	st.mu.Unlock()
 	var others []string
@@ -459,10 +459,10 @@
 }
 
 // outcomes is what the module is told of a proof.
-var outcomes = map[proxycall.Proof]routing.Outcome{
+var outcomes = map[proxycall.Outcome]routing.Outcome{
 	proxycall.Returned: routing.Succeeded, proxycall.HostError: routing.HostFailed,
-	proxycall.Full: routing.Rejected, proxycall.TooOld: routing.Rejected, proxycall.Lacks: routing.NotCached, proxycall.Unreached: routing.Unreachable,
-	proxycall.Dropped: routing.ConnectionLost,
+	proxycall.HostFull: routing.Rejected, proxycall.StaleCopy: routing.Rejected, proxycall.NotCached: routing.NotCached, proxycall.NotSent: routing.Unreachable,
+	proxycall.Abandoned: routing.ConnectionLost,
 }
 
 // notes is what hosts say of a hit or a fill in a header.
@@ -484,16 +484,16 @@
 	if _, f := a.more(); f != nil {
 		return st.last(a, f), nil
 	}
-	route, proofs := a.current(), make(chan proxycall.Proof, 1)
+	route, proofs := a.current(), make(chan proxycall.Outcome, 1)
 	route.End(func(oldest float64) (routing.Outcome, routing.Note, bool) {
 		st.mu.Lock()
 		defer st.mu.Unlock()
 		if route.Good != nil && got.reply.Status < statusBad && !route.Good(got.proofs) {
 			got.reply.Age, oldest = -1, math.MaxFloat64 // as one that is too old: another is to be asked for
 		}
-		proof := st.table.Replied(st.Clock.Now(), a.row, got.reply, oldest, route.HeldOnly)
+		proof := st.table.HandleResponse(st.Clock.Now(), a.row, got.reply, oldest, route.HeldOnly)
 		proofs <- proof
-		return outcomes[proof], notes[got.note], proof != proxycall.Nothing
+		return outcomes[proof], notes[got.note], proof != proxycall.Unknown
 	})
 	by := time.NewTimer(time.Duration(st.Decide * float64(time.Second)))
 	defer by.Stop()
@@ -510,7 +510,7 @@
 }
 
 // proven says what the client gets of a response: the copy, the answer that the proxy may come again on, or the final one.
-func (st *stream) proven(a *ask, proof proxycall.Proof) *procv3.ProcessingResponse {
+func (st *stream) proven(a *ask, proof proxycall.Outcome) *procv3.ProcessingResponse {
 	if proof == proxycall.Returned {
 		st.over(a)
 		st.ask = nil
@@ -521,7 +521,7 @@
 	switch {
 	case f != nil:
 		return st.last(a, f)
-	case waits && proof != proxycall.TooOld:
+	case waits && proof != proxycall.StaleCopy:
 		return continueResponse(mutation([]pair{{st.Rules.Prefix + "again", fmt.Sprintf("%016x", uint64(a.row.ID))}}))
 	case waits: // the copy itself must not go out
 		out := st.Rules.immediate(&final{status: statusShed})
@@ -544,12 +544,12 @@
 		return
 	}
 	st.mu.Lock()
-	proof := st.table.Ended(st.Clock.Now(), a.row)
-	if proof == proxycall.Left {
+	proof := st.table.StreamEnded(st.Clock.Now(), a.row)
+	if proof == proxycall.ClientLeft {
 		delete(st.asks, a.row.ID)
 	}
 	st.mu.Unlock()
-	if proof == proxycall.Left {
+	if proof == proxycall.ClientLeft {
 		st.abandon(a)
 	}
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -183,7 +183,7 @@
 func TestProxies(t *testing.T) {
 	c := need.Of(decode("f", fmt.Sprintf(`{proxies: {listen: '127.0.0.1:9002', paths: [%s], decide: '8ms', late: 'pass', hold: '300ms', share: 0.25, open: 100, metadata: true}}`, onePath), services))(t)
 	p := c.Proxies
-	assert.Equal(t, []any{"127.0.0.1:9002", 0.008, true, 0.3, 0.25, 100, true, true}, []any{p.Listen, p.Decide, p.Open, p.Calls.Hold, p.Calls.Share, p.Calls.Open, p.Metadata, p.Rules.Routing})
+	assert.Equal(t, []any{"127.0.0.1:9002", 0.008, true, 0.3, 0.25, 100, true, true}, []any{p.Listen, p.Decide, p.Open, p.Calls.HoldTime, p.Calls.MaxProxyShare, p.Calls.MaxOpen, p.Metadata, p.Rules.Routing})
 	assert.True(t, p.Rules.Paths[0].Pattern.MatchString("/clips/7f3a9c21e0b4d655/3"))
 	assert.False(t, p.Rules.Paths[0].Pattern.MatchString("/x/clips/7f3a9c21e0b4d655/3"), "the whole path")
 	faults(t, func(text string) string { return "{proxies: " + strings.ReplaceAll(text, "%s", onePath) + "}" }, map[string]string{
--- a/internal/operator/proxies.go
+++ b/internal/operator/proxies.go
@@ -22,8 +22,8 @@
 // proxies reads the listener for proxies that ask for each request.
 func (d *decoder) proxies(o *configfile.Object) {
 	p := &Proxies{Options: extproc.Options{
-		Decide: proxycall.DefaultDecide, Rules: extproc.Rules{Prefix: prefixDefault},
-		Calls: proxycall.Settings{Open: proxycall.DefaultOpen, Share: proxycall.DefaultShare, Hold: proxycall.DefaultHold},
+		Decide: proxycall.DefaultDecisionTimeout, Rules: extproc.Rules{Prefix: prefixDefault},
+		Calls: proxycall.Settings{MaxOpen: proxycall.DefaultMaxOpen, MaxProxyShare: proxycall.DefaultMaxProxyShare, HoldTime: proxycall.DefaultHoldTime},
 	}}
 	o.Address("listen", &p.Listen)
 	if p.Listen == "" {
@@ -34,9 +34,9 @@
 	o.Word("late", &late, "shed", "pass")
 	p.Rules.Routing, p.Open = mode == "routing", late == "pass"
 	o.Duration("decide", &p.Decide, 0.0005, 10)
-	o.Duration("hold", &p.Calls.Hold, 0.01, 60)
-	o.Count("open", &p.Calls.Open, 1, mostOpen)
-	o.Number("share", &p.Calls.Share, 0.001, 1)
+	o.Duration("hold", &p.Calls.HoldTime, 0.01, 60)
+	o.Count("open", &p.Calls.MaxOpen, 1, mostOpen)
+	o.Number("share", &p.Calls.MaxProxyShare, 0.001, 1)
 	o.Flag("metadata", &p.Metadata)
 	if o.Text("prefix", &p.Rules.Prefix); !prefixPattern.MatchString(p.Rules.Prefix) {
 		o.Fault("prefix", `must be small letters, digits and "-", and end with "-"`)
@@ -62,7 +62,7 @@
 }
 
 func (d *decoder) path(o *configfile.Object, p *Proxies) {
-	rule, text := extproc.Path{Budget: proxycall.DefaultBudget}, ""
+	rule, text := extproc.Path{Budget: proxycall.DefaultViewerTimeout}, ""
 	o.Text("match", &text)
 	o.Text("service", &rule.Service)
 	o.Duration("budget", &rule.Budget, 0.01, mostBudget)
--- a/internal/service/config.go
+++ b/internal/service/config.go
@@ -83,7 +83,7 @@
 		return errors.New("configuration: no memory, or too few sockets")
 	case len(c.settings.Services) == 0:
 		return errors.New("settings: no delivery services")
-	case c.settings.MaxStreams <= 0 || c.settings.MostHeld <= 0:
+	case c.settings.MaxStreams <= 0 || c.settings.MaxHeldRequests <= 0:
 		return errors.New("settings: no stream limit, or none on what is held")
 	}
 	return usable(c.settings)
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -226,7 +226,7 @@
 		Dialer:    net.Dialer{Timeout: clock.Duration(c.settings.ConnectTimeout)},
 		Places:    upstream.NewPlaces(c.Limits.Sockets - clients - ownSockets),
 		Dials:     upstream.NewDials(),
-		IdleClose: clock.Duration(c.settings.IdleClose), Streams: c.settings.MaxStreams, Context: ctx, Group: group,
+		IdleClose: clock.Duration(c.settings.IdleTimeout), Streams: c.settings.MaxStreams, Context: ctx, Group: group,
 	}
 	n := dispatcher.Config{Settings: c.settings, Clock: clock.New(), Options: o, Connections: c.Limits.Sockets - clients - ownSockets}
 	if gate != nil {
--- a/internal/service/usable.go
+++ b/internal/service/usable.go
@@ -26,7 +26,7 @@
 		return errors.New("settings: maxAttempts: below 0")
 	case s.ConnectTimeout < 0:
 		return errors.New("settings: connectTimeout: below 0")
-	case s.IdleClose < 0:
+	case s.IdleTimeout < 0:
 		return errors.New("settings: idleClose: below 0")
 	}
 	return nil
--- a/internal/standin/rig/rig.go
+++ b/internal/standin/rig/rig.go
@@ -37,7 +37,7 @@
 // Settings is one zone with caches, parents and an origin, and one idempotent delivery service.
 func Settings(held int) settings.Settings {
 	return settings.Settings{
-		Zones: []string{"z"}, Kinds: []string{"std", "parent", "origin"}, Services: []string{"segment"}, MostHeld: held,
+		Zones: []string{"z"}, Kinds: []string{"std", "parent", "origin"}, Services: []string{"segment"}, MaxHeldRequests: held,
 		Settings: routing.Settings{
 			ParentKind: 1, OriginKind: 2, CanCancel: true, MaxAttempts: 6, PurgeGrace: 60, CoalesceFills: true,
 			SlowStartInitial: 0.2, SlowStartRamp: 9, OverloadMultiple: 2, OverloadWindow: 1, DispatchersByZone: []int{1}, Dispatchers: 1,
--- a/internal/upstream/places.go
+++ b/internal/upstream/places.go
@@ -12,7 +12,7 @@
 // Dials bounds the connections that are begun in a time.
 type Dials struct {
 	mu    sync.Mutex
-	pace  endpoints.Pace
+	pace  endpoints.ConnectionLimiter
 	start time.Time
 }
 
@@ -22,7 +22,7 @@
 func (d *Dials) begin() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.pace.Begin(time.Since(d.start).Seconds())
+	return d.pace.Allow(time.Since(d.start).Seconds())
 }
 
 // Places bounds the connections to all hosts together. Where all are taken, the one that was idle for longest gives way
