--- a/cmd/elderwall-operator/duties.go
+++ b/cmd/elderwall-operator/duties.go
@@ -76,7 +76,7 @@
 		if d.More > 0 {
 			waiting = append(waiting, fmt.Sprintf("%d more", d.More))
 		}
-		out.Printf("%s\t%s\t%d\t%s\t%gs\t%s\t%s\t%d, %d\t%s\n", d.Name, holder, d.Token, rest, d.Length, d.Zone, d.To, d.Mark, d.Told, strings.Join(waiting, ", "))
+		out.Printf("%s\t%s\t%d\t%s\t%gs\t%s\t%s\t%d, %d\t%s\n", d.Name, holder, d.Token, rest, d.LeaseLength, d.PreferredZone, d.TransferTo, d.Started, d.Completed, strings.Join(waiting, ", "))
 	}
 	return out.Flush()
 }
@@ -95,7 +95,7 @@
 	}
 	for _, d := range t.Duties {
 		if d.Name == c.Duty {
-			return c.command(lease.Command{Act: lease.HandOver, Duty: c.Duty, Token: d.Token, Name: c.To})
+			return c.command(lease.Command{Kind: lease.Transfer, Duty: c.Duty, Token: d.Token, Name: c.To})
 		}
 	}
 	return fmt.Errorf("no duty %q", c.Duty)
@@ -108,7 +108,7 @@
 
 // Run forgets a duty.
 func (c *dropCommand) Run() error {
-	return c.command(lease.Command{Act: lease.Drop, Duty: c.Duty})
+	return c.command(lease.Command{Kind: lease.Drop, Duty: c.Duty})
 }
 
 type budgetsCommand struct {
@@ -203,7 +203,7 @@
 		name, era := "?", uint32(0)
 		for _, seat := range t.Seats {
 			if seat.ID == id {
-				name, era = seat.Name, seat.Era
+				name, era = seat.Name, seat.DiskEpoch
 			}
 		}
 		out.Printf("%d\t%s\t%d\t%s\t%d\n", id, name, era, part, max(0, int64(s.Commit)-int64(s.Match[id])))
@@ -240,7 +240,7 @@
 	if strings.Contains(parsed.Command(), "add") {
 		kind = lease.AddLearner
 	}
-	_, err = cluster.AskChange(context.Background(), c.At, keys, lease.Change{Kind: kind, ID: c.ID})
+	_, err = cluster.AskChange(context.Background(), c.At, keys, lease.VoterChange{Kind: kind, ID: c.ID})
 	return err
 }
 
--- a/cmd/elderwall-operator/fleet.go
+++ b/cmd/elderwall-operator/fleet.go
@@ -73,12 +73,12 @@
 
 func list(to io.Writer, t cluster.Told) error {
 	var head strings.Builder
-	fmt.Fprintf(&head, "%s, %s: sees %d of %d (%s), sure %.2f", t.Self.Name, t.Standing, t.View.Seen, t.View.Of, t.Level, t.View.Sure)
-	if t.View.Doubt {
+	fmt.Fprintf(&head, "%s, %s: sees %d of %d (%s), sure %.2f", t.Self.Name, t.Standing, t.View.Seen, t.View.AgreedSize, t.Level, t.View.Confidence)
+	if t.View.LocalFaultLikely {
 		head.WriteString(", doubts itself")
 	}
-	if t.View.Differs > 0 {
-		fmt.Fprintf(&head, ", %d see it otherwise", t.View.Differs)
+	if t.View.DifferingViews > 0 {
+		fmt.Fprintf(&head, ", %d see it otherwise", t.View.DifferingViews)
 	}
 	head.WriteString("\n")
 	if t.Memory != nil {
@@ -96,12 +96,12 @@
 		return time.Duration((t.Now - at) * float64(time.Second)).Round(time.Second / 10).String()
 	}
 	for _, m := range t.Members {
-		by := m.By
+		by := m.AccusedBy
 		if m.State == membership.Alive || m.State == membership.Left {
 			by = ""
 		}
-		out.Printf("%s\t%s\t%s\t%s\t%d.%d\t%s\t%s\t%s\t%s\t%08x\t%s\n", m.Name, m.State, ago(m.Since), m.Zone, m.Incarnation>>32, uint32(m.Incarnation),
-			m.Address, m.Link, ago(m.Heard), humanize.Comma(int64(m.Load.GETs)), m.Generation, by)
+		out.Printf("%s\t%s\t%s\t%s\t%d.%d\t%s\t%s\t%s\t%s\t%08x\t%s\n", m.Name, m.State, ago(m.StateSince), m.Zone, m.Incarnation>>32, uint32(m.Incarnation),
+			m.Address, m.Link, ago(m.LastContact), humanize.Comma(int64(m.Load.GETs)), m.SettingsGeneration, by)
 	}
 	return out.Flush()
 }
@@ -167,10 +167,10 @@
 
 // sightings is how the asked dispatcher sees itself and each member, by name.
 func sightings(t cluster.Told) map[string]string {
-	seen := map[string]string{t.Self.Name: fmt.Sprintf("%s, sees %s, %d of %d", t.Standing, t.Level, t.View.Seen, t.View.Of)}
+	seen := map[string]string{t.Self.Name: fmt.Sprintf("%s, sees %s, %d of %d", t.Standing, t.Level, t.View.Seen, t.View.AgreedSize)}
 	for _, m := range t.Members {
 		seen[m.Name] = m.State.String()
-		if m.Link != membership.Clear {
+		if m.Link != membership.LinkClear {
 			seen[m.Name] += ", " + m.Link.String()
 		}
 	}
--- a/cmd/elderwall-operator/golden_test.go
+++ b/cmd/elderwall-operator/golden_test.go
@@ -132,7 +132,7 @@
 	goldentest.Check(t, "printed/states.json", need.Of(snakejson.Indent([]any{
 		printedStates[membership.State](5), printedStates[membership.Level](5), printedStates[membership.Link](4),
 		printedStates[membership.Standing](3), printedStates[channel.Order](7), printedStates[replication.Level](4),
-		printedStates[quota.Kind](4), printedStates[lease.Act](3), printedStates[channel.EventKind](3),
+		printedStates[quota.Kind](4), printedStates[lease.CommandKind](3), printedStates[channel.EventKind](3),
 		[]membership.State{membership.Alive, membership.Left},
 	}))(t))
 }
--- a/cmd/elderwall-operator/hold.go
+++ b/cmd/elderwall-operator/hold.go
@@ -63,7 +63,7 @@
 		options: c, keys: keys, command: command, answers: make(chan cluster.Told, holdAsks), ended: make(chan error, 1),
 		holder: lease.NewHolder(c.Name, rand.Uint64()|1, c.Zone, c.Priority),
 	}
-	h.holder.Want(c.Duty, c.Lease.Seconds(), cluster.BootTime())
+	h.holder.Register(c.Duty, c.Lease.Seconds(), cluster.BootTime())
 	if err := h.untilOver(signals); err != nil {
 		return err
 	}
@@ -99,7 +99,7 @@
 		case <-ticker.C:
 		case t := <-h.answers:
 			if h.asking--; t.Error == "" {
-				h.holder.Answer(cluster.BootTime(), t.Number, t.Leases)
+				h.holder.HandleAnswer(cluster.BootTime(), t.Number, t.Leases)
 			}
 		case err := <-h.ended:
 			h.status, h.finished, h.run = err, true, nil
@@ -115,7 +115,7 @@
 			}
 			continue
 		}
-		if h.holder.Settled() || h.token == 0 || now > h.until { // where nobody answers it runs out by itself
+		if h.holder.AllReleased() || h.token == 0 || now > h.until { // where nobody answers it runs out by itself
 			return nil
 		}
 	}
@@ -150,9 +150,9 @@
 
 // act starts the command once the duty is held, and ends it before the lease is over.
 func (h *holding) act(now float64) error {
-	token, ok := h.holder.Act(h.options.Duty, now)
-	h.until = max(h.until, h.holder.Until(h.options.Duty))
-	left := h.holder.Until(h.options.Duty) - now
+	token, ok := h.holder.HeldToken(h.options.Duty, now)
+	h.until = max(h.until, h.holder.ExpiresAt(h.options.Duty))
+	left := h.holder.ExpiresAt(h.options.Duty) - now
 	length := h.options.Lease.Seconds()
 	switch {
 	case h.run == nil && ok && left > termAt*length:
@@ -160,7 +160,7 @@
 	case h.run != nil && (!ok || token != h.token || left < killAt*length):
 		h.lost = true
 		_ = syscall.Kill(-h.run.Process.Pid, syscall.SIGKILL)
-	case h.run != nil && !h.asked && (left < termAt*length || slices.Contains(h.holder.Handing(), h.options.Duty)):
+	case h.run != nil && !h.asked && (left < termAt*length || slices.Contains(h.holder.TransfersRequested(), h.options.Duty)):
 		h.asked, h.lost = true, true
 		_ = syscall.Kill(-h.run.Process.Pid, syscall.SIGTERM)
 	}
--- a/core/cluster/lease/granter.go
+++ b/core/cluster/lease/granter.go
@@ -5,203 +5,211 @@
 	"slices"
 )
 
-// Granter is the leader's part: it counts the leases of the state on its own clock, from when it came to lead or heard of a
-// grant or a renewal itself, and proposes the end of those that have run out. Guards against leaders that change: a new one knows no time of
-// the old one's and counts each lease anew.
+// Granter times leases at the leader of the log and proposes the expiry of those that have run out. It times each lease
+// on its own clock, starting when it became the leader or when it saw the grant or a renewal. Guards against changes of
+// the leader: a new leader does not know the times of the old one, so it restarts the timer of each lease. It is not
+// safe for concurrent use; all times are seconds on the caller's monotonic clock.
 type Granter struct {
-	state *State
-	leads bool
-	since float64              // when it came to lead
-	clock map[string]*counted  // by duty
-	heard map[standing]float64 // when who stands last said so
-	swept float64
+	state        *State
+	leading      bool
+	leadingSince float64                // when it became the leader
+	timers       map[string]*leaseTimer // by duty name
+	lastContact  map[process]float64    // when a candidate last sent a renewal request
+	lastSweep    float64
 }
 
-type standing struct {
-	name string
-	boot uint64
+// process identifies one process of a dispatcher.
+type process struct {
+	name   string
+	bootID uint64
 }
 
-type counted struct {
-	token    uint64
-	from     float64 // the last renewal, or the grant
-	granted  float64
-	length   float64 // the longest that was in force since
-	expiring float64 // when its end was proposed, 0 before
-	proved   bool
+// leaseTimer is the granter's timing of one lease.
+type leaseTimer struct {
+	token            uint64
+	renewedAt        float64 // time of the last renewal, or of the grant
+	grantedAt        float64
+	length           float64 // seconds; the longest lease length in force since the grant
+	expireProposedAt float64 // when its expiry was last proposed, 0 for never
+	forgiveProposed  bool
 }
 
 const (
-	sweepEach   = 1.0 // s between looks for who stands no more
-	settles     = 5.0 // s of a leadership, before duties are levelled
-	proposeEach = 2.0 // s after which an end that did not come is proposed again
+	sweepInterval       = 1.0 // seconds between searches for absent candidates
+	rebalanceDelay      = 5.0 // seconds after becoming the leader, before duties are rebalanced
+	expireRetryInterval = 2.0 // seconds after which an expiry that has not been applied is proposed again
 )
 
-// NewGranter counts the leases of a state.
+// NewGranter returns a granter for the leases in s. It is not the leader until SetLeading is called.
 func NewGranter(s *State) *Granter {
-	return &Granter{state: s, clock: map[string]*counted{}, heard: map[standing]float64{}}
+	return &Granter{state: s, timers: map[string]*leaseTimer{}, lastContact: map[process]float64{}}
 }
 
-// Lead begins or ends the leadership.
-func (g *Granter) Lead(now float64, leads bool) {
-	if g.leads == leads {
+// SetLeading tells the granter whether this process is the leader. A change discards all timers; a new leader starts
+// them anew.
+func (g *Granter) SetLeading(now float64, leading bool) {
+	if g.leading == leading {
 		return
 	}
-	g.leads, g.since = leads, now
-	clear(g.clock)
-	clear(g.heard)
-	if leads {
+	g.leading, g.leadingSince = leading, now
+	clear(g.timers)
+	clear(g.lastContact)
+	if leading {
 		for _, name := range g.state.Names() {
-			g.Applied(now, name)
+			g.DutyChanged(now, name)
 		}
 	}
 }
 
-// Restored takes another state in place of the one it had.
+// Restored replaces the state, for instance after a snapshot was installed, and restarts all timers.
 func (g *Granter) Restored(now float64, s *State) {
 	g.state = s
-	leads := g.leads
-	g.Lead(now, false)
-	g.Lead(now, leads)
+	leads := g.leading
+	g.SetLeading(now, false)
+	g.SetLeading(now, leads)
 }
 
-// Applied takes word that a command has changed a duty.
-func (g *Granter) Applied(now float64, name string) {
-	if !g.leads {
+// DutyChanged must be called after a command has changed the duty of that name. It starts, extends or removes its lease
+// timer.
+func (g *Granter) DutyChanged(now float64, name string) {
+	if !g.leading {
 		return
 	}
 	d := g.state.Get(name)
 	if d == nil || !d.Held() {
-		delete(g.clock, name)
+		delete(g.timers, name)
 		return
 	}
-	if c := g.clock[name]; c == nil || c.token != d.Token {
-		g.clock[name] = &counted{token: d.Token, from: now, granted: now, length: d.Length}
+	if c := g.timers[name]; c == nil || c.token != d.Token {
+		g.timers[name] = &leaseTimer{token: d.Token, renewedAt: now, grantedAt: now, length: d.LeaseLength}
 	} else {
-		c.length = math.Max(c.length, d.Length)
+		c.length = math.Max(c.length, d.LeaseLength)
 	}
 }
 
-// Turn is what a dispatcher says of itself, several times a lease.
-type Turn struct {
-	ID       uint64    `cbor:"ID"` // of the question; higher ones are later
-	Name     string    `cbor:"Name"`
-	Boot     uint64    `cbor:"Boot"`
-	Zone     string    `cbor:"Zone"`
-	Priority int       `cbor:"Priority"`
-	Stands   []string  `cbor:"Stands"`  // for these duties
-	Lengths  []float64 `cbor:"Lengths"` // s; of their leases, where they are new
-	Backs    []Lease   `cbor:"Backs"`   // that it has given up: nothing is done under them any more
+// RenewalRequest is sent by a dispatcher several times per lease. It registers the dispatcher for duties, renews its
+// leases and releases them.
+type RenewalRequest struct {
+	ID           uint64    `cbor:"ID"` // of the request; later requests of a process have higher IDs
+	Name         string    `cbor:"Name"`
+	BootID       uint64    `cbor:"Boot"`
+	Zone         string    `cbor:"Zone"`
+	Priority     int       `cbor:"Priority"`
+	Duties       []string  `cbor:"Stands"`  // names of the duties that the dispatcher wants to hold
+	LeaseLengths []float64 `cbor:"Lengths"` // seconds; by index into Duties, used only for duties that are not declared yet
+	Released     []Lease   `cbor:"Backs"`   // leases that the dispatcher has given up; it acts no more under them
 }
 
-// Lease is what a dispatcher has of a duty.
+// Lease is a duty as granted to one dispatcher.
 type Lease struct {
-	Duty   string  `json:"Duty"`
-	Token  uint64  `json:"Token"`
-	Length float64 `json:"Length"` // s
-	Hand   bool    `json:"Hand"`   // it is to be given back, for another
+	Duty              string  `json:"Duty"`
+	Token             uint64  `json:"Token"`
+	Length            float64 `json:"Length"` // seconds
+	TransferRequested bool    `json:"Hand"`   // the holder is to release the duty, so that another dispatcher can take it over
 }
 
-// Commands is what a turn comes to in the log; none where it tells nothing new.
-func (g *Granter) Commands(t *Turn) (all []Command) {
-	var fresh []string
-	for i, name := range t.Stands {
+// Commands returns the commands that a request adds to the log; none if the request contains nothing new.
+func (g *Granter) Commands(t *RenewalRequest) (all []Command) {
+	var unregistered []string
+	for i, name := range t.Duties {
 		d := g.state.Get(name)
 		if d == nil {
-			if i < len(t.Lengths) {
-				all, fresh = append(all, Command{Act: Declare, Duty: name, Length: t.Lengths[i]}), append(fresh, name)
+			if i < len(t.LeaseLengths) {
+				all, unregistered = append(all, Command{Kind: Declare, Duty: name, LeaseLength: t.LeaseLengths[i]}), append(unregistered, name)
 			}
 			continue
 		}
-		if d.Held() && d.Holder.Name == t.Name && d.Holder.Boot == t.Boot {
+		if d.Held() && d.Holder.Name == t.Name && d.Holder.BootID == t.BootID {
 			continue
 		}
 		known := slices.ContainsFunc(d.Waiting, func(c Candidate) bool {
-			return c.Name == t.Name && c.Boot == t.Boot && c.Zone == t.Zone && c.Priority == t.Priority
+			return c.Name == t.Name && c.BootID == t.BootID && c.Zone == t.Zone && c.Priority == t.Priority
 		})
 		if !known {
-			fresh = append(fresh, name)
+			unregistered = append(unregistered, name)
 		}
 	}
-	for _, b := range t.Backs {
+	for _, b := range t.Released {
 		if d := g.state.Get(b.Duty); d != nil && d.Token == b.Token && d.Held() {
-			all = append(all, Command{Act: GiveBack, Duty: b.Duty, Token: b.Token, Name: t.Name, Boot: t.Boot})
+			all = append(all, Command{Kind: Release, Duty: b.Duty, Token: b.Token, Name: t.Name, BootID: t.BootID})
 		}
 	}
-	if len(fresh) > 0 {
-		all = append(all, Command{Act: Stand, Duties: fresh, Name: t.Name, Boot: t.Boot, Zone: t.Zone, Priority: t.Priority})
+	if len(unregistered) > 0 {
+		all = append(all, Command{Kind: Register, Duties: unregistered, Name: t.Name, BootID: t.BootID, Zone: t.Zone, Priority: t.Priority})
 	}
 	return all
 }
 
-// Confirm renews all that a dispatcher holds, and tells it. The turn came at a time on this clock; since then a majority has
-// confirmed that this one leads, and all that was in the log by then is in the state. A lease whose end is proposed is renewed no more.
-func (g *Granter) Confirm(came float64, t *Turn) (held []Lease) {
-	if !g.leads {
+// Renew renews all leases that the sender of a request holds, and returns them. The request arrived at receivedAt on the
+// granter's clock. Since then a majority must have confirmed that this process still leads, and the state must contain
+// everything that was in the log at that time. A lease whose expiry has been proposed is not renewed.
+func (g *Granter) Renew(receivedAt float64, t *RenewalRequest) (held []Lease) {
+	if !g.leading {
 		return nil
 	}
-	g.heard[standing{t.Name, t.Boot}] = came
-	for _, name := range t.Stands {
+	g.lastContact[process{t.Name, t.BootID}] = receivedAt
+	for _, name := range t.Duties {
 		d := g.state.Get(name)
-		c := g.clock[name]
-		if d == nil || c == nil || !d.Held() || d.Holder.Name != t.Name || d.Holder.Boot != t.Boot || c.token != d.Token || c.expiring > 0 ||
-			slices.ContainsFunc(t.Backs, func(b Lease) bool { return b.Duty == name && b.Token == d.Token }) {
+		c := g.timers[name]
+		if d == nil || c == nil || !d.Held() || d.Holder.Name != t.Name || d.Holder.BootID != t.BootID || c.token != d.Token || c.expireProposedAt > 0 ||
+			slices.ContainsFunc(t.Released, func(b Lease) bool { return b.Duty == name && b.Token == d.Token }) {
 			continue
 		}
-		c.from = math.Max(c.from, came)
-		c.length = math.Max(c.length, d.Length)
-		held = append(held, Lease{Duty: name, Token: d.Token, Length: d.Length, Hand: d.To != ""})
+		c.renewedAt = math.Max(c.renewedAt, receivedAt)
+		c.length = math.Max(c.length, d.LeaseLength)
+		held = append(held, Lease{Duty: name, Token: d.Token, Length: d.LeaseLength, TransferRequested: d.TransferTo != ""})
 	}
 	return held
 }
 
-// Rest is how long a lease has to run by this clock, in seconds; below 0 where nobody knows.
-func (g *Granter) Rest(now float64, name string) float64 {
-	if c := g.clock[name]; c != nil {
-		return math.Max(0, c.from+c.length*(1+Drift)-now)
+// Remaining returns how many seconds a lease still has to run by the granter's clock, or -1 if the duty has no timer.
+func (g *Granter) Remaining(now float64, name string) float64 {
+	if c := g.timers[name]; c != nil {
+		return math.Max(0, c.renewedAt+c.length*(1+MaxClockDrift)-now)
 	}
 	return -1
 }
 
-// Tick gives what is to be proposed: the end of leases that have run out, who stands no more, and whose failures are forgiven.
+// Tick returns the commands to propose: expiry of leases that have run out, removal of absent candidates, forgiveness of
+// failures, and rebalancing.
 func (g *Granter) Tick(now float64) (all []Command) {
-	if !g.leads {
+	if !g.leading {
 		return nil
 	}
 	for _, name := range g.state.Names() {
-		c, d := g.clock[name], g.state.Get(name)
+		c, d := g.timers[name], g.state.Get(name)
 		if c == nil {
 			continue
 		}
-		if now >= c.from+c.length*(1+Drift) && (c.expiring == 0 || now-c.expiring > proposeEach) {
-			c.expiring = now
-			all = append(all, Command{Act: Expire, Duty: name, Token: c.token})
-		} else if !c.proved && d.Holder.Failures > 0 && now-c.granted > forgives*c.length {
-			c.proved = true
-			all = append(all, Command{Act: Prove, Duty: name, Token: c.token})
+		if now >= c.renewedAt+c.length*(1+MaxClockDrift) && (c.expireProposedAt == 0 || now-c.expireProposedAt > expireRetryInterval) {
+			c.expireProposedAt = now
+			all = append(all, Command{Kind: Expire, Duty: name, Token: c.token})
+		} else if !c.forgiveProposed && d.Holder.Failures > 0 && now-c.grantedAt > forgiveAfterLeases*c.length {
+			c.forgiveProposed = true
+			all = append(all, Command{Kind: ForgiveFailures, Duty: name, Token: c.token})
 		}
 	}
-	if now-g.swept >= sweepEach {
-		g.swept = now
+	if now-g.lastSweep >= sweepInterval {
+		g.lastSweep = now
 		all = append(all, g.sweep(now)...)
-		if now-g.since > settles { // those who stand have said so by then
-			all = append(all, g.state.Level()...)
+		if now-g.leadingSince > rebalanceDelay { // by then all candidates have registered
+			all = append(all, g.state.Rebalance()...)
 		}
 	}
 	return all
 }
 
-// sweep finds who stands for duties and has said nothing for long.
+// sweep returns commands that remove candidates which have sent no request for absentAfterLeases lease lengths.
 func (g *Granter) sweep(now float64) (all []Command) {
-	gone := map[standing]bool{}
+	unregistered := map[process]bool{}
 	for _, name := range g.state.Names() {
 		d := g.state.Get(name)
 		for _, w := range d.Waiting {
-			who := standing{w.Name, w.Boot}
-			if now-math.Max(g.since, g.heard[who]) > absent*d.Length && !gone[who] {
-				gone[who] = true
-				delete(g.heard, who)
-				all = append(all, Command{Act: Gone, Name: w.Name, Boot: w.Boot})
+			who := process{w.Name, w.BootID}
+			if now-math.Max(g.leadingSince, g.lastContact[who]) > absentAfterLeases*d.LeaseLength && !unregistered[who] {
+				unregistered[who] = true
+				delete(g.lastContact, who)
+				all = append(all, Command{Kind: Unregister, Name: w.Name, BootID: w.BootID})
 			}
 		}
 	}
--- a/core/cluster/lease/holder.go
+++ b/core/cluster/lease/holder.go
@@ -4,105 +4,110 @@
 	"slices"
 )
 
-// Holder is a dispatcher's part: which duties it stands for, which it holds, and until when by its own clock.
+// Holder keeps the leases of one dispatcher: which duties it is registered for, which it holds, and until when by its
+// own clock. It is not safe for concurrent use; all times are seconds on the caller's monotonic clock.
 type Holder struct {
-	name     string
-	boot     uint64
-	zone     string
-	priority int
-	wants    []string
-	lengths  []float64 // s; of the leases of those
-	held     map[string]*lease
-	backs    []Lease
+	name          string
+	bootID        uint64
+	zone          string
+	priority      int
+	duties        []string
+	leaseLengths  []float64 // seconds; by index into duties
+	held          map[string]*heldLease
+	released      []Lease
+	lastID        uint64
+	pending       []pendingRequest // the latest requests; an answer to any of them may still arrive, late if disks are slow
+	answeredID    uint64           // the latest request that was answered
+	refusedID     uint64           // the latest request that was refused because the receiver is not the leader
+	nextRequestAt float64
+	leaving       bool
+}
+
+// pendingRequest is a request that has been sent, with the leases that it released.
+type pendingRequest struct {
 	id       uint64
-	asked    []asking // the last questions: an answer to any may come, late ones where disks are slow
-	answered uint64   // the latest question that was answered
-	refused  uint64   // the latest whose answer was that another leads
-	due      float64
-	leaving  bool
+	sentAt   float64
+	released []Lease
 }
 
-// asking is a question with when it was asked, and how much of backs was in it.
-type asking struct {
-	id    uint64
-	at    float64
-	backs []Lease
-}
-
-type lease struct {
+// heldLease is a granted lease with its end by the holder's own clock.
+type heldLease struct {
 	Lease
-	until  float64
-	ending bool // it is to be given back: no further act
+	expiresAt float64
+	ending    bool // the lease is to be released: no further action is allowed
 }
 
 const (
-	turnsEach = 3.0  // a lease: two may be lost
-	idleTurn  = 1.0  // s between turns that hold nothing
-	refusedIn = 0.05 // of a turn's time, before another is asked when the one that was asked does not lead
-	answerIn  = 0.5  // of a turn's time; then it is asked anew, of another
-	leastTurn = 0.02
-	mostAsked = 8 // questions whose answers may still come
+	requestsPerLease    = 3.0  // two requests may be lost per lease
+	idleRequestInterval = 1.0  // seconds; longest time between requests, in particular while no lease is held
+	refusalRetryShare   = 0.05 // of the request interval; the delay before another voter is asked after a refusal
+	answerTimeoutShare  = 0.5  // of the request interval; after it an unanswered request is sent again, to another voter
+	minRequestInterval  = 0.02 // seconds
+	maxPending          = 8    // requests whose answers are still accepted
 )
 
-// NewHolder stands for nothing.
-func NewHolder(name string, boot uint64, zone string, priority int) *Holder {
-	// Guards against answers to an earlier process at the same address: its questions had other numbers.
-	first := boot * 0x9e3779b97f4a7c15 >> 1
-	return &Holder{name: name, boot: boot, zone: zone, priority: priority, held: map[string]*lease{}, id: first, answered: first}
+// NewHolder returns a holder that is registered for no duty.
+func NewHolder(name string, bootID uint64, zone string, priority int) *Holder {
+	// Guards against answers to an earlier process at the same address: its requests had other IDs.
+	first := bootID * 0x9e3779b97f4a7c15 >> 1
+	return &Holder{name: name, bootID: bootID, zone: zone, priority: priority, held: map[string]*heldLease{}, lastID: first, answeredID: first}
 }
 
-// Want stands for a duty from now on; one that is new gets leases of a length.
-func (h *Holder) Want(duty string, length, now float64) {
-	if !slices.Contains(h.wants, duty) {
-		h.wants, h.lengths = append(h.wants, duty), append(h.lengths, length)
-		h.due = now
+// Register requests a duty from now on. A duty that is not declared yet is created with the given lease length, in
+// seconds.
+func (h *Holder) Register(duty string, length, now float64) {
+	if !slices.Contains(h.duties, duty) {
+		h.duties, h.leaseLengths = append(h.duties, duty), append(h.leaseLengths, length)
+		h.nextRequestAt = now
 	}
 }
 
-// Leave gives all back, and stands for nothing any more.
+// Leave releases all leases and withdraws all requests for duties.
 func (h *Holder) Leave(now float64) {
-	h.leaving, h.wants, h.lengths = true, nil, nil
+	h.leaving, h.duties, h.leaseLengths = true, nil, nil
 	for _, l := range h.held {
-		h.giveBack(l)
+		h.release(l)
 	}
-	h.due = now
+	h.nextRequestAt = now
 }
 
-// GiveBack gives a duty up after its last act.
-func (h *Holder) GiveBack(duty string, now float64) {
+// Release gives up a duty. The caller must have finished its last action under the duty.
+func (h *Holder) Release(duty string, now float64) {
 	if l := h.held[duty]; l != nil {
-		h.giveBack(l)
-		h.due = now
+		h.release(l)
+		h.nextRequestAt = now
 	}
 }
 
-func (h *Holder) giveBack(l *lease) {
-	h.backs = append(h.backs, l.Lease)
+// release ends a lease locally and queues its release for the next request.
+func (h *Holder) release(l *heldLease) {
+	h.released = append(h.released, l.Lease)
 	delete(h.held, l.Duty)
 }
 
-// Act asks whether an act may be done under a duty now, and with which token. It is to be asked right before each act: whoever
-// was stopped since it last was asked finds its time gone.
-func (h *Holder) Act(duty string, now float64) (token uint64, ok bool) {
+// HeldToken returns the fencing token of a held duty; ok is false if no action is allowed under it now. It must be
+// called right before each action, so that a process that was stopped in between notices that its lease has run out.
+func (h *Holder) HeldToken(duty string, now float64) (token uint64, ok bool) {
 	l := h.held[duty]
-	if l == nil || now >= l.until || l.ending {
+	if l == nil || now >= l.expiresAt || l.ending {
 		return 0, false
 	}
 	return l.Token, true
 }
 
-// Until is when a lease ends by the own clock, 0 where there is none.
-func (h *Holder) Until(duty string) float64 {
+// ExpiresAt returns when a lease ends by the holder's own clock, or 0 if the duty is not held.
+func (h *Holder) ExpiresAt(duty string) float64 {
 	if l := h.held[duty]; l != nil {
-		return l.until
+		return l.expiresAt
 	}
 	return 0
 }
 
-// Handing tells which duties are wanted by others: each is to be given back after its last act.
-func (h *Holder) Handing() (all []string) {
+// TransfersRequested returns the held duties that are to be transferred to another dispatcher, sorted. Each must be
+// released after its last action.
+func (h *Holder) TransfersRequested() (all []string) {
 	for name, l := range h.held {
-		if l.Hand {
+		if l.TransferRequested {
 			all = append(all, name)
 		}
 	}
@@ -110,10 +115,10 @@
 	return all
 }
 
-// Held lists what is held now.
+// Held returns the leases that have not run out, sorted by duty name.
 func (h *Holder) Held(now float64) (all []Lease) {
 	for _, l := range h.held {
-		if now < l.until {
+		if now < l.expiresAt {
 			all = append(all, l.Lease)
 		}
 	}
@@ -131,98 +136,101 @@
 	return 0
 }
 
-// each is the time between turns, s: several a lease, of those that are held or could be given any moment.
-func (h *Holder) each() float64 {
-	shortest := idleTurn * turnsEach
-	for _, l := range h.lengths {
+// requestInterval returns the seconds between requests: a third of the shortest lease that is held or may be granted,
+// within bounds.
+func (h *Holder) requestInterval() float64 {
+	shortest := idleRequestInterval * requestsPerLease
+	for _, l := range h.leaseLengths {
 		shortest = min(shortest, l)
 	}
 	for _, l := range h.held {
 		shortest = min(shortest, l.Length)
 	}
-	return max(leastTurn, shortest/turnsEach)
+	return max(minRequestInterval, shortest/requestsPerLease)
 }
 
-// Tick gives the next turn, when it is time for one; fresh tells that the last one was answered, else another voter is to be asked.
-func (h *Holder) Tick(now float64) (t Turn, ask, fresh bool) {
+// Tick returns the next request if one is due; send reports whether it is. onTime is false while the last request has
+// been waiting too long for its answer: the next one must then go to another voter.
+func (h *Holder) Tick(now float64) (t RenewalRequest, send, onTime bool) {
 	for name, l := range h.held {
-		if now >= l.until {
+		if now >= l.expiresAt {
 			delete(h.held, name)
 		}
 	}
-	waits := max(h.answered, h.refused) < h.id
-	if waits && now-h.asked[len(h.asked)-1].at > answerIn*h.each() {
-		h.due = min(h.due, now)
+	waiting := max(h.answeredID, h.refusedID) < h.lastID
+	if waiting && now-h.pending[len(h.pending)-1].sentAt > answerTimeoutShare*h.requestInterval() {
+		h.nextRequestAt = min(h.nextRequestAt, now)
 	} else {
-		fresh = true
+		onTime = true
 	}
-	if now < h.due || len(h.wants) == 0 && len(h.backs) == 0 {
-		return t, false, fresh
+	if now < h.nextRequestAt || len(h.duties) == 0 && len(h.released) == 0 {
+		return t, false, onTime
 	}
-	h.id++
-	h.due = now + h.each()
-	h.asked = append(h.asked, asking{h.id, now, slices.Clone(h.backs)})
-	if len(h.asked) > mostAsked {
-		h.asked = h.asked[1:]
+	h.lastID++
+	h.nextRequestAt = now + h.requestInterval()
+	h.pending = append(h.pending, pendingRequest{h.lastID, now, slices.Clone(h.released)})
+	if len(h.pending) > maxPending {
+		h.pending = h.pending[1:]
 	}
-	return Turn{
-		ID: h.id, Name: h.name, Boot: h.boot, Zone: h.zone, Priority: h.priority, Stands: slices.Clone(h.wants), Lengths: slices.Clone(h.lengths),
-		Backs: slices.Clone(h.backs),
-	}, true, fresh
+	return RenewalRequest{
+		ID: h.lastID, Name: h.name, BootID: h.bootID, Zone: h.zone, Priority: h.priority, Duties: slices.Clone(h.duties), LeaseLengths: slices.Clone(h.leaseLengths),
+		Released: slices.Clone(h.released),
+	}, true, onTime
 }
 
-// Refused takes word that whoever was asked does not lead: the one that does is asked soon. Guards against leases lost as whoever stands asks
-// one voter after another and waits at each.
-func (h *Holder) Refused(now float64, id uint64) {
-	if i := slices.IndexFunc(h.asked, func(a asking) bool { return a.id == id }); i >= 0 && id > max(h.answered, h.refused) {
-		h.refused = id
-		h.due = min(h.due, max(now, h.asked[i].at+refusedIn*h.each()))
+// HandleRefusal records that the receiver of a request is not the leader, and brings the next request forward. Guards
+// against leases that are lost while a dispatcher asks one voter after another and waits a full interval at each.
+func (h *Holder) HandleRefusal(now float64, id uint64) {
+	if i := slices.IndexFunc(h.pending, func(a pendingRequest) bool { return a.id == id }); i >= 0 && id > max(h.answeredID, h.refusedID) {
+		h.refusedID = id
+		h.nextRequestAt = min(h.nextRequestAt, max(now, h.pending[i].sentAt+refusalRetryShare*h.requestInterval()))
 	}
 }
 
-// Answer takes what a turn came to. The leases count from when it was asked, not from now. Answers to turns before one that
-// is answered are passed over: what they say may have changed.
-func (h *Holder) Answer(_ float64, id uint64, all []Lease) {
-	i := slices.IndexFunc(h.asked, func(a asking) bool { return a.id == id })
-	if i < 0 || id <= h.answered {
+// HandleAnswer takes over the leases in the answer to a request. They are timed from when the request was sent. Answers
+// to requests that are older than an answered one are ignored, since their content may be outdated.
+func (h *Holder) HandleAnswer(_ float64, id uint64, all []Lease) {
+	i := slices.IndexFunc(h.pending, func(a pendingRequest) bool { return a.id == id })
+	if i < 0 || id <= h.answeredID {
 		return
 	}
-	asked := h.asked[i]
-	h.answered, h.asked = id, h.asked[i+1:]
-	h.backs = slices.DeleteFunc(h.backs, func(b Lease) bool { return slices.Contains(asked.backs, b) })
+	request := h.pending[i]
+	h.answeredID, h.pending = id, h.pending[i+1:]
+	h.released = slices.DeleteFunc(h.released, func(b Lease) bool { return slices.Contains(request.released, b) })
 	if h.leaving {
 		return
 	}
-	all = slices.DeleteFunc(slices.Clone(all), func(l Lease) bool { // given up since it was asked
-		return slices.ContainsFunc(h.backs, func(b Lease) bool { return b.Duty == l.Duty && b.Token == l.Token })
+	all = slices.DeleteFunc(slices.Clone(all), func(l Lease) bool { // released since the request was sent
+		return slices.ContainsFunc(h.released, func(b Lease) bool { return b.Duty == l.Duty && b.Token == l.Token })
 	})
 	for _, l := range all {
-		if !slices.Contains(h.wants, l.Duty) {
+		if !slices.Contains(h.duties, l.Duty) {
 			continue
 		}
 		o := h.held[l.Duty]
 		if o == nil || o.Token != l.Token {
-			o = &lease{}
+			o = &heldLease{}
 			h.held[l.Duty] = o
 		}
-		o.Lease, o.until = l, max(o.until, asked.at+l.Length*(1-Drift))
+		o.Lease, o.expiresAt = l, max(o.expiresAt, request.sentAt+l.Length*(1-MaxClockDrift))
 	}
 	for name := range h.held {
 		if !slices.ContainsFunc(all, func(l Lease) bool { return l.Duty == name && l.Token == h.held[name].Token }) {
-			delete(h.held, name) // another has it, or its end is near
+			delete(h.held, name) // another dispatcher holds it, or its expiry has been proposed
 		}
 	}
-	h.due = min(h.due, asked.at+h.each()) // a lease may be shorter than what was waited for
+	h.nextRequestAt = min(h.nextRequestAt, request.sentAt+h.requestInterval()) // a granted lease may be shorter than the ones known when the request was sent
 }
 
-// Settled tells that nothing is held and nothing waits to be given back.
-func (h *Holder) Settled() bool { return len(h.held) == 0 && len(h.backs) == 0 }
+// AllReleased reports whether no lease is held and no release remains to be sent.
+func (h *Holder) AllReleased() bool { return len(h.held) == 0 && len(h.released) == 0 }
 
-// Fence is kept by whatever takes acts: it refuses tokens that are lower than one it has seen.
+// Fence protects a receiver of actions: it rejects tokens below the highest that it has seen for a duty. It is not safe
+// for concurrent use.
 type Fence struct{ highest map[string]uint64 }
 
-// Take tells whether an act counts.
-func (f *Fence) Take(duty string, token uint64) bool {
+// Accept reports whether an action with this token is allowed, and records the token.
+func (f *Fence) Accept(duty string, token uint64) bool {
 	if f.highest == nil {
 		f.highest = map[string]uint64{}
 	}
--- a/core/cluster/membership/gossip.go
+++ b/core/cluster/membership/gossip.go
@@ -6,373 +6,386 @@
 	"slices"
 )
 
-// rumour is news with how often it was passed on.
-type rumour struct {
+// queuedUpdate is a record to be gossiped, with the number of times that it has been sent.
+type queuedUpdate struct {
 	Member
 	sends int
 }
 
 const (
-	mostNews   = 1 << 10 // records that are passed on at a time; what is crowded out comes with the next exchange
-	longWord   = 255     // bytes of a name, an address, a zone
-	contacts   = 8       // addresses that one who is ousted still knows
-	mostSelves = 3       // former selves at the own address: more of them are a twin behind the same address
+	maxQueuedUpdates  = 1 << 10 // queued at a time; a record that is displaced arrives with the next table exchange
+	maxTextBytes      = 255     // limit of a name, an address or a zone, in bytes
+	maxRejoinContacts = 8       // addresses that an ousted member keeps
+	maxFormerSelves   = 3       // more records of other processes with the own address mean that a live process shares it
 )
 
-// send puts a message out.
+// send queues a message for sending in a datagram.
 func (m *Machine) send(to string, out Message) {
-	m.put(Envelope{To: to, Message: out})
+	m.enqueue(Envelope{To: to, Message: out})
 }
 
-func (m *Machine) put(e Envelope) {
-	e.From, e.Digest, e.Sees = m.self, m.view.Digest, m.view.sees()
-	e.From.Counted = m.counted
-	m.out = append(m.out, e)
+// enqueue completes a message with the fields that all messages carry and adds it to the outbox.
+func (m *Machine) enqueue(e Envelope) {
+	e.From, e.Digest, e.SeesMajority = m.self, m.view.Digest, m.view.seesMajority()
+	e.From.InAgreedFleet = m.inAgreedFleet
+	m.outbox = append(m.outbox, e)
 }
 
-// ping sends one, with what is thought of its receiver first: who is suspected learns it with the question.
-func (m *Machine) ping(p *peer, seq uint32) {
-	m.send(p.Address, Message{Kind: Ping, Seq: seq, Target: Member{Name: p.Name, Boot: p.Boot}, News: m.pack(p)})
+// sendPing sends a ping. The local record of the receiver comes first, so that a suspected member learns of the
+// suspicion from the probe.
+func (m *Machine) sendPing(p *peer, seq uint32) {
+	m.send(p.Address, Message{Kind: Ping, Seq: seq, Target: Member{Name: p.Name, BootID: p.BootID}, Updates: m.packUpdates(p)})
 }
 
-// spread passes a record on, in place of older ones of its name.
-func (m *Machine) spread(r Member) {
-	r.Counted = false
-	for _, n := range m.news {
+// queueUpdate queues a record for gossip and replaces an older record of the same name. If the queue is full, the record
+// that was sent most often is dropped.
+func (m *Machine) queueUpdate(r Member) {
+	r.InAgreedFleet = false
+	for _, n := range m.updates {
 		if n.Name == r.Name {
 			n.Member, n.sends = r, 0
 			return
 		}
 	}
-	if len(m.news) >= mostNews {
-		most := slices.MaxFunc(m.news, func(a, b *rumour) int { return cmp.Compare(a.sends, b.sends) })
-		*most = rumour{Member: r}
+	if len(m.updates) >= maxQueuedUpdates {
+		mostSent := slices.MaxFunc(m.updates, func(a, b *queuedUpdate) int { return cmp.Compare(a.sends, b.sends) })
+		*mostSent = queuedUpdate{Member: r}
 		return
 	}
-	m.news = append(m.news, &rumour{Member: r})
+	m.updates = append(m.updates, &queuedUpdate{Member: r})
 }
 
-// pack takes news for a datagram: for its receiver what is thought of it, then what was passed on least.
-func (m *Machine) pack(to *peer) (all []Member) {
-	left := NewsBytes
+// packUpdates selects records for a datagram: first the record of its receiver if that is not alive, then the records
+// that were sent least often.
+func (m *Machine) packUpdates(to *peer) (all []Member) {
+	remaining := MaxUpdateBytes
 	if to != nil && to.State != Alive {
-		all, left = append(all, to.Member), left-to.Bytes()
+		all, remaining = append(all, to.Member), remaining-to.ApproxBytes()
 	}
-	most := int(spread*math.Ceil(math.Log10(float64(m.In()+2)))) + 1
-	slices.SortStableFunc(m.news, func(a, b *rumour) int { return cmp.Compare(a.sends, b.sends) })
-	for _, n := range m.news {
-		if left < 60 {
+	maxSends := int(retransmitFactor*math.Ceil(math.Log10(float64(m.PresentCount()+2)))) + 1
+	slices.SortStableFunc(m.updates, func(a, b *queuedUpdate) int { return cmp.Compare(a.sends, b.sends) })
+	for _, n := range m.updates {
+		if remaining < 60 {
 			break
 		}
-		if b := n.Bytes(); b <= left && (to == nil || n.Name != to.Name || to.State == Alive) {
-			all, left = append(all, n.Member), left-b
+		if size := n.ApproxBytes(); size <= remaining && (to == nil || n.Name != to.Name || to.State == Alive) {
+			all, remaining = append(all, n.Member), remaining-size
 			n.sends++
 		}
 	}
-	m.news = slices.DeleteFunc(m.news, func(n *rumour) bool { return n.sends >= most })
+	m.updates = slices.DeleteFunc(m.updates, func(n *queuedUpdate) bool { return n.sends >= maxSends })
 	return all
 }
 
-// learn takes a record of a member: from news, from itself, or from a table.
-func (m *Machine) learn(r Member, table bool) {
+// applyRecord merges a received record of a member. fromTable is true for records of a Table.
+func (m *Machine) applyRecord(r Member, fromTable bool) {
 	if !r.valid() {
 		return
 	}
 	if r.Name == m.self.Name {
-		m.aboutSelf(r)
+		m.handleSelfRecord(r)
 		return
 	}
-	r.Counted = false
+	r.InAgreedFleet = false
 	p := m.byName[r.Name]
 	if p == nil {
-		m.add(r)
+		m.addPeer(r)
 		return
 	}
-	same := r.Incarnation == p.Incarnation && r.Boot == p.Boot
-	if same && r.State == Failed && p.State.In() && (table || m.now-p.heard < m.span(quiet)) && !m.s.Plain {
-		r.State = Suspect // a table may be of those who were cut off; and who was just heard may refute it
+	same := r.Incarnation == p.Incarnation && r.BootID == p.BootID
+	if same && r.State == Failed && p.State.Present() && (fromTable || m.now-p.lastContact < m.seconds(silenceThreshold)) && !m.settings.PlainSWIM {
+		// The sender of a table may have been cut off, and a member that was heard from recently may still refute its
+		// failure.
+		r.State = Suspect
 	}
 	if same && r.Version > p.Version {
-		m.renew(p, &r)
+		m.applyVersion(p, &r)
 	}
 	if same && r.State == Suspect {
-		m.suspect(p, r.By)
+		m.suspect(p, r.AccusedBy)
 		return
 	}
-	if !r.beats(&p.Member) {
-		if !same && r.State.In() && p.State.In() { // who tells it does not know what is known here
-			m.spread(p.Member)
+	if !r.supersedes(&p.Member) {
+		if !same && r.State.Present() && p.State.Present() { // the sender does not have the record that is known here
+			m.queueUpdate(p.Member)
 		}
 		return
 	}
-	m.replace(p, r)
+	m.replaceRecord(p, r)
 }
 
-// valid tells whether a record from outside can be of a member.
+// valid reports whether a received record has a name, an address and values within their limits.
 func (r *Member) valid() bool {
 	named := r.Name != "" && r.Address != ""
-	return named && len(r.Name) <= longWord && len(r.Address) <= longWord && len(r.Zone) <= longWord && r.State <= Left
+	return named && len(r.Name) <= maxTextBytes && len(r.Address) <= maxTextBytes && len(r.Zone) <= maxTextBytes && r.State <= Left
 }
 
-// renew takes what a later version of a member's record says of it.
-func (m *Machine) renew(p *peer, r *Member) {
-	p.Version, p.Wire, p.Load = r.Version, r.Wire, r.Load
-	if p.Generation != r.Generation || p.Vote != r.Vote {
-		p.Generation, p.Vote = r.Generation, r.Vote
-		m.spread(p.Member)
+// applyVersion takes over a later version of a member's settings generation, load and vote.
+func (m *Machine) applyVersion(p *peer, r *Member) {
+	p.Version, p.WireVersion, p.Load = r.Version, r.WireVersion, r.Load
+	if p.SettingsGeneration != r.SettingsGeneration || p.Vote != r.Vote {
+		p.SettingsGeneration, p.Vote = r.SettingsGeneration, r.Vote
+		m.queueUpdate(p.Member)
 	}
 }
 
-// replace puts a record that beats the known one in its place.
-func (m *Machine) replace(p *peer, r Member) {
+// replaceRecord replaces a known record by one that supersedes it.
+func (m *Machine) replaceRecord(p *peer, r Member) {
 	accused := r.State == Suspect
 	if accused {
 		r.State = Alive
 	}
-	was := p.Member
+	former := p.Member
 	p.Member = r
-	if was.State != r.State || was.Boot != r.Boot || was.Address != r.Address {
-		p.missed, p.link, p.silent = 0, Clear, false
+	if former.State != r.State || former.BootID != r.BootID || former.Address != r.Address {
+		p.missed, p.link, p.unresponsive = 0, LinkClear, false
 	}
-	if p.accuser = nil; was.State != r.State || was.Boot != r.Boot {
-		m.changed(p, r.By)
+	if p.accusers = nil; former.State != r.State || former.BootID != r.BootID {
+		m.stateChanged(p, r.AccusedBy)
 	} else {
-		m.spread(r)
+		m.queueUpdate(r)
 	}
 	if accused {
-		m.suspect(p, r.By)
+		m.suspect(p, r.AccusedBy)
 	}
 }
 
-// changed books that a state is new, tells it and passes it on.
-func (m *Machine) changed(p *peer, by string) {
-	p.since, p.By = m.now, by
-	m.touched()
+// stateChanged records the time of a state change, gossips the record and emits an event.
+func (m *Machine) stateChanged(p *peer, by string) {
+	p.stateSince, p.AccusedBy = m.now, by
+	m.markViewStale()
 	if p.State == Left {
-		p.counted = false // that was agreed upon
+		p.inAgreedFleet = false // leaving is a decision that all members accept
 	}
-	m.spread(p.Member)
-	m.event(Event{Name: p.Name, What: p.State.String(), By: by, Zone: p.Zone})
+	m.queueUpdate(p.Member)
+	m.emit(Event{Name: p.Name, Kind: p.State.String(), By: by, Zone: p.Zone})
 }
 
-// add takes in a record of a new name. Those that failed or left make room where the table is full.
-func (m *Machine) add(r Member) {
-	if len(m.list) >= Most-1 {
+// addPeer adds a record of a new name. If the table is full, the oldest failed or left member outside the agreed fleet
+// is removed to make room.
+func (m *Machine) addPeer(r Member) {
+	if len(m.peers) >= MaxMembers-1 {
 		var oldest *peer
-		for _, p := range m.list {
-			if !p.State.In() && !p.counted && (oldest == nil || p.since < oldest.since) {
+		for _, p := range m.peers {
+			if !p.State.Present() && !p.inAgreedFleet && (oldest == nil || p.stateSince < oldest.stateSince) {
 				oldest = p
 			}
 		}
 		if oldest == nil {
 			return
 		}
-		m.remove(oldest)
+		m.removePeer(oldest)
 	}
 	accused := r.State == Suspect
 	if accused {
 		r.State = Alive
 	}
-	p := &peer{Member: r, since: m.now, heard: math.Inf(-1)}
+	p := &peer{Member: r, stateSince: m.now, lastContact: math.Inf(-1)}
 	m.byName[r.Name] = p
-	m.list = append(m.list, p)
-	m.touched()
-	m.spread(r)
-	if r.State.In() {
-		m.event(Event{Name: r.Name, What: "joined", Zone: r.Zone})
+	m.peers = append(m.peers, p)
+	m.markViewStale()
+	m.queueUpdate(r)
+	if r.State.Present() {
+		m.emit(Event{Name: r.Name, Kind: "joined", Zone: r.Zone})
 	}
 	if accused {
-		m.suspect(p, r.By)
+		m.suspect(p, r.AccusedBy)
 	}
 }
 
-func (m *Machine) remove(p *peer) {
+// removePeer deletes all local knowledge of a member.
+func (m *Machine) removePeer(p *peer) {
 	delete(m.byName, p.Name)
-	m.list = slices.DeleteFunc(m.list, func(o *peer) bool { return o == p })
-	m.touched()
+	m.peers = slices.DeleteFunc(m.peers, func(o *peer) bool { return o == p })
+	m.markViewStale()
 }
 
-// aboutSelf takes what others think of this member, or of another process with its name.
-func (m *Machine) aboutSelf(r Member) {
-	if m.standing != Belongs {
+// handleSelfRecord handles a record that has this member's name: what others believe of this process, or a record of
+// another process of the name.
+func (m *Machine) handleSelfRecord(r Member) {
+	if m.standing != IsMember {
 		return
 	}
-	if r.Boot == m.self.Boot {
+	if r.BootID == m.self.BootID {
 		if r.State != Alive && r.Incarnation >= m.self.Incarnation {
 			m.self.Incarnation = r.Incarnation + 1
-			m.health = min(health, m.health+1)
-			m.spread(m.self)
+			m.healthScore = min(maxHealthScore, m.healthScore+1)
+			m.queueUpdate(m.self)
 		}
 		return
 	}
-	gone := !r.State.In()
-	if former := gone || r.Address == m.self.Address; former && r.Incarnation >= m.self.Incarnation&^(epoch-1) {
-		if m.selves++; gone || m.selves <= mostSelves {
-			m.self.Incarnation = (r.Incarnation/epoch + 1) * epoch
-			m.spread(m.self)
+	gone := !r.State.Present()
+	if fromFormerSelf := gone || r.Address == m.self.Address; fromFormerSelf && r.Incarnation >= m.self.Incarnation&^(incarnationsPerStart-1) {
+		if m.formerSelves++; gone || m.formerSelves <= maxFormerSelves {
+			m.self.Incarnation = (r.Incarnation/incarnationsPerStart + 1) * incarnationsPerStart
+			m.queueUpdate(m.self)
 			return
 		}
 	}
 	switch {
-	case r.beats(&m.self):
+	case r.supersedes(&m.self):
 		m.oust(r)
 	case !gone:
-		m.spread(m.self)
-		m.send(r.Address, Message{Kind: Ping, Target: r, News: []Member{m.self}})
+		m.queueUpdate(m.self)
+		m.send(r.Address, Message{Kind: Ping, Target: r, Updates: []Member{m.self}})
 	}
 }
 
-// oust ends this process's part in the fleet: another one has its name. It serves on by itself, and asks now and then
-// whether the name is free.
+// oust ends this process's membership, because another process has its name. The process continues to serve alone and
+// asks at intervals whether the name is free again.
 func (m *Machine) oust(by Member) {
-	if m.standing != Belongs {
+	if m.standing != IsMember {
 		return
 	}
 	m.standing = Ousted
-	m.event(Event{Name: m.self.Name, What: "ousted", By: by.Address, Zone: by.Zone})
-	m.known = []string{by.Address}
-	for _, p := range m.some(contacts, func(p *peer) bool { return p.State.In() }) {
-		m.known = append(m.known, p.Address)
+	m.emit(Event{Name: m.self.Name, Kind: "ousted", By: by.Address, Zone: by.Zone})
+	m.rejoinAddresses = []string{by.Address}
+	for _, p := range m.randomPeers(maxRejoinContacts, func(p *peer) bool { return p.State.Present() }) {
+		m.rejoinAddresses = append(m.rejoinAddresses, p.Address)
 	}
-	m.list, m.news, m.round, m.probe, m.asked, m.joined, m.counted = nil, nil, nil, nil, nil, false, true
-	m.reference = reference{fleet: m.self.Boot}
+	m.peers, m.updates, m.probeRound, m.currentProbe, m.indirectPings, m.joined, m.inAgreedFleet = nil, nil, nil, nil, nil, false, true
+	m.agreed = agreedVersion{fleetID: m.self.BootID}
 	clear(m.byName)
-	m.due.join = m.now + m.span(joinEach)
-	m.touched()
-	m.look()
+	m.due.join = m.now + m.seconds(joinInterval)
+	m.markViewStale()
+	m.updateView()
 }
 
-// join asks to be taken in, until somebody answered, and while nobody is known.
-func (m *Machine) join() {
+// tryJoin sends join requests at intervals until one is answered, and again while no other member is present.
+func (m *Machine) tryJoin() {
 	ousted := m.standing == Ousted
-	if m.now < m.due.join || !ousted && m.joined && m.In() > 0 {
+	if m.now < m.due.join || !ousted && m.joined && m.PresentCount() > 0 {
 		return
 	}
-	m.due.join = m.now + m.span(joinEach) + m.jitter(joinEach)
-	to := slices.DeleteFunc(slices.Concat(m.s.Peers, m.known), func(a string) bool { return a == m.self.Address })
+	m.due.join = m.now + m.seconds(joinInterval) + m.jitter(joinInterval)
+	to := slices.DeleteFunc(slices.Concat(m.settings.Peers, m.rejoinAddresses), func(a string) bool { return a == m.self.Address })
 	if len(to) > 0 {
-		m.peerAt++
-		m.ask(to[(m.peerAt+int(m.s.Boot%64))%len(to)])
+		m.joinCursor++
+		m.sendJoin(to[(m.joinCursor+int(m.settings.BootID%64))%len(to)])
 	}
 }
 
-// ask asks one to be taken in; its answer names the question.
-func (m *Machine) ask(to string) {
-	m.seq++
-	m.joinSeq = m.seq
-	m.put(Envelope{To: to, Stream: true, Message: Message{Kind: Join, Seq: m.seq, Fleet: m.reference.fleet, Of: uint32(m.view.Of)}})
+// sendJoin asks for admission to the fleet. The answer carries the sequence number of the request.
+func (m *Machine) sendJoin(to string) {
+	m.lastSeq++
+	m.joinSeq = m.lastSeq
+	m.enqueue(Envelope{To: to, Stream: true, Message: Message{Kind: Join, Seq: m.lastSeq, AgreedFleetID: m.agreed.fleetID, AgreedSize: uint32(m.view.AgreedSize)}})
 }
 
-// takeIn answers one that asks to be taken in. A name is its holder's as long as that is not known to be gone.
-func (m *Machine) takeIn(in Message) {
-	if m.standing != Belongs || len(in.From.Name) > longWord || len(in.From.Address) > longWord {
+// handleJoin answers a request for admission. A name belongs to its current holder until that is known to be gone.
+func (m *Machine) handleJoin(in Message) {
+	if m.standing != IsMember || len(in.From.Name) > maxTextBytes || len(in.From.Address) > maxTextBytes {
 		return
 	}
-	m.listen()
-	holder, held := m.self, in.From.Name == m.self.Name
-	if p := m.byName[in.From.Name]; p != nil && p.State.In() {
-		holder, held = p.Member, p.Boot != in.From.Boot && p.Address != in.From.Address
-		if held { // should it be gone, that is to be known soon
-			m.round = slices.Insert(m.round, 0, p)
+	m.recordContact()
+	holder, taken := m.self, in.From.Name == m.self.Name
+	if p := m.byName[in.From.Name]; p != nil && p.State.Present() {
+		holder, taken = p.Member, p.BootID != in.From.BootID && p.Address != in.From.Address
+		if taken { // probe the current holder next, to learn soon if it is gone
+			m.probeRound = slices.Insert(m.probeRound, 0, p)
 		}
 	}
-	if !m.tables.take(m.now, tablesAtOne) {
-		return // it comes again
+	if !m.tableBucket.take(m.now, tableRate) {
+		return // the requester will ask again
 	}
-	if held {
-		m.put(Envelope{To: in.From.Address, Stream: true, Message: Message{Kind: Refused, Seq: in.Seq, Target: holder}})
+	if taken {
+		m.enqueue(Envelope{To: in.From.Address, Stream: true, Message: Message{Kind: Refused, Seq: in.Seq, Target: holder}})
 		return
 	}
-	if p := m.byName[in.From.Name]; p == nil || in.From.beats(&p.Member) {
-		m.learn(in.From, false)
+	if p := m.byName[in.From.Name]; p == nil || in.From.supersedes(&p.Member) {
+		m.applyRecord(in.From, false)
 	}
 	m.joined = true
-	// One that is of a fleet already tells of that: guards against one that started while cut off, is met by those who went on,
-	// and would count itself and them as another fleet.
-	m.sendTable(in.From.Address, in.Seq, in.Fleet != m.reference.fleet && in.Of > 1)
-	m.look()
+	// A member that already belongs to a fleet is asked for its table too. Guards against a member that started while it
+	// was cut off, is then contacted by the members of the existing fleet, and would count itself and them as a
+	// different fleet.
+	m.sendTable(in.From.Address, in.Seq, in.AgreedFleetID != m.agreed.fleetID && in.AgreedSize > 1)
+	m.updateView()
 }
 
-// sendTable sends all that is known; to one that asks, with the number of its question.
-func (m *Machine) sendTable(to string, seq uint32, wants bool) {
-	all := make([]Member, 0, len(m.list))
-	for _, p := range m.list {
+// sendTable sends all known records. seq is the number of the join request that it answers, or 0; wantsTable asks the
+// receiver for its own table.
+func (m *Machine) sendTable(to string, seq uint32, wantsTable bool) {
+	all := make([]Member, 0, len(m.peers))
+	for _, p := range m.peers {
 		r := p.Member
-		r.Counted = p.counted
+		r.InAgreedFleet = p.inAgreedFleet
 		all = append(all, r)
 	}
-	m.put(Envelope{To: to, Stream: true, Message: Message{
-		Kind: Table, Seq: seq, News: all, Wants: wants, Fleet: m.reference.fleet,
-		Reference: m.reference.generation, Of: uint32(m.view.Of),
+	m.enqueue(Envelope{To: to, Stream: true, Message: Message{
+		Kind: Table, Seq: seq, Updates: all, WantsTable: wantsTable, AgreedFleetID: m.agreed.fleetID,
+		AgreedGeneration: m.agreed.generation, AgreedSize: uint32(m.view.AgreedSize),
 	}})
 }
 
-// takeTable takes all that another knows.
-func (m *Machine) takeTable(in Message) {
+// handleTable merges the table of another member.
+func (m *Machine) handleTable(in Message) {
 	if !m.joined && in.Seq != m.joinSeq {
 		return
 	}
-	m.listen()
-	if m.standing == Ousted { // the name is free, and the table tells who had it
-		m.standing = Belongs
-		m.event(Event{Name: m.self.Name, What: "joined", By: in.From.Name, Zone: m.self.Zone})
+	m.recordContact()
+	if m.standing == Ousted { // the name is free; the table contains the record of its last holder
+		m.standing = IsMember
+		m.emit(Event{Name: m.self.Name, Kind: "joined", By: in.From.Name, Zone: m.self.Zone})
 	}
 	m.joined = true
-	m.learn(in.From, false)
-	if p := m.byName[in.From.Name]; p != nil && p.Boot == in.From.Boot {
-		p.heard = m.now
-		m.silence(p, false)
+	m.applyRecord(in.From, false)
+	if p := m.byName[in.From.Name]; p != nil && p.BootID == in.From.BootID {
+		p.lastContact = m.now
+		m.setUnresponsive(p, false)
 	}
-	for _, r := range in.News {
-		m.learn(r, true)
+	for _, r := range in.Updates {
+		m.applyRecord(r, true)
 	}
-	if m.standing != Belongs {
+	if m.standing != IsMember {
 		return
 	}
-	m.merge(in)
-	if in.Wants && m.tables.take(m.now, tablesAtOne) {
+	m.mergeAgreedFleet(in)
+	if in.WantsTable && m.tableBucket.take(m.now, tableRate) {
 		m.sendTable(in.From.Address, 0, false)
 	}
-	m.spread(m.self)
-	m.look()
+	m.queueUpdate(m.self)
+	m.updateView()
 }
 
-// exchange keeps tables together, and tries those that failed and peers that are not known: cuts heal.
-func (m *Machine) exchange() {
+// syncAndReconnect exchanges tables to replace lost updates, and contacts failed members and unknown peers so that
+// partitions heal.
+func (m *Machine) syncAndReconnect() {
 	if m.now >= m.due.sync {
-		m.due.sync = m.now + (m.span(syncEach)/2+m.jitter(syncEach))*math.Max(1, float64(m.In())/syncFew)
-		for _, p := range m.some(1, func(p *peer) bool { return p.State == Alive }) {
+		m.due.sync = m.now + (m.seconds(syncInterval)/2+m.jitter(syncInterval))*math.Max(1, float64(m.PresentCount())/syncScaleMembers)
+		for _, p := range m.randomPeers(1, func(p *peer) bool { return p.State == Alive }) {
 			m.sendTable(p.Address, 0, true)
 		}
 	}
-	if m.now < m.due.heal {
+	if m.now < m.due.reconnect {
 		return
 	}
-	m.due.heal = m.now + m.span(healEach)/2 + m.jitter(healEach)
-	failed := m.some(1, func(p *peer) bool { return p.State == Failed })
+	m.due.reconnect = m.now + m.seconds(reconnectInterval)/2 + m.jitter(reconnectInterval)
+	failed := m.randomPeers(1, func(p *peer) bool { return p.State == Failed })
 	var unknown []string
-	for _, a := range m.s.Peers {
-		if a != m.self.Address && !slices.ContainsFunc(m.list, func(p *peer) bool { return p.Address == a && p.State.In() }) {
+	for _, a := range m.settings.Peers {
+		if a != m.self.Address && !slices.ContainsFunc(m.peers, func(p *peer) bool { return p.Address == a && p.State.Present() }) {
 			unknown = append(unknown, a)
 		}
 	}
 	switch {
-	case len(failed) > 0 && (len(unknown) == 0 || m.chance.IntN(2) == 0):
-		m.ping(failed[0], 0)
-	case len(unknown) > 0 && m.In() > 0:
-		m.ask(unknown[m.chance.IntN(len(unknown))])
+	case len(failed) > 0 && (len(unknown) == 0 || m.rng.IntN(2) == 0):
+		m.sendPing(failed[0], 0)
+	case len(unknown) > 0 && m.PresentCount() > 0:
+		m.sendJoin(unknown[m.rng.IntN(len(unknown))])
 	}
 }
 
-// forget lets members go that failed or left long ago. Those of the last agreed fleet only a majority may let go.
-func (m *Machine) forget() {
-	for i := 0; i < len(m.list); i++ {
-		p := m.list[i]
-		if !p.State.In() && m.now-p.since > m.span(keep) && (!p.counted || m.May(Forget)) {
-			if p.counted {
-				m.reference.generation++
+// forgetMembers removes members that failed or left long ago. Members of the last agreed fleet are removed only while
+// this member sees a majority.
+func (m *Machine) forgetMembers() {
+	for i := 0; i < len(m.peers); i++ {
+		p := m.peers[i]
+		if !p.State.Present() && m.now-p.stateSince > m.seconds(forgetAfter) && (!p.inAgreedFleet || m.May(ForgetMembers)) {
+			if p.inAgreedFleet {
+				m.agreed.generation++
 			}
-			m.remove(p)
+			m.removePeer(p)
 			i--
 		}
 	}
--- a/core/cluster/membership/members.go
+++ b/core/cluster/membership/members.go
@@ -1,11 +1,13 @@
-// Package membership knows which dispatchers there are, which have failed, and how much of the fleet is seen from here: SWIM
-// (Das, Gupta, Motivala) with suspicion and incarnations, and with the own doubt of Lifeguard (Dadgar and others). It is a
-// state machine with no I/O, no clock and no goroutine: messages come by Step, time by Tick, and what is to be sent and told
-// is taken by Ready. internal/cluster drives it over sockets, emulator without any.
+// Package membership tracks which dispatchers exist, which have failed, and how much of the fleet is seen from this one.
+// It implements SWIM (Das, Gupta, Motivala) with suspicion and incarnations, and the local health awareness of Lifeguard
+// (Dadgar and others). Machine is a state machine without I/O, clock or goroutines: Step takes messages, Tick takes the
+// time, and Ready returns the messages to send and the events to report. internal/cluster drives it over sockets,
+// emulator without them.
 //
-// Invariants, held by tests: of two records of a name one always says more, whatever the order in which they come, so that
-// all end with the same; only a member itself raises its incarnation, so that old news never brings one back that left; who
-// has been stalled, or hears nobody, accuses nobody; a fleet that is cut in parts has a majority in one of them at most.
+// The tests check these invariants. Records of one name are totally ordered, so all members end with the same record
+// whatever the order of arrival. Only a member itself raises its incarnation, so outdated updates never bring back a
+// member that left. A member that was stalled or hears nobody does not suspect others. If the fleet is partitioned, at
+// most one partition has a majority.
 package membership
 
 import (
@@ -15,7 +17,8 @@
 	"slices"
 )
 
-// State is what is thought of a member. Of two records of one incarnation the higher one counts.
+// State is the state of a member as others see it. Of two records with the same incarnation the one with the higher
+// state wins.
 type State uint8
 
 // The states.
@@ -30,501 +33,511 @@
 	return [...]string{"alive", "suspect", "failed", "left"}[min(s, Left)]
 }
 
-// In tells whether it counts as there.
-func (s State) In() bool { return s <= Suspect }
+// Present reports whether a member in this state counts as part of the fleet.
+func (s State) Present() bool { return s <= Suspect }
 
-// Load is what a member tells of its work.
+// Load is the load that a member reports about itself.
 type Load struct {
-	GETs   uint16 `json:"GETs"`   // a second
-	Shed   uint8  `json:"Shed"`   // of 255, of them
-	Memory uint8  `json:"Memory"` // of 255, of its limit
+	GETs   uint16 `json:"GETs"`   // GETs per second
+	Shed   uint8  `json:"Shed"`   // share of GETs that are shed, in units of 1/255
+	Memory uint8  `json:"Memory"` // used share of the memory limit, in units of 1/255
 }
 
-// Vote is what a member tells of itself as a voter of the log; the zero value is none.
+// Vote is what a member reports about itself as a voter of the log. The zero value means that it is not a voter.
 type Vote struct {
-	ID       uint64 `json:"ID"`       // of its disk
-	Council  uint64 `json:"Council"`  // of the log that it votes in, 0 for none yet
-	Era      uint32 `json:"Era"`      // of the disk
-	Recovery uint32 `json:"Recovery"` // how often the log was recovered
+	ID         uint64 `json:"ID"`       // of the member's disk
+	ClusterID  uint64 `json:"Council"`  // of the log in which it votes, 0 if it has not joined one yet
+	DiskEpoch  uint32 `json:"Era"`      // rises with each start from the disk
+	Recoveries uint32 `json:"Recovery"` // how often the log has been recovered
 }
 
-// Member is a record of one: what it told of itself, and what is thought of it.
+// Member is a record of one member: what it reported about itself and the state in which others see it.
 type Member struct {
-	Name        string `json:"Name"`
-	Address     string `json:"Address"`
-	Zone        string `json:"Zone"`
-	Boot        uint64 `json:"Boot"`        // drawn at its start: two processes of one name differ in it
-	Incarnation uint64 `json:"Incarnation"` // raised by itself alone; the upper half by each start that finds a record of its name
-	Version     uint32 `json:"Version"`     // of what follows, within the incarnation
-	Wire        uint8  `json:"Wire"`
-	Generation  uint32 `json:"Generation"` // of its settings
-	Load        Load   `json:"Load"`
-	Vote        Vote   `json:"Vote"`
-	State       State  `json:"State"`
-	By          string `json:"By"`      // who accused it
-	Counted     bool   `json:"Counted"` // to whoever tells, it belongs to the last agreed fleet
+	Name               string `json:"Name"`
+	Address            string `json:"Address"`
+	Zone               string `json:"Zone"`
+	BootID             uint64 `json:"Boot"`        // random number drawn at the start of the process; tells two processes of one name apart
+	Incarnation        uint64 `json:"Incarnation"` // raised only by the member itself; the upper half counts starts that found a record of the same name
+	Version            uint32 `json:"Version"`     // of SettingsGeneration, Load and Vote within the incarnation
+	WireVersion        uint8  `json:"Wire"`
+	SettingsGeneration uint32 `json:"Generation"` // of the member's settings
+	Load               Load   `json:"Load"`
+	Vote               Vote   `json:"Vote"`
+	State              State  `json:"State"`
+	AccusedBy          string `json:"By"`      // name of the member that suspected it
+	InAgreedFleet      bool   `json:"Counted"` // the sender counts it in the last agreed fleet
 }
 
-const epoch = 1 << 32 // an incarnation's upper half counts starts
+const incarnationsPerStart = 1 << 32 // the upper 32 bits of an incarnation count starts
 
-// beats tells whether a record says more than another of the same name. Of twins, which came up apart with the same
-// incarnation, the lower boot counts.
-func (m *Member) beats(o *Member) bool {
+// supersedes reports whether record m wins over another record of the same name. If two processes of one name started
+// separately and have the same incarnation, the lower BootID wins.
+func (m *Member) supersedes(o *Member) bool {
 	switch {
 	case m.Incarnation != o.Incarnation:
 		return m.Incarnation > o.Incarnation
-	case m.Boot != o.Boot:
-		return m.Boot < o.Boot
+	case m.BootID != o.BootID:
+		return m.BootID < o.BootID
 	}
 	return m.State > o.State
 }
 
-// Bytes is about what a record takes in a datagram.
-func (m *Member) Bytes() int {
+// ApproxBytes returns the approximate size of the record in a datagram, in bytes.
+func (m *Member) ApproxBytes() int {
 	vote := 0
 	if m.Vote.ID != 0 {
 		vote = 32
 	}
-	return 48 + vote + len(m.Name) + len(m.Address) + len(m.Zone) + len(m.By)
+	return 48 + vote + len(m.Name) + len(m.Address) + len(m.Zone) + len(m.AccusedBy)
 }
 
-// Kind is what a message is for.
-type Kind uint8
+// MessageKind is the purpose of a message.
+type MessageKind uint8
 
-// The kinds.
+// The message kinds.
 const (
-	Ping    Kind = 1 + iota // answered by Ack
-	PingFor                 // asks another to ping Target; answered by AckFor, or NackFor where that did not answer
-	Ack
-	AckFor
-	NackFor
-	Join    // asks to be taken in, and for the table
-	Table   // all that is known; answered by nothing
-	Refused // a live member has the name already
+	Ping         MessageKind = 1 + iota // answered by Ack
+	PingRequest                         // asks the receiver to ping Target; answered by IndirectAck or IndirectNack
+	Ack                                 // answers Ping
+	IndirectAck                         // answers PingRequest: Target answered
+	IndirectNack                        // answers PingRequest: Target has not answered yet
+	Join                                // asks to be admitted to the fleet and to get the table
+	Table                               // all records that the sender knows; not answered unless WantsTable is set
+	Refused                             // answers Join: a live member already has the name
 )
 
-// Message goes between two members.
+// Message is sent from one member to another.
 type Message struct {
-	Kind   Kind
-	From   Member // as it is now
-	Seq    uint32
-	Target Member   // whom a Ping is for, or who is asked about
-	News   []Member // of others; all of them in a Table
-	Digest uint64   // of the names that are in, as the sender sees it
-	Sees   bool     // the sender sees a majority
-	Wants  bool     // of a Table: the receiver's is wanted too
-
-	Fleet, Reference uint64 // of a Table or a Join: the last agreed fleet
-	Of               uint32 // and how many belong to it
+	Kind         MessageKind
+	From         Member // the sender's current record
+	Seq          uint32
+	Target       Member   // the intended receiver of a Ping, or the member that the message is about
+	Updates      []Member // records of other members; in a Table, of all that the sender knows
+	Digest       uint64   // View.Digest of the sender
+	SeesMajority bool     // the sender sees a majority of the last agreed fleet
+	WantsTable   bool     // in a Table: the receiver is to answer with its own table
+
+	AgreedFleetID, AgreedGeneration uint64 // in a Table: ID and generation of the sender's last agreed fleet; a Join has only the ID
+	AgreedSize                      uint32 // number of members in that fleet
 }
 
-// Envelope is a message on its way out.
+// Envelope is an outgoing message.
 type Envelope struct {
 	To     string // address
-	Stream bool   // longer than a datagram may be
+	Stream bool   // to be sent over a stream, since it may be longer than a datagram
 	Message
 }
 
-// Event is a change that is worth telling.
+// Event is a change that is reported to the owner of the Machine.
 type Event struct {
-	At       float64
-	Name     string
-	What     string // "alive", "suspect", "failed", "left", "joined", "ousted", "doubt", "deaf", "reached by others", "clear", "differs", or a view
-	By       string
-	Zone     string
-	Seen, Of int // of a view
+	At   float64 // seconds on the caller's clock
+	Name string
+	// Kind is the name of a State, a Link or a Level, or one of "joined", "ousted", "doubt", "sure", "differs" and
+	// "agrees". "doubt" and "sure" report the begin and the end of a suspected local fault.
+	Kind             string
+	By               string // name or address of the member that caused the change, if any
+	Zone             string
+	Seen, AgreedSize int // set for a change of the level
 }
 
-// Settings is what a member is told at its start.
+// Settings are the parameters of a Machine.
 type Settings struct {
 	Name, Address, Zone string
-	Peers               []string // addresses of some to begin with
-	Boot, Seed          uint64
-	Wire                uint8
-	Generation          uint32
-	Interval            float64 // s between probes; 0 for the default
-	Plain               bool    // SWIM without own doubt, to compare with
-	Remembered          Agreed  // from before its start; the zero value where nothing is
+	Peers               []string // addresses of members to contact first
+	BootID, Seed        uint64
+	WireVersion         uint8
+	SettingsGeneration  uint32
+	Interval            float64     // seconds between probes; 0 for DefaultInterval
+	PlainSWIM           bool        // disables Lifeguard's local health awareness, for comparison
+	Remembered          AgreedFleet // the agreed fleet stored before the restart; the zero value if there is none
 }
 
-// Agreed is the last agreed fleet, as a member keeps it over a restart. Guards against several that start anew while they are
-// cut off, and would take themselves for a whole fleet.
-type Agreed struct {
-	Fleet      uint64  `json:"Fleet"`
-	Generation uint64  `json:"Generation"`
-	Counted    bool    `json:"Counted"` // oneself
-	Others     []Place `json:"Others"`
+// AgreedFleet is the last agreed fleet in the form that a member stores across restarts. Guards against several members
+// that restart while they are cut off from the rest and would take themselves for the whole fleet.
+type AgreedFleet struct {
+	FleetID      uint64         `json:"Fleet"`
+	Generation   uint64         `json:"Generation"`
+	IncludesSelf bool           `json:"Counted"` // this member belongs to the fleet
+	Others       []AgreedMember `json:"Others"`
 }
 
-// Place is where a member of it was.
-type Place struct {
+// AgreedMember is the last known address and zone of a member of the agreed fleet.
+type AgreedMember struct {
 	Name    string `json:"Name"`
 	Address string `json:"Address"`
 	Zone    string `json:"Zone"`
 }
 
-// Figures of the protocol. Times without a unit are in intervals.
+// Parameters of the protocol. Times without a unit are in probe intervals.
 const (
-	DefaultInterval = 1.0  // s; a probe each: SWIM's own period
-	Most            = 2000 // members: a table of them all is some 200 KB
-	NewsBytes       = 900  // of a datagram of 1,400: the rest is the sender, the target, and the seal
-
-	ackWait     = 0.4 // a probe that is not answered by then is tried by way of others; LAN answers take a thousandth of it
-	helpers     = 3   // asked to ping another: SWIM's k
-	acrossEach  = 5   // one probe of so many goes to another zone, where they cost most
-	spread      = 4   // times the logarithm of the fleet that news is passed on: memberlist's
-	suspicion   = 4.0 // times the logarithm of the fleet, the shortest suspicion: memberlist's
-	patience    = 6.0 // times that, the longest: Lifeguard's
-	confirmed   = 3   // accusers that make it shortest: Lifeguard's
-	health      = 8   // the most by which own doubt stretches waits: Lifeguard's
-	pause       = 2.0 // between two ticks: who was away for longer was stalled
-	quiet       = 4.0 // with nothing heard from anybody: likely it is oneself who is cut off
-	holdMost    = 60.0
-	syncEach    = 30.0  // a full exchange with one member, should news have been lost
-	syncFew     = 50.0  // members; with more, tables are longer and exchanged more seldom, at the same bytes a second
-	healEach    = 4.0   // one that failed, or a peer that is not known, is tried: cuts heal
-	joinEach    = 2.0   // until somebody answered
-	keep        = 600.0 // a member that failed or left is remembered: long enough for all to hear it, or to refute it
-	differsFor  = 40.0  // views that differ for so long are told
-	oneWay      = 3     // direct probes in a row that are lost while others reach it tell of a link
-	lookEach    = 0.25  // all members are looked over
-	unheard     = 4     // probes in a row that nobody answers: likely it is oneself who is not heard
-	tablesAtOne = 8.0   // tables that are sent at once, and an interval: joining fleets take turns
-	acksAtOne   = 400.0 // answers at once, and an interval, to whoever holds the key
-	mostEvents  = 256   // that wait to be taken
+	DefaultInterval = 1.0  // seconds; one probe per interval, as in the SWIM paper
+	MaxMembers      = 2000 // a table of that many members takes about 200 KB
+	MaxUpdateBytes  = 900  // bytes of a 1,400-byte datagram; the rest is for the sender, the target and the encryption overhead
+
+	ackTimeout            = 0.4   // after that time without an answer a probe is tried indirectly; LAN answers take about a thousandth of it
+	indirectProbes        = 3     // number of members asked to ping a target: k in SWIM
+	crossZoneEvery        = 5     // every fifth probe goes to another zone, since probes across zones cost the most
+	retransmitFactor      = 4     // an update is sent this many times the logarithm of the fleet size: value of memberlist
+	suspicionFactor       = 4.0   // shortest suspicion timeout, times the logarithm of the fleet size: value of memberlist
+	suspicionMaxFactor    = 6.0   // longest suspicion timeout, as a multiple of the shortest: value of Lifeguard
+	maxConfirmations      = 3     // number of further accusers that shorten the suspicion timeout to the minimum: value of Lifeguard
+	maxHealthScore        = 8     // limit of the local health score, which lengthens timeouts: value of Lifeguard
+	stallThreshold        = 2.0   // a longer time between two ticks means that this process was stalled
+	silenceThreshold      = 4.0   // after that time without any message this member is probably cut off itself
+	maxLocalFault         = 60.0  // a suspected local fault is ignored after that time, since the others may really be gone
+	syncInterval          = 30.0  // between full table exchanges with one member, which replace lost updates
+	syncScaleMembers      = 50.0  // members; in a larger fleet exchanges are rarer, so that the longer tables take the same bytes per second
+	reconnectInterval     = 4.0   // between attempts to reach a failed member or an unknown peer, so that partitions heal
+	joinInterval          = 2.0   // between join requests until one is answered
+	forgetAfter           = 600.0 // how long a failed or left member is remembered, so that all hear of it and it can refute its failure
+	differenceReportAfter = 40.0  // how long a member's view must differ before that is reported
+	linkFaultProbes       = 3     // consecutive direct probes lost while other members reach the target, after which a link fault is reported
+	sweepInterval         = 0.25  // between checks of all members
+	unansweredThreshold   = 4     // consecutive probes without any answer, after which this member is probably not heard itself
+	tableRate             = 8.0   // tables per second, and largest burst; members that join at once are served in turn
+	ackRate               = 400.0 // acks per second, and largest burst, since any sender with the key can ask for them
+	maxEvents             = 256   // events that wait for Ready; further ones are dropped
 )
 
-// Machine is one member.
+// Machine is the protocol state of one member. It is not safe for concurrent use. All times are seconds on the caller's
+// monotonic clock.
 type Machine struct {
-	s       Settings
-	self    Member
-	now     float64
-	chance  *rand.Rand
-	byName  map[string]*peer
-	list    []*peer // in the order of coming
-	out     []Envelope
-	events  []Event
-	dropped int // events that nobody took
-
-	standing Standing
-	counted  bool // oneself belongs to the last agreed fleet
-	news     []*rumour
-	seq      uint32
-	probe    *probe
-	asked    []*favour
-	fails    int     // probes in a row that nobody answered
-	failAt   float64 // the first of them
-	ins      int     // others that are in; below 0 it is to be counted anew
-	round    []*peer // still to be probed in this round, near ones and others
-	rounds   int
-	health   int
-	heard    float64 // when anybody was
-	ticked   float64
-	stalled  bool // and has not heard anybody since
-	due      struct{ probe, sync, heal, join, look float64 }
-	tables   bucket
-	acks     bucket
-	joined   bool // somebody answered, or came
-	joinSeq  uint32
-	view     View
-	dirty    bool
-	peerAt   int
-	expired  float64  // when suspicions were last looked over
-	selves   int      // former selves that were met at the own address
-	known    []string // addresses, of one who is ousted
-
-	reference reference
+	settings Settings
+	self     Member
+	now      float64
+	rng      *rand.Rand
+	byName   map[string]*peer
+	peers    []*peer // in order of arrival
+	outbox   []Envelope
+	events   []Event
+	dropped  int // events lost because Ready was not called in time
+
+	standing            Standing
+	inAgreedFleet       bool // this member belongs to the last agreed fleet
+	updates             []*queuedUpdate
+	lastSeq             uint32
+	currentProbe        *probe
+	indirectPings       []*indirectPing
+	unanswered          int     // consecutive probes without any answer
+	unansweredSince     float64 // time of the first of them
+	presentCount        int     // number of other present members; below 0 if it must be recounted
+	probeRound          []*peer // members still to be probed in this round, of the own zone and of others
+	probeCount          int
+	healthScore         int
+	lastContact         float64 // when any member was last heard from
+	lastTick            float64
+	stalled             bool // this process was stalled and has not heard from anybody since
+	due                 struct{ probe, sync, reconnect, join, sweep float64 }
+	tableBucket         tokenBucket
+	ackBucket           tokenBucket
+	joined              bool // a join request was answered, or another member has joined here
+	joinSeq             uint32
+	view                View
+	viewStale           bool
+	joinCursor          int
+	suspicionsCheckedAt float64  // when suspicion timeouts were last checked
+	formerSelves        int      // records of former processes of this name that were seen with this address or as gone
+	rejoinAddresses     []string // addresses to ask for admission while this member is ousted
+
+	agreed agreedVersion
 }
 
-// Standing is what a process is to the fleet.
+// Standing is the relation of this process to the fleet.
 type Standing uint8
 
 // The standings.
 const (
-	Belongs Standing = iota // one of it
-	Ousted                  // another process has its name
-	Away                    // it left
+	IsMember Standing = iota // a member of the fleet
+	Ousted                   // another process has this one's name
+	HasLeft                  // left the fleet on request
 )
 
 func (s Standing) String() string { return [...]string{"member", "ousted", "left"}[s] }
 
-// peer is another member.
+// peer is the local record of another member.
 type peer struct {
 	Member
-	since   float64 // of its state
-	heard   float64 // when it last spoke to us itself
-	missed  int     // direct probes in a row
-	missAt  float64 // the first of them
-	silent  bool    // the last probe was answered neither by it nor by way of others
-	link    Link
-	accuser []string // of a suspect, each once
-	until   float64  // a suspicion's end
-	counted bool     // belongs to the last agreed fleet
-	differs float64  // since when its digest is another, 0 while it is not
-	toldOf  bool     // and that was told
+	stateSince         float64 // when the state last changed
+	lastContact        float64 // when a message last came from it directly
+	missed             int     // consecutive direct probes without an answer
+	missedSince        float64 // time of the first of them
+	unresponsive       bool    // the last probe was answered neither directly nor indirectly
+	link               Link
+	accusers           []string // names of the members that suspect it, each once
+	suspectUntil       float64  // end of the suspicion timeout
+	inAgreedFleet      bool     // belongs to the last agreed fleet
+	differsSince       float64  // since when its digest has differed from the local one, 0 if it does not
+	differenceReported bool     // the difference has been reported
 }
 
-// bucket bounds a rate.
-type bucket struct{ left, at float64 }
+// tokenBucket limits a rate per second. Its largest burst is what the rate allows in one second.
+type tokenBucket struct{ tokens, updatedAt float64 }
 
-func (b *bucket) take(now, rate float64) bool {
-	b.left = math.Min(rate, b.left+(now-b.at)*rate)
-	if b.at = now; b.left < 1 {
+// take consumes a token; it returns false if there is none.
+func (b *tokenBucket) take(now, rate float64) bool {
+	b.tokens = math.Min(rate, b.tokens+(now-b.updatedAt)*rate)
+	if b.updatedAt = now; b.tokens < 1 {
 		return false
 	}
-	b.left--
+	b.tokens--
 	return true
 }
 
-// New makes a member that knows its settings alone.
+// New returns a member that initially knows only its settings. now is in seconds.
 func New(s Settings, now float64) *Machine {
 	s.Interval = cmp.Or(s.Interval, DefaultInterval)
 	m := &Machine{
-		s: s, now: now, ticked: now, heard: now, chance: rand.New(rand.NewPCG(s.Seed, s.Boot)), byName: map[string]*peer{},
-		ins: -1, counted: true, dirty: true, expired: now, reference: reference{fleet: s.Boot},
+		settings: s, now: now, lastTick: now, lastContact: now, rng: rand.New(rand.NewPCG(s.Seed, s.BootID)), byName: map[string]*peer{},
+		presentCount: -1, inAgreedFleet: true, viewStale: true, suspicionsCheckedAt: now, agreed: agreedVersion{fleetID: s.BootID},
 	}
-	m.self = Member{Name: s.Name, Address: s.Address, Zone: s.Zone, Boot: s.Boot, Wire: s.Wire, Generation: s.Generation, Incarnation: epoch}
-	m.tables, m.acks = bucket{tablesAtOne, now}, bucket{acksAtOne, now}
-	m.due.probe, m.due.sync = now+m.jitter(1), now+m.jitter(syncEach)
-	m.due.heal, m.due.join, m.joined = now+m.jitter(healEach), now, len(s.Peers) == 0
-	if r := s.Remembered; r.Fleet != 0 && len(r.Others) < Most {
-		m.reference, m.counted = reference{r.Fleet, r.Generation}, r.Counted
+	m.self = Member{Name: s.Name, Address: s.Address, Zone: s.Zone, BootID: s.BootID, WireVersion: s.WireVersion, SettingsGeneration: s.SettingsGeneration, Incarnation: incarnationsPerStart}
+	m.tableBucket, m.ackBucket = tokenBucket{tableRate, now}, tokenBucket{ackRate, now}
+	m.due.probe, m.due.sync = now+m.jitter(1), now+m.jitter(syncInterval)
+	m.due.reconnect, m.due.join, m.joined = now+m.jitter(reconnectInterval), now, len(s.Peers) == 0
+	if r := s.Remembered; r.FleetID != 0 && len(r.Others) < MaxMembers {
+		m.agreed, m.inAgreedFleet = agreedVersion{r.FleetID, r.Generation}, r.IncludesSelf
 		for _, o := range r.Others {
 			if o.Name != s.Name && m.byName[o.Name] == nil {
-				p := &peer{Member: Member{Name: o.Name, Address: o.Address, Zone: o.Zone, State: Failed}, since: now, heard: math.Inf(-1), counted: true}
-				m.byName[o.Name], m.list = p, append(m.list, p)
+				p := &peer{Member: Member{Name: o.Name, Address: o.Address, Zone: o.Zone, State: Failed}, stateSince: now, lastContact: math.Inf(-1), inAgreedFleet: true}
+				m.byName[o.Name], m.peers = p, append(m.peers, p)
 			}
 		}
 	}
-	m.look()
+	m.updateView()
 	return m
 }
 
-// Agreed is the last agreed fleet as it stands.
-func (m *Machine) Agreed() Agreed {
-	a := Agreed{Fleet: m.reference.fleet, Generation: m.reference.generation, Counted: m.counted}
-	for _, p := range m.list {
-		if p.counted {
-			a.Others = append(a.Others, Place{p.Name, p.Address, p.Zone})
+// AgreedFleet returns the last agreed fleet, for storage across restarts.
+func (m *Machine) AgreedFleet() AgreedFleet {
+	a := AgreedFleet{FleetID: m.agreed.fleetID, Generation: m.agreed.generation, IncludesSelf: m.inAgreedFleet}
+	for _, p := range m.peers {
+		if p.inAgreedFleet {
+			a.Others = append(a.Others, AgreedMember{p.Name, p.Address, p.Zone})
 		}
 	}
-	slices.SortFunc(a.Others, func(x, y Place) int { return cmp.Compare(x.Name, y.Name) })
+	slices.SortFunc(a.Others, func(x, y AgreedMember) int { return cmp.Compare(x.Name, y.Name) })
 	return a
 }
 
-// span is a time in intervals as seconds.
-func (m *Machine) span(intervals float64) float64 { return intervals * m.s.Interval }
+// seconds converts a number of probe intervals to seconds.
+func (m *Machine) seconds(intervals float64) float64 { return intervals * m.settings.Interval }
 
-// jitter is a random part of a time in intervals, in seconds: members started at once do not act at once.
-func (m *Machine) jitter(intervals float64) float64 { return m.span(intervals) * m.chance.Float64() }
+// jitter returns a random time below the given number of intervals, in seconds, so that members started together do not
+// act at the same moments.
+func (m *Machine) jitter(intervals float64) float64 { return m.seconds(intervals) * m.rng.Float64() }
 
-// Ready takes what is to be sent and told. Envelopes may be sent in any order, or be lost.
-func (m *Machine) Ready() (send []Envelope, tell []Event) {
-	send, tell = m.out, m.events
-	m.out, m.events = nil, nil
-	return send, tell
+// Ready returns and clears the messages to send and the events to report. Envelopes may be sent in any order and may be
+// lost.
+func (m *Machine) Ready() (send []Envelope, events []Event) {
+	send, events = m.outbox, m.events
+	m.outbox, m.events = nil, nil
+	return send, events
 }
 
-// Self is the own record.
+// Self returns this member's own record.
 func (m *Machine) Self() Member { return m.self }
 
-// Standing is what this process is to the fleet.
+// Standing returns the relation of this process to the fleet.
 func (m *Machine) Standing() Standing { return m.standing }
 
-// Dropped is the events that nobody took in time.
-func (m *Machine) Dropped() int { return m.dropped }
+// DroppedEvents returns the number of events lost because Ready was not called in time.
+func (m *Machine) DroppedEvents() int { return m.dropped }
 
-// Known is what is thought of another member.
-type Known struct {
+// KnownMember is what this member knows about another one.
+type KnownMember struct {
 	Member
-	Since     float64 `json:"Since"` // of its state
-	Heard     float64 `json:"Heard"` // when it last spoke to us itself, below 0 for never
-	Link      Link    `json:"Link"`
-	Reference bool    `json:"Reference"` // it belongs to the last agreed fleet
+	StateSince         float64 `json:"Since"` // when its state last changed
+	LastContact        float64 `json:"Heard"` // when a message last came from it directly, -1 for never
+	Link               Link    `json:"Link"`
+	InLocalAgreedFleet bool    `json:"Reference"` // belongs to the last agreed fleet, as this member sees it
 }
 
-// Members lists all others, by name.
-func (m *Machine) Members() []Known {
-	all := make([]Known, 0, len(m.list))
-	for _, p := range m.list {
-		all = append(all, Known{p.Member, p.since, math.Max(p.heard, -1), p.link, p.counted})
+// Members returns all other known members, sorted by name.
+func (m *Machine) Members() []KnownMember {
+	all := make([]KnownMember, 0, len(m.peers))
+	for _, p := range m.peers {
+		all = append(all, KnownMember{p.Member, p.stateSince, math.Max(p.lastContact, -1), p.link, p.inAgreedFleet})
 	}
-	slices.SortFunc(all, func(a, b Known) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(all, func(a, b KnownMember) int { return cmp.Compare(a.Name, b.Name) })
 	return all
 }
 
-// In is how many others are in, as far as known.
-func (m *Machine) In() int {
-	if m.ins < 0 {
-		m.ins = 0
-		for _, p := range m.list {
-			if p.State.In() {
-				m.ins++
+// PresentCount returns the number of other members that are present.
+func (m *Machine) PresentCount() int {
+	if m.presentCount < 0 {
+		m.presentCount = 0
+		for _, p := range m.peers {
+			if p.State.Present() {
+				m.presentCount++
 			}
 		}
 	}
-	return m.ins
+	return m.presentCount
 }
 
-// touched books that the view is to be worked out anew.
-func (m *Machine) touched() { m.dirty, m.ins = true, -1 }
+// markViewStale marks the view and the number of present members for recomputation.
+func (m *Machine) markViewStale() { m.viewStale, m.presentCount = true, -1 }
 
-// listen books that somebody was heard.
-func (m *Machine) listen() {
-	if m.stalled || m.now-m.heard > m.quiet() {
-		m.touched()
+// recordContact records that a message from another member arrived.
+func (m *Machine) recordContact() {
+	if m.stalled || m.now-m.lastContact > m.silenceLimit() {
+		m.markViewStale()
 	}
-	m.heard, m.stalled = m.now, false
+	m.lastContact, m.stalled = m.now, false
 }
 
-// Tell changes what is told of the own load, settings and vote.
-func (m *Machine) Tell(l Load, generation uint32, v Vote) {
-	if l == m.self.Load && generation == m.self.Generation && v == m.self.Vote {
+// UpdateSelf changes the load, the settings generation and the vote in this member's own record.
+func (m *Machine) UpdateSelf(l Load, generation uint32, v Vote) {
+	if l == m.self.Load && generation == m.self.SettingsGeneration && v == m.self.Vote {
 		return
 	}
 	m.self.Version++
 	m.self.Load = l
-	if generation != m.self.Generation || v != m.self.Vote {
-		m.self.Generation, m.self.Vote = generation, v
-		m.spread(m.self)
+	if generation != m.self.SettingsGeneration || v != m.self.Vote {
+		m.self.SettingsGeneration, m.self.Vote = generation, v
+		m.queueUpdate(m.self)
 	}
 }
 
-// Leave has the member tell that it goes, to some at once; the rest hear it from them.
+// Leave marks this member as left and informs some members at once; the rest learn it from them.
 func (m *Machine) Leave(now float64) {
 	m.now = now
-	if m.standing != Belongs {
+	if m.standing != IsMember {
 		return
 	}
-	m.self.State, m.standing = Left, Away
-	m.spread(m.self)
-	for _, p := range m.some(2*helpers, func(p *peer) bool { return p.State.In() }) {
-		m.ping(p, 0)
+	m.self.State, m.standing = Left, HasLeft
+	m.queueUpdate(m.self)
+	for _, p := range m.randomPeers(2*indirectProbes, func(p *peer) bool { return p.State.Present() }) {
+		m.sendPing(p, 0)
 	}
-	m.look()
+	m.updateView()
 }
 
-// event keeps one to be told.
-func (m *Machine) event(e Event) {
+// emit queues an event for Ready; it counts the event as dropped if the queue is full.
+func (m *Machine) emit(e Event) {
 	e.At = m.now
-	if len(m.events) >= mostEvents {
+	if len(m.events) >= maxEvents {
 		m.dropped++
 		return
 	}
 	m.events = append(m.events, e)
 }
 
-// Step takes a message.
+// Step handles a received message.
 func (m *Machine) Step(in Message, now float64) {
 	m.now = now
-	if in.From.Name == "" || m.standing == Away || len(in.News) > Most {
+	if in.From.Name == "" || m.standing == HasLeft || len(in.Updates) > MaxMembers {
 		return
 	}
-	if in.From.Name == m.self.Name && in.From.Boot == m.self.Boot {
-		return // one's own, sent around
+	if in.From.Name == m.self.Name && in.From.BootID == m.self.BootID {
+		return // its own message, returned by the network
 	}
 	switch in.Kind {
 	case Join:
-		m.takeIn(in)
+		m.handleJoin(in)
 		return
 	case Refused:
-		if in.Seq == m.joinSeq && in.Target.Name == m.self.Name && in.Target.Boot != m.self.Boot {
+		if in.Seq == m.joinSeq && in.Target.Name == m.self.Name && in.Target.BootID != m.self.BootID {
 			m.oust(in.Target)
 		}
 		return
 	case Table:
-		m.takeTable(in)
+		m.handleTable(in)
 		return
 	}
 	if m.standing == Ousted {
 		return
 	}
-	if !m.joined { // guards against a twin that is asked something before it was taken in, and would pass for its namesake
-		if m.now >= m.due.join-m.span(joinEach) {
-			m.due.join = m.now + m.span(joinEach)
-			m.ask(in.From.Address)
+	// Guards against a second process of the same name that receives a probe before it was admitted and would answer as
+	// its namesake.
+	if !m.joined {
+		if m.now >= m.due.join-m.seconds(joinInterval) {
+			m.due.join = m.now + m.seconds(joinInterval)
+			m.sendJoin(in.From.Address)
 		}
 		return
 	}
-	m.hear(in.From)
-	for i := range in.News {
-		m.learn(in.News[i], false)
+	m.recordSender(in.From)
+	for i := range in.Updates {
+		m.applyRecord(in.Updates[i], false)
 	}
-	m.compare(in)
+	m.compareViews(in)
 	switch in.Kind {
 	case Ping:
-		m.answer(in)
-	case PingFor:
-		m.favour(in)
+		m.handlePing(in)
+	case PingRequest:
+		m.handlePingRequest(in)
 	case Ack:
-		m.acked(in)
-	case AckFor, NackFor:
-		m.ackedFor(in)
+		m.handleAck(in)
+	case IndirectAck, IndirectNack:
+		m.handleIndirectAck(in)
 	}
-	m.look()
+	m.updateView()
 }
 
-// hear takes that a member spoke to us itself.
-func (m *Machine) hear(from Member) {
-	m.listen()
+// recordSender records that a message came directly from a member.
+func (m *Machine) recordSender(from Member) {
+	m.recordContact()
 	state := from.State
 	if state != Left {
 		from.State = Alive
 	}
-	m.learn(from, false)
-	if p := m.byName[from.Name]; p != nil && p.Boot == from.Boot {
-		p.heard = m.now
-		m.silence(p, false)
-		if p.State == Failed && state != Left && m.tables.take(m.now, tablesAtOne) { // it does not know, or its refutation is lost
+	m.applyRecord(from, false)
+	if p := m.byName[from.Name]; p != nil && p.BootID == from.BootID {
+		p.lastContact = m.now
+		m.setUnresponsive(p, false)
+		// A failed member that still sends does not know that it counts as failed, or its refutation was lost.
+		if p.State == Failed && state != Left && m.tableBucket.take(m.now, tableRate) {
 			m.sendTable(p.Address, 0, true)
 		}
 	}
 }
 
-// Tick takes the time; to be called several times an interval.
+// Tick advances the time. It must be called several times per interval.
 func (m *Machine) Tick(now float64) {
 	m.now = now
-	away := now - m.ticked
-	m.ticked = now
-	if m.standing == Away {
+	elapsed := now - m.lastTick
+	m.lastTick = now
+	if m.standing == HasLeft {
 		return
 	}
-	if away > m.span(pause) && !m.s.Plain {
-		m.wake(away)
+	if elapsed > m.seconds(stallThreshold) && !m.settings.PlainSWIM {
+		m.resumeAfterStall(elapsed)
 	}
 	if m.standing == Ousted {
-		m.join()
+		m.tryJoin()
 		return
 	}
-	m.join()
+	m.tryJoin()
 	m.tickProbe()
-	if m.now >= m.due.look {
-		m.due.look = m.now + m.span(lookEach)
-		m.expire()
-		m.forget()
-		m.settle()
+	if m.now >= m.due.sweep {
+		m.due.sweep = m.now + m.seconds(sweepInterval)
+		m.expireSuspicions()
+		m.forgetMembers()
+		m.countNewcomers()
 	}
-	m.exchange()
-	m.look()
+	m.syncAndReconnect()
+	m.updateView()
 }
 
-// wake goes on after a pause: whoever seems late may be late because nobody looked. What was asked is asked anew, suspicions
-// stand still for as long, and nobody is accused before somebody was heard.
-func (m *Machine) wake(away float64) {
+// resumeAfterStall resumes work after a pause of this process, since others may seem late only because this process was
+// not running. Open probes are dropped and a new one is sent at once, suspicion timeouts are extended by the pause, and
+// nobody is suspected until a message has arrived.
+func (m *Machine) resumeAfterStall(elapsed float64) {
 	m.stalled = true
-	m.probe, m.asked, m.fails = nil, nil, 0
-	for _, p := range m.list {
+	m.currentProbe, m.indirectPings, m.unanswered = nil, nil, 0
+	for _, p := range m.peers {
 		p.missed = 0
 		if p.State == Suspect {
-			p.until += away
+			p.suspectUntil += elapsed
 		}
 	}
-	m.health = min(health, m.health+1)
+	m.healthScore = min(maxHealthScore, m.healthScore+1)
 	m.due.probe = m.now
 }
 
-// Holds tells whether a member is thought to be in.
-func (m *Machine) Holds(name string) bool {
+// IsPresent reports whether the member of that name is known and present.
+func (m *Machine) IsPresent(name string) bool {
 	p := m.byName[name]
-	return p != nil && p.State.In()
+	return p != nil && p.State.Present()
 }
--- a/core/cluster/membership/members_test.go
+++ b/core/cluster/membership/members_test.go
@@ -16,147 +16,152 @@
 	"elderwall/internal/standin/need"
 )
 
-const tickEach = 0.25 // intervals, which are seconds here
+const tickInterval = 0.25 // intervals; an interval is one second here
 
-// net is some members and what is between them, with no chance in it but the members' own.
-type net struct {
-	now     float64
-	all     []*one
-	pending []sent
-	boots   uint64
-	spoil   func(*Message) // a fault in every message that is put in on purpose
-	memory  Agreed         // of who is started
-	last    map[string]string
-	back    []string // who was heard to have left, and came back without a start
+// simNetwork simulates members and the network between them. Apart from the members' own random draws it is
+// deterministic.
+type simNetwork struct {
+	now         float64
+	members     []*simMember
+	inFlight    []delivery
+	starts      uint64
+	corrupt     func(*Message) // if set, injects a fault into every message
+	remembered  AgreedFleet    // the agreed fleet given to members that are started
+	lastEvents  map[string]string
+	resurrected []string // entries "x of y": x saw y leave and then return, although y was not restarted
 }
 
-type one struct {
+// simMember is one member of the simulated network.
+type simMember struct {
 	*Machine
-	name, address string
-	gone, left    bool
+	name, address    string
+	stopped, hasLeft bool
 }
 
-type sent struct {
+// delivery is a message in flight between two members, given by their indexes.
+type delivery struct {
 	from, to int
 	Envelope
 }
 
-// phase is what holds between members for some time.
-type phase struct {
-	name  string
-	loses func(from, to int) bool
-	twice bool
-	late  bool // by a tick
-	stall int  // who stands still, below 0 for none
-	begin func(*net)
+// condition is a fault, or the absence of one, that affects the network or a member for some time.
+type condition struct {
+	name      string
+	drops     func(from, to int) bool
+	duplicate bool
+	delay     bool // deliver messages one tick later
+	stalled   int  // index of a member that does not run, below 0 for none
+	onStart   func(*simNetwork)
 }
 
-func newNet(n int) *net {
-	w := &net{last: map[string]string{}}
+func newSimNetwork(n int) *simNetwork {
+	w := &simNetwork{lastEvents: map[string]string{}}
 	for i := range n {
-		o := &one{name: fmt.Sprintf("n%d", i), address: fmt.Sprintf("127.0.0.1:%d", i)}
-		w.all = append(w.all, o)
+		o := &simMember{name: fmt.Sprintf("n%d", i), address: fmt.Sprintf("127.0.0.1:%d", i)}
+		w.members = append(w.members, o)
 		w.start(o)
 	}
 	return w
 }
 
-func (w *net) start(o *one) {
-	w.boots++
-	for _, other := range w.all {
-		delete(w.last, other.name+" of "+o.name)
-		delete(w.last, o.name+" of "+other.name)
+// start starts or restarts a member.
+func (w *simNetwork) start(o *simMember) {
+	w.starts++
+	for _, other := range w.members {
+		delete(w.lastEvents, other.name+" of "+o.name)
+		delete(w.lastEvents, o.name+" of "+other.name)
 	}
-	o.gone, o.left = false, false
+	o.stopped, o.hasLeft = false, false
 	o.Machine = New(Settings{
 		Name: o.name, Address: o.address, Peers: []string{"127.0.0.1:0", "127.0.0.1:1"}, Interval: 1,
-		Boot: w.boots * 7919 % 1009, Seed: w.boots, Remembered: w.memory,
+		BootID: w.starts * 7919 % 1009, Seed: w.starts, Remembered: w.remembered,
 	}, w.now)
 }
 
-func (w *net) collect(i int) {
-	send, tell := w.all[i].Ready()
-	for _, e := range tell {
-		key := w.all[i].name + " of " + e.Name
-		if w.last[key] == "left" && (e.What == "alive" || e.What == "joined" || e.What == "suspect") {
-			w.back = append(w.back, key)
+// collect takes the messages and events of member i, and records members that reappear after they left.
+func (w *simNetwork) collect(i int) {
+	send, events := w.members[i].Ready()
+	for _, e := range events {
+		key := w.members[i].name + " of " + e.Name
+		if w.lastEvents[key] == "left" && (e.Kind == "alive" || e.Kind == "joined" || e.Kind == "suspect") {
+			w.resurrected = append(w.resurrected, key)
 		}
-		w.last[key] = e.What
+		w.lastEvents[key] = e.Kind
 	}
 	for _, e := range send {
-		for to, o := range w.all {
+		for to, o := range w.members {
 			if o.address == e.To {
-				w.pending = append(w.pending, sent{i, to, e})
+				w.inFlight = append(w.inFlight, delivery{i, to, e})
 			}
 		}
 	}
 }
 
-// play plays a phase for some time.
-func (w *net) play(p phase, span float64) {
-	if p.begin != nil {
-		p.begin(w)
+// run simulates the network under a condition for span seconds.
+func (w *simNetwork) run(p condition, span float64) {
+	if p.onStart != nil {
+		p.onStart(w)
 	}
 	for end := w.now + span; w.now < end; {
-		w.now += tickEach
-		for i, o := range w.all {
-			if !o.gone && i != p.stall {
+		w.now += tickInterval
+		for i, o := range w.members {
+			if !o.stopped && i != p.stalled {
 				o.Tick(w.now)
 				w.collect(i)
 			}
 		}
-		for rounds := 0; len(w.pending) > 0 && rounds < 6; rounds++ {
-			batch := w.pending
-			w.pending = nil
+		for rounds := 0; len(w.inFlight) > 0 && rounds < 6; rounds++ {
+			batch := w.inFlight
+			w.inFlight = nil
 			for _, s := range batch {
 				w.deliver(p, s)
 			}
-			if p.late {
+			if p.delay {
 				break
 			}
 		}
 	}
 }
 
-// deliver gives one message to whom it goes, unless it is lost in the phase.
-func (w *net) deliver(p phase, s sent) {
-	o := w.all[s.to]
-	lost := p.loses != nil && (p.loses(s.from, s.to) || s.Stream && p.loses(s.to, s.from))
-	if o.gone || s.to == p.stall || lost {
+// deliver hands a message to its receiver, unless the condition drops it.
+func (w *simNetwork) deliver(p condition, s delivery) {
+	o := w.members[s.to]
+	lost := p.drops != nil && (p.drops(s.from, s.to) || s.Stream && p.drops(s.to, s.from))
+	if o.stopped || s.to == p.stalled || lost {
 		return
 	}
 	m := s.Message
-	m.News = append([]Member(nil), m.News...)
-	if w.spoil != nil {
-		w.spoil(&m)
+	m.Updates = append([]Member(nil), m.Updates...)
+	if w.corrupt != nil {
+		w.corrupt(&m)
 	}
 	o.Step(m, w.now)
-	if p.twice {
+	if p.duplicate {
 		o.Step(m, w.now)
 	}
 	w.collect(s.to)
 }
 
-// check holds what all think against what is: the checker knows no rule of the protocol.
-func (w *net) check() error {
+// check compares the views of all members with the actual state. It uses no rule of the protocol.
+func (w *simNetwork) check() error {
 	var wrong []string
 	live := 0
-	for _, o := range w.all {
-		if !o.gone && !o.left {
+	for _, o := range w.members {
+		if !o.stopped && !o.hasLeft {
 			live++
 		}
 	}
-	for _, o := range w.all {
-		if o.gone || o.left {
+	for _, o := range w.members {
+		if o.stopped || o.hasLeft {
 			continue
 		}
 		wrong = append(wrong, w.checkMembers(o)...)
 		if v := o.View(); v.Seen != live || live > 1 && v.Level < Majority {
-			wrong = append(wrong, fmt.Sprintf("%s sees %d of %d, %v; %d live", o.name, v.Seen, v.Of, v.Level, live))
+			wrong = append(wrong, fmt.Sprintf("%s sees %d of %d members, level %v; %d are live", o.name, v.Seen, v.AgreedSize, v.Level, live))
 		}
 	}
-	for _, key := range w.back {
-		wrong = append(wrong, "back without a start: "+key)
+	for _, key := range w.resurrected {
+		wrong = append(wrong, "present again without a restart: "+key)
 	}
 	if len(wrong) > 0 {
 		return errors.New(strings.Join(wrong, "; "))
@@ -164,80 +169,81 @@
 	return nil
 }
 
-// checkMembers holds what one thinks of each other against what is.
-func (w *net) checkMembers(o *one) (wrong []string) {
-	known := map[string]Known{}
+// checkMembers compares what one member knows about the others with the actual state.
+func (w *simNetwork) checkMembers(o *simMember) (wrong []string) {
+	known := map[string]KnownMember{}
 	for _, k := range o.Members() {
 		known[k.Name] = k
 	}
-	for _, x := range w.all {
+	for _, x := range w.members {
 		if x == o {
 			continue
 		}
 		k, ok := known[x.name]
-		switch in := ok && k.State == Alive; {
-		case x.gone || x.left:
+		switch alive := ok && k.State == Alive; {
+		case x.stopped || x.hasLeft:
 			if ok && k.State != Left && k.State != Failed {
-				wrong = append(wrong, fmt.Sprintf("%s holds %s, which is gone, to be %v", o.name, x.name, k.State))
+				wrong = append(wrong, fmt.Sprintf("%s considers %s, which is gone, to be %v", o.name, x.name, k.State))
 			}
-		case !in:
-			wrong = append(wrong, fmt.Sprintf("%s holds %s to be %v", o.name, x.name, k.State))
-		case k.Boot != x.self.Boot:
-			wrong = append(wrong, fmt.Sprintf("%s has an older %s", o.name, x.name))
+		case !alive:
+			wrong = append(wrong, fmt.Sprintf("%s considers %s to be %v", o.name, x.name, k.State))
+		case k.BootID != x.self.BootID:
+			wrong = append(wrong, fmt.Sprintf("%s has a record of an earlier process of %s", o.name, x.name))
 		}
 	}
 	return wrong
 }
 
-func phases() []phase {
-	apart := func(i int) func(a, b int) bool { return func(a, b int) bool { return (a == i) != (b == i) } }
-	restart := func(i int) func(*net) { return func(w *net) { w.start(w.all[i]) } }
-	return []phase{
-		{name: "calm", stall: -1},
-		{name: "all is lost", stall: -1, loses: func(int, int) bool { return true }},
-		{name: "0 apart", stall: -1, loses: apart(0)},
-		{name: "1 apart", stall: -1, loses: apart(1)},
-		{name: "0 does not reach 1", stall: -1, loses: func(a, b int) bool { return a == 0 && b == 1 }},
-		{name: "2 is heard by nobody", stall: -1, loses: func(a, _ int) bool { return a == 2 }},
-		{name: "2 hears nobody", stall: -1, loses: func(_, b int) bool { return b == 2 }},
-		{name: "all comes twice and late", stall: -1, twice: true, late: true},
-		{name: "0 stands still", stall: 0},
-		{name: "1 is restarted", stall: -1, begin: restart(1)},
-		{name: "1 is restarted and apart", stall: -1, loses: apart(1), begin: restart(1)},
-		{name: "2 leaves", stall: -1, begin: func(w *net) {
-			if o := w.all[2]; !o.left {
+// conditions returns the conditions that the tests combine; the first one is without a fault.
+func conditions() []condition {
+	isolate := func(i int) func(a, b int) bool { return func(a, b int) bool { return (a == i) != (b == i) } }
+	restart := func(i int) func(*simNetwork) { return func(w *simNetwork) { w.start(w.members[i]) } }
+	return []condition{
+		{name: "no fault", stalled: -1},
+		{name: "all messages are lost", stalled: -1, drops: func(int, int) bool { return true }},
+		{name: "0 is isolated", stalled: -1, drops: isolate(0)},
+		{name: "1 is isolated", stalled: -1, drops: isolate(1)},
+		{name: "messages from 0 to 1 are lost", stalled: -1, drops: func(a, b int) bool { return a == 0 && b == 1 }},
+		{name: "all messages from 2 are lost", stalled: -1, drops: func(a, _ int) bool { return a == 2 }},
+		{name: "all messages to 2 are lost", stalled: -1, drops: func(_, b int) bool { return b == 2 }},
+		{name: "all messages are duplicated and delayed", stalled: -1, duplicate: true, delay: true},
+		{name: "0 is stalled", stalled: 0},
+		{name: "1 is restarted", stalled: -1, onStart: restart(1)},
+		{name: "1 is restarted while isolated", stalled: -1, drops: isolate(1), onStart: restart(1)},
+		{name: "2 leaves", stalled: -1, onStart: func(w *simNetwork) {
+			if o := w.members[2]; !o.hasLeft {
 				o.Leave(w.now)
 				w.collect(2)
-				o.left = true
+				o.hasLeft = true
 			}
 		}},
-		{name: "2 leaves and is lost", stall: -1, loses: apart(2), begin: func(w *net) { w.all[2].Leave(w.now); w.all[2].left = true }},
+		{name: "2 leaves while isolated", stalled: -1, drops: isolate(2), onStart: func(w *simNetwork) { w.members[2].Leave(w.now); w.members[2].hasLeft = true }},
 	}
 }
 
-// Three members, every order of three troubles (ELDERWALL_DEPTH for more): once the network is whole no live member stays
-// failed, and one that left does not come back by old news.
-func TestEveryOrderOfTroubles(t *testing.T) {
+// Three members go through every sequence of three conditions (ELDERWALL_DEPTH sets another length). After the network
+// is whole again, no live member may remain failed, and outdated gossip must not bring back a member that left.
+func TestMembershipConvergesAfterEveryFaultSequence(t *testing.T) {
 	depth := 3
 	if d := os.Getenv("ELDERWALL_DEPTH"); d != "" {
 		need.Of(fmt.Sscan(d, &depth))(t)
 	}
-	all := phases()
-	const parts = 8
-	orders := int(math.Pow(float64(len(all)), float64(depth)))
-	for part := range parts {
-		t.Run(fmt.Sprint(part), func(t *testing.T) {
+	all := conditions()
+	const shards = 8
+	sequences := int(math.Pow(float64(len(all)), float64(depth)))
+	for shard := range shards {
+		t.Run(fmt.Sprint(shard), func(t *testing.T) {
 			t.Parallel()
-			for n := part; n < orders; n += parts {
-				w := newNet(3)
-				w.play(all[0], 12)
+			for n := shard; n < sequences; n += shards {
+				w := newSimNetwork(3)
+				w.run(all[0], 12)
 				names := []string{}
 				for k, rest := 0, n; k < depth; k, rest = k+1, rest/len(all) {
 					p := all[rest%len(all)]
 					names = append(names, p.name)
-					w.play(p, 7)
+					w.run(p, 7)
 				}
-				w.play(all[0], 80)
+				w.run(all[0], 80)
 				if err := w.check(); err != nil {
 					t.Fatalf("%q: %v", names, err)
 				}
@@ -246,99 +252,105 @@
 	}
 }
 
-// More members, and troubles of any length.
-func TestTroublesByChance(t *testing.T) {
-	all := phases()
+// Three to seven members go through random sequences of conditions of random length, and must agree on the actual state
+// afterwards.
+func TestMembershipConvergesAfterRandomFaults(t *testing.T) {
+	all := conditions()
 	rapid.Check(t, func(t *rapid.T) {
-		w := newNet(rapid.IntRange(3, 7).Draw(t, "members"))
-		w.play(all[0], 12)
-		for range rapid.IntRange(1, 6).Draw(t, "troubles") {
-			w.play(all[rapid.IntRange(0, len(all)-1).Draw(t, "trouble")], rapid.Float64Range(0.3, 20).Draw(t, "span"))
+		w := newSimNetwork(rapid.IntRange(3, 7).Draw(t, "members"))
+		w.run(all[0], 12)
+		for range rapid.IntRange(1, 6).Draw(t, "faults") {
+			w.run(all[rapid.IntRange(0, len(all)-1).Draw(t, "fault")], rapid.Float64Range(0.3, 20).Draw(t, "span"))
 		}
-		w.play(all[0], 100)
+		w.run(all[0], 100)
 		assert.NoError(t, w.check())
 	})
 }
 
-// A fleet is cut in parts; members start anew in it, with what they remember, and new ones come. Once that has lasted, no two
-// parts have a majority, and once it is healed all know all.
-func TestOnlyOnePartHasAMajority(t *testing.T) {
+// A fleet is partitioned while members restart with the agreed fleet that they stored, and new members start. Each part
+// could then take itself for the whole fleet. After a while at most one partition may have a majority, and after the
+// partitions have healed every member must see the whole fleet.
+func TestOnlyOnePartitionHasMajority(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n, fresh := rapid.IntRange(3, 7).Draw(t, "members"), rapid.IntRange(0, 3).Draw(t, "new")
-		w := newNet(n + fresh)
-		for _, o := range w.all[n:] {
-			o.gone = true
+		n, newcomers := rapid.IntRange(3, 7).Draw(t, "members"), rapid.IntRange(0, 3).Draw(t, "new")
+		w := newSimNetwork(n + newcomers)
+		for _, o := range w.members[n:] {
+			o.stopped = true
 		}
-		calm := phase{stall: -1}
-		w.play(calm, 20)
-		part := make([]int, n+fresh)
-		for i := range part {
-			part[i] = rapid.IntRange(0, 2).Draw(t, "part")
+		connected := condition{stalled: -1}
+		w.run(connected, 20)
+		partition := make([]int, n+newcomers)
+		for i := range partition {
+			partition[i] = rapid.IntRange(0, 2).Draw(t, "partition")
 		}
-		cut := phase{stall: -1, loses: func(a, b int) bool { return part[a] != part[b] }}
-		for i, o := range w.all {
-			if i >= n && rapid.Bool().Draw(t, "comes") || i < n && rapid.IntRange(0, 3).Draw(t, "starts anew") == 0 {
-				w.again(o)
+		partitioned := condition{stalled: -1, drops: func(a, b int) bool { return partition[a] != partition[b] }}
+		for i, o := range w.members {
+			if i >= n && rapid.Bool().Draw(t, "newcomer starts") || i < n && rapid.IntRange(0, 3).Draw(t, "restarts") == 0 {
+				w.restartRemembering(o)
 			}
-			w.play(cut, rapid.Float64Range(0, 12).Draw(t, "span"))
+			w.run(partitioned, rapid.Float64Range(0, 12).Draw(t, "span"))
 		}
-		w.play(cut, 70)
-		assert.LessOrEqual(t, w.deciding(part), 1, "parts with a majority")
-		w.play(calm, 120)
-		for _, o := range w.all {
-			if !o.gone {
+		w.run(partitioned, 70)
+		assert.LessOrEqual(t, w.partitionsWithMajority(partition), 1, "partitions with a majority")
+		w.run(connected, 120)
+		for _, o := range w.members {
+			if !o.stopped {
 				assert.Equal(t, Whole, o.View().Level, "%s: %+v", o.name, o.View())
 			}
 		}
 	})
 }
 
-// deciding is the number of parts in which somebody sees a majority.
-func (w *net) deciding(part []int) int {
+// partitionsWithMajority returns the number of partitions in which a member sees a majority.
+func (w *simNetwork) partitionsWithMajority(partition []int) int {
 	has := map[int]bool{}
-	for i, o := range w.all {
-		if !o.gone && o.May(Decide) {
-			has[part[i]] = true
+	for i, o := range w.members {
+		if !o.stopped && o.May(DecideByMajority) {
+			has[partition[i]] = true
 		}
 	}
 	return len(has)
 }
 
-// again starts one anew with what it remembers.
-func (w *net) again(o *one) { w.memory = o.Agreed(); w.start(o); w.memory = Agreed{} }
+// restartRemembering restarts a member with the agreed fleet that it stored.
+func (w *simNetwork) restartRemembering(o *simMember) {
+	w.remembered = o.AgreedFleet()
+	w.start(o)
+	w.remembered = AgreedFleet{}
+}
 
-// The checker finds what is put in on purpose.
-func TestTheCheckerFindsFaults(t *testing.T) {
-	all := phases()
-	for name, spoil := range map[string]func(*Message){
-		"who left is brought back": func(m *Message) {
-			for i := range m.News {
-				if m.News[i].State == Left {
-					m.News[i].State, m.News[i].Incarnation = Alive, m.News[i].Incarnation+1
+// Guards against a checker that accepts everything: it must detect each injected fault under at least one condition.
+func TestCheckerDetectsInjectedFaults(t *testing.T) {
+	all := conditions()
+	for name, corrupt := range map[string]func(*Message){
+		"members that left are brought back": func(m *Message) {
+			for i := range m.Updates {
+				if m.Updates[i].State == Left {
+					m.Updates[i].State, m.Updates[i].Incarnation = Alive, m.Updates[i].Incarnation+1
 				}
 			}
 		},
 		"refutations are lost": func(m *Message) {
-			m.From.Incarnation &^= epoch - 1
-			for i := range m.News {
-				m.News[i].Incarnation &^= epoch - 1
+			m.From.Incarnation &^= incarnationsPerStart - 1
+			for i := range m.Updates {
+				m.Updates[i].Incarnation &^= incarnationsPerStart - 1
 			}
 		},
-		"a start's number is lost": func(m *Message) {
-			m.From.Incarnation = min(m.From.Incarnation, epoch)
-			for i := range m.News {
-				m.News[i].Incarnation = min(m.News[i].Incarnation, epoch)
+		"the number of starts is lost": func(m *Message) {
+			m.From.Incarnation = min(m.From.Incarnation, incarnationsPerStart)
+			for i := range m.Updates {
+				m.Updates[i].Incarnation = min(m.Updates[i].Incarnation, incarnationsPerStart)
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			found := 0
 			for _, p := range all {
-				w := newNet(3)
-				w.spoil = spoil
-				w.play(all[0], 12)
-				w.play(p, 12)
-				w.play(all[0], 80)
+				w := newSimNetwork(3)
+				w.corrupt = corrupt
+				w.run(all[0], 12)
+				w.run(p, 12)
+				w.run(all[0], 80)
 				if w.check() != nil {
 					found++
 				}
@@ -348,55 +360,58 @@
 	}
 }
 
-// Of two records of a name one always says more, and of three the same one whatever the order.
-func TestRecordsAreInOneOrder(t *testing.T) {
+// Records of one name must be totally ordered: otherwise members that receive them in different orders would end with
+// different records.
+func TestRecordOrderIsTotal(t *testing.T) {
 	contract.Kind[Member]{
 		Draw: func(c *rand.Rand) Member {
-			return Member{Name: "a", Incarnation: c.Uint64N(3), Boot: c.Uint64N(3), State: State(c.IntN(int(Left) + 1))}
+			return Member{Name: "a", Incarnation: c.Uint64N(3), BootID: c.Uint64N(3), State: State(c.IntN(int(Left) + 1))}
+		},
+		Same: func(a, b Member) bool { return a == b },
+		Compare: func(a, b Member) int {
+			return map[bool]int{true: 1}[a.supersedes(&b)] - map[bool]int{true: 1}[b.supersedes(&a)]
 		},
-		Same:    func(a, b Member) bool { return a == b },
-		Compare: func(a, b Member) int { return map[bool]int{true: 1}[a.beats(&b)] - map[bool]int{true: 1}[b.beats(&a)] },
 	}.Hold(t)
 }
 
-// docs/members.md has the table of what is done in each view; it says what the program does.
-func TestTheTableInTheDocsIsTrue(t *testing.T) {
+// Guards against a table in docs/members.md that differs from what the program allows at each level.
+func TestAllowedMatchesDocsTable(t *testing.T) {
 	raw := need.Of(os.ReadFile("../../../docs/members.md"))(t)
-	for a, name := range Acts {
+	for a, name := range ActionNames {
 		row := "| " + name + " |"
 		for _, l := range []Level{Whole, Majority, Minority, Alone} {
-			row += map[bool]string{true: " yes |", false: " no |"}[Allowed(Act(a), l, false)]
+			row += map[bool]string{true: " yes |", false: " no |"}[Allowed(Action(a), l, false)]
 		}
-		row += map[bool]string{true: " yes |", false: " no |"}[Allowed(Act(a), Whole, true)]
+		row += map[bool]string{true: " yes |", false: " no |"}[Allowed(Action(a), Whole, true)]
 		assert.Contains(t, string(raw), row+"\n")
 	}
 }
 
-// Nothing that a message says can make a table, a queue or a datagram grow without bound.
-func TestBounds(t *testing.T) {
-	m := New(Settings{Name: "a", Address: "127.0.0.1:1", Boot: 1}, 0)
-	for i := range 3 * Most {
-		m.Step(Message{Kind: Ping, Seq: uint32(i), From: Member{Name: fmt.Sprint("n", i), Address: "127.0.0.1:2", Boot: uint64(i + 2), Incarnation: epoch}}, 0.001*float64(i))
+// A sender must not be able to make a table, a queue or a datagram grow without bound, whatever its messages contain.
+func TestTablesAndQueuesAreBounded(t *testing.T) {
+	m := New(Settings{Name: "a", Address: "127.0.0.1:1", BootID: 1}, 0)
+	for i := range 3 * MaxMembers {
+		m.Step(Message{Kind: Ping, Seq: uint32(i), From: Member{Name: fmt.Sprint("n", i), Address: "127.0.0.1:2", BootID: uint64(i + 2), Incarnation: incarnationsPerStart}}, 0.001*float64(i))
 		m.Step(Message{
-			Kind: PingFor, Seq: uint32(i), From: Member{Name: "n1", Address: "127.0.0.1:2", Boot: 3, Incarnation: epoch},
+			Kind: PingRequest, Seq: uint32(i), From: Member{Name: "n1", Address: "127.0.0.1:2", BootID: 3, Incarnation: incarnationsPerStart},
 			Target: Member{Name: "n2", Address: "127.0.0.1:3"},
 		}, 0.001*float64(i))
 	}
-	assert.LessOrEqual(t, len(m.list), Most)
-	assert.LessOrEqual(t, len(m.news), mostNews)
-	assert.LessOrEqual(t, len(m.asked), mostFavours)
-	send, tell := m.Ready()
-	assert.LessOrEqual(t, len(tell), mostEvents)
-	assert.Positive(t, m.Dropped())
-	assert.Less(t, float64(len(send)), 6*(acksAtOne*2)+1, "answers are rationed")
+	assert.LessOrEqual(t, len(m.peers), MaxMembers)
+	assert.LessOrEqual(t, len(m.updates), maxQueuedUpdates)
+	assert.LessOrEqual(t, len(m.indirectPings), maxIndirectPings)
+	send, events := m.Ready()
+	assert.LessOrEqual(t, len(events), maxEvents)
+	assert.Positive(t, m.DroppedEvents())
+	assert.Less(t, float64(len(send)), 6*(ackRate*2)+1, "the rate of answers is limited")
 	for _, e := range send {
 		bytes := 0
-		for i := range e.News {
-			bytes += e.News[i].Bytes()
+		for i := range e.Updates {
+			bytes += e.Updates[i].ApproxBytes()
 		}
-		assert.True(t, e.Stream || bytes <= NewsBytes)
+		assert.True(t, e.Stream || bytes <= MaxUpdateBytes)
 	}
-	long := strings.Repeat("x", longWord+1)
-	m.Step(Message{Kind: Ping, From: Member{Name: long, Address: "127.0.0.1:2", Boot: 9}}, 100)
-	assert.False(t, m.Holds(long))
+	long := strings.Repeat("x", maxTextBytes+1)
+	m.Step(Message{Kind: Ping, From: Member{Name: long, Address: "127.0.0.1:2", BootID: 9}}, 100)
+	assert.False(t, m.IsPresent(long))
 }
--- a/core/cluster/membership/probe.go
+++ b/core/cluster/membership/probe.go
@@ -5,107 +5,112 @@
 	"slices"
 )
 
-// Link is how another member is reached from here.
+// Link is the quality of the path to another member.
 type Link uint8
 
 // The links.
 const (
-	Clear  Link = iota
-	Deaf        // it is heard here and does not hear us: cut one way
-	Around      // it is reached by way of others alone
+	LinkClear    Link = iota
+	LinkOneWay        // its messages arrive here, but ours do not reach it: a fault in one direction
+	LinkIndirect      // it is reached only through other members
 )
 
 func (l Link) String() string {
-	return [...]string{"clear", "deaf", "reached by others"}[min(l, Around)]
+	return [...]string{"clear", "deaf", "reached by others"}[min(l, LinkIndirect)]
 }
 
-// probe is the one under way.
+// probe is the probe in progress.
 type probe struct {
-	of          *peer
-	boot        uint64
-	seq         uint32
-	at          float64
-	askAt, end  float64
-	asked, nack int  // helpers
-	by          bool // answered by way of others
+	target               *peer
+	bootID               uint64
+	seq                  uint32
+	startedAt            float64
+	indirectAt, deadline float64
+	helpers, nacks       int  // members asked to ping the target, and how many of them reported no answer
+	indirectlyAcked      bool // the target answered a ping of another member
 }
 
-// favour is a ping for another member.
-type favour struct {
-	own         uint32 // number of the ping
-	to          string // who asked
-	seq         uint32
-	target      Member
-	nackAt, end float64
-	nacked      bool
+// indirectPing is a ping that this member sends on behalf of another.
+type indirectPing struct {
+	pingSeq          uint32 // sequence number of the ping
+	requester        string // address of the member that asked for the ping
+	requestSeq       uint32
+	target           Member
+	nackAt, deadline float64
+	nackSent         bool
 }
 
-const mostFavours = 64 // at a time; who asks for more has the others
+const maxIndirectPings = 64 // at a time; further requests are ignored, and the requester relies on its other helpers
 
-// stretch is how much longer waits are for the own doubt.
-func (m *Machine) stretch() float64 {
-	if m.s.Plain {
+// waitFactor returns the factor by which the local health score lengthens timeouts.
+func (m *Machine) waitFactor() float64 {
+	if m.settings.PlainSWIM {
 		return 1
 	}
-	return float64(1 + m.health)
+	return float64(1 + m.healthScore)
 }
 
-// quiet is how long nobody is heard, in seconds, until that tells of the own link: waits that are stretched bring fewer answers.
-func (m *Machine) quiet() float64 { return m.span(math.Max(quiet, 1.5*m.stretch())) }
+// silenceLimit returns after how many seconds without any message this member's own link is suspected. It rises with
+// waitFactor, because longer timeouts bring fewer answers.
+func (m *Machine) silenceLimit() float64 {
+	return m.seconds(math.Max(silenceThreshold, 1.5*m.waitFactor()))
+}
 
-// doubts tells whether the fault is likelier here than elsewhere: after a stall as long as nobody was heard, while nobody at
-// all is, and while nobody answers. The others may be gone as well, so that this ends.
-func (m *Machine) doubts() bool {
-	if m.s.Plain || m.In() == 0 {
+// localFaultLikely reports whether a fault of this member is more likely than a fault of others. That is so after a
+// stall until a message arrives, while no message arrives at all, and while no probe is answered. Each ends after
+// maxLocalFault intervals, since the others may really be gone. It is always false in plain SWIM.
+func (m *Machine) localFaultLikely() bool {
+	if m.settings.PlainSWIM || m.PresentCount() == 0 {
 		return false
 	}
-	silent := m.now - m.heard
-	return silent < m.span(holdMost) && (m.stalled || silent > m.quiet()) ||
-		m.fails >= unheard && m.now-m.failAt < m.span(holdMost)
+	silence := m.now - m.lastContact
+	return silence < m.seconds(maxLocalFault) && (m.stalled || silence > m.silenceLimit()) ||
+		m.unanswered >= unansweredThreshold && m.now-m.unansweredSince < m.seconds(maxLocalFault)
 }
 
-// tickProbe drives the probe under way, and begins the next.
+// tickProbe advances the probe in progress and the indirect pings, and starts the next probe.
 func (m *Machine) tickProbe() {
-	if p := m.probe; p != nil {
-		if p.asked == 0 && m.now >= p.askAt {
-			m.askHelpers(p)
+	if p := m.currentProbe; p != nil {
+		if p.helpers == 0 && m.now >= p.indirectAt {
+			m.requestIndirectPings(p)
 		}
-		if m.now >= p.end {
-			m.probe = nil
-			m.ended(p)
+		if m.now >= p.deadline {
+			m.currentProbe = nil
+			m.finishUnansweredProbe(p)
 		}
 	}
-	for _, f := range m.asked {
-		if m.now >= f.nackAt && !f.nacked {
-			f.nacked = true
-			m.send(f.to, Message{Kind: NackFor, Seq: f.seq, Target: f.target})
+	for _, f := range m.indirectPings {
+		if m.now >= f.nackAt && !f.nackSent {
+			f.nackSent = true
+			m.send(f.requester, Message{Kind: IndirectNack, Seq: f.requestSeq, Target: f.target})
 		}
 	}
-	m.asked = slices.DeleteFunc(m.asked, func(f *favour) bool { return m.now >= f.end })
-	if m.probe == nil && m.now >= m.due.probe {
-		m.due.probe = m.now + m.span(m.stretch())
-		if p := m.next(); p != nil {
-			m.seq++
-			m.probe = &probe{of: p, boot: p.Boot, seq: m.seq, at: m.now, askAt: m.now + m.span(ackWait*m.stretch()), end: m.due.probe}
-			m.ping(p, m.seq)
+	m.indirectPings = slices.DeleteFunc(m.indirectPings, func(f *indirectPing) bool { return m.now >= f.deadline })
+	if m.currentProbe == nil && m.now >= m.due.probe {
+		m.due.probe = m.now + m.seconds(m.waitFactor())
+		if p := m.nextTarget(); p != nil {
+			m.lastSeq++
+			m.currentProbe = &probe{target: p, bootID: p.BootID, seq: m.lastSeq, startedAt: m.now, indirectAt: m.now + m.seconds(ackTimeout*m.waitFactor()), deadline: m.due.probe}
+			m.sendPing(p, m.lastSeq)
 		}
 	}
 }
 
-// next is the member to probe: each once a round in an order drawn anew, those of the own zone in all turns but some.
-func (m *Machine) next() *peer {
-	m.rounds++
-	across := m.rounds%acrossEach == 0
+// nextTarget returns the next member to probe, or nil if there is none. Each member is probed once per round in random
+// order; every crossZoneEvery-th probe goes to another zone.
+func (m *Machine) nextTarget() *peer {
+	m.probeCount++
+	across := m.probeCount%crossZoneEvery == 0
 	for range 2 {
 		for _, want := range []bool{across, !across} {
-			if p := m.draw(want); p != nil {
+			if p := m.takeFromRound(want); p != nil {
 				return p
 			}
-			if !m.any(want) { // of these the round is over, not of the others
+			if !m.hasPresent(want) { // there are no members of this kind, so their round cannot be refilled
 				continue
 			}
-			m.refill(want)
-			if p := m.draw(want); p != nil {
+			m.refillRound(want)
+			if p := m.takeFromRound(want); p != nil {
 				return p
 			}
 		}
@@ -113,201 +118,207 @@
 	return nil
 }
 
-// draw takes the first member of the own zone, or of others, out of the round; nil for none.
-func (m *Machine) draw(across bool) *peer {
-	for i, p := range m.round {
-		if p.State.In() && m.byName[p.Name] == p && (p.Zone != m.self.Zone) == across {
-			m.round = slices.Delete(m.round, i, i+1)
+// takeFromRound removes and returns the first member of the round that is in the own zone or, if across is true, in
+// another zone; nil if there is none.
+func (m *Machine) takeFromRound(across bool) *peer {
+	for i, p := range m.probeRound {
+		if p.State.Present() && m.byName[p.Name] == p && (p.Zone != m.self.Zone) == across {
+			m.probeRound = slices.Delete(m.probeRound, i, i+1)
 			return p
 		}
 	}
 	return nil
 }
 
-// any tells whether there are members in the own zone, or in others.
-func (m *Machine) any(across bool) bool {
-	return slices.ContainsFunc(m.list, func(p *peer) bool { return p.State.In() && (p.Zone != m.self.Zone) == across })
+// hasPresent reports whether there are present members in the own zone or, if across is true, in other zones.
+func (m *Machine) hasPresent(across bool) bool {
+	return slices.ContainsFunc(m.peers, func(p *peer) bool { return p.State.Present() && (p.Zone != m.self.Zone) == across })
 }
 
-// refill begins a round of the own zone, or of the others.
-func (m *Machine) refill(across bool) {
-	m.round = slices.DeleteFunc(m.round, func(p *peer) bool { return (p.Zone != m.self.Zone) == across })
+// refillRound starts a new round, in random order, for the own zone or, if across is true, for the other zones.
+func (m *Machine) refillRound(across bool) {
+	m.probeRound = slices.DeleteFunc(m.probeRound, func(p *peer) bool { return (p.Zone != m.self.Zone) == across })
 	var fresh []*peer
-	for _, p := range m.list {
-		if p.State.In() && (p.Zone != m.self.Zone) == across {
+	for _, p := range m.peers {
+		if p.State.Present() && (p.Zone != m.self.Zone) == across {
 			fresh = append(fresh, p)
 		}
 	}
-	m.chance.Shuffle(len(fresh), func(i, j int) { fresh[i], fresh[j] = fresh[j], fresh[i] })
-	m.round = append(m.round, fresh...)
+	m.rng.Shuffle(len(fresh), func(i, j int) { fresh[i], fresh[j] = fresh[j], fresh[i] })
+	m.probeRound = append(m.probeRound, fresh...)
 }
 
-// some draws up to so many members that fit.
-func (m *Machine) some(n int, fits func(*peer) bool) (drawn []*peer) {
+// randomPeers returns up to n random members that match, by reservoir sampling.
+func (m *Machine) randomPeers(n int, matches func(*peer) bool) (drawn []*peer) {
 	seen := 0
-	for _, p := range m.list {
-		if !fits(p) {
+	for _, p := range m.peers {
+		if !matches(p) {
 			continue
 		}
 		seen++
 		if len(drawn) < n {
 			drawn = append(drawn, p)
-		} else if i := m.chance.IntN(seen); i < n {
+		} else if i := m.rng.IntN(seen); i < n {
 			drawn[i] = p
 		}
 	}
 	return drawn
 }
 
-// askHelpers pings a member that has not answered once more, and has others ping it.
-func (m *Machine) askHelpers(p *probe) {
-	m.ping(p.of, p.seq)
-	for _, h := range m.some(helpers, func(o *peer) bool { return o != p.of && o.State == Alive && o.link == Clear }) {
-		p.asked++
-		m.send(h.Address, Message{Kind: PingFor, Seq: p.seq, Target: p.of.Member, News: m.pack(h)})
+// requestIndirectPings pings the target of a probe once more and asks other members to ping it.
+func (m *Machine) requestIndirectPings(p *probe) {
+	m.sendPing(p.target, p.seq)
+	for _, h := range m.randomPeers(indirectProbes, func(o *peer) bool { return o != p.target && o.State == Alive && o.link == LinkClear }) {
+		p.helpers++
+		m.send(h.Address, Message{Kind: PingRequest, Seq: p.seq, Target: p.target.Member, Updates: m.packUpdates(h)})
 	}
-	p.asked = max(1, p.asked)
+	p.helpers = max(1, p.helpers)
 }
 
-// answer answers a ping, whoever it is meant for: the record tells who stands here now.
-func (m *Machine) answer(in Message) {
-	if m.acks.take(m.now, acksAtOne) {
-		m.send(in.From.Address, Message{Kind: Ack, Seq: in.Seq, News: m.pack(m.byName[in.From.Name])})
+// handlePing answers a ping, whichever process it was meant for: the record in the answer identifies the process that
+// runs here now.
+func (m *Machine) handlePing(in Message) {
+	if m.ackBucket.take(m.now, ackRate) {
+		m.send(in.From.Address, Message{Kind: Ack, Seq: in.Seq, Updates: m.packUpdates(m.byName[in.From.Name])})
 	}
 }
 
-// favour pings a member for another.
-func (m *Machine) favour(in Message) {
-	if len(m.asked) >= mostFavours || in.Target.Address == "" || !m.acks.take(m.now, acksAtOne) {
+// handlePingRequest pings a member on behalf of another.
+func (m *Machine) handlePingRequest(in Message) {
+	if len(m.indirectPings) >= maxIndirectPings || in.Target.Address == "" || !m.ackBucket.take(m.now, ackRate) {
 		return
 	}
-	m.seq++
-	m.asked = append(m.asked, &favour{own: m.seq, to: in.From.Address, seq: in.Seq, target: in.Target, nackAt: m.now + m.span(ackWait), end: m.now + m.span(1)})
-	m.send(in.Target.Address, Message{Kind: Ping, Seq: m.seq, Target: in.Target, News: m.pack(m.byName[in.Target.Name])})
+	m.lastSeq++
+	m.indirectPings = append(m.indirectPings, &indirectPing{pingSeq: m.lastSeq, requester: in.From.Address, requestSeq: in.Seq, target: in.Target, nackAt: m.now + m.seconds(ackTimeout), deadline: m.now + m.seconds(1)})
+	m.send(in.Target.Address, Message{Kind: Ping, Seq: m.lastSeq, Target: in.Target, Updates: m.packUpdates(m.byName[in.Target.Name])})
 }
 
-// acked takes the answer to a ping of ours.
-func (m *Machine) acked(in Message) {
-	if i := slices.IndexFunc(m.asked, func(f *favour) bool { return f.own == in.Seq }); i >= 0 {
-		f := m.asked[i]
-		m.asked = slices.Delete(m.asked, i, i+1)
+// handleAck handles the answer to a ping from this member, and forwards it if the ping was sent on behalf of another.
+func (m *Machine) handleAck(in Message) {
+	if i := slices.IndexFunc(m.indirectPings, func(f *indirectPing) bool { return f.pingSeq == in.Seq }); i >= 0 {
+		f := m.indirectPings[i]
+		m.indirectPings = slices.Delete(m.indirectPings, i, i+1)
 		if in.From.Name == f.target.Name {
-			m.send(f.to, Message{Kind: AckFor, Seq: f.seq, Target: in.From})
+			m.send(f.requester, Message{Kind: IndirectAck, Seq: f.requestSeq, Target: in.From})
 		}
 		return
 	}
-	p := m.probe
-	if p == nil || p.seq != in.Seq || in.From.Name != p.of.Name {
+	p := m.currentProbe
+	if p == nil || p.seq != in.Seq || in.From.Name != p.target.Name {
 		return
 	}
-	m.probe, m.fails = nil, 0
-	p.of.missed = 0
-	m.health = max(0, m.health-1)
-	m.linked(p.of, Clear)
+	m.currentProbe, m.unanswered = nil, 0
+	p.target.missed = 0
+	m.healthScore = max(0, m.healthScore-1)
+	m.setLink(p.target, LinkClear)
 }
 
-// ackedFor takes what a helper found.
-func (m *Machine) ackedFor(in Message) {
-	p := m.probe
-	if p == nil || p.seq != in.Seq || in.Target.Name != p.of.Name {
+// handleIndirectAck handles the result of a ping that another member sent on our behalf.
+func (m *Machine) handleIndirectAck(in Message) {
+	p := m.currentProbe
+	if p == nil || p.seq != in.Seq || in.Target.Name != p.target.Name {
 		return
 	}
-	if in.Kind == NackFor {
-		p.nack++
+	if in.Kind == IndirectNack {
+		p.nacks++
 		return
 	}
-	m.learn(in.Target, false)
-	p.by, m.fails = true, 0
+	m.applyRecord(in.Target, false)
+	p.indirectlyAcked, m.unanswered = true, 0
 }
 
-// ended takes the end of a probe that its member did not answer itself.
-func (m *Machine) ended(p *probe) {
-	o := p.of
-	if m.byName[o.Name] != o || o.Boot != p.boot || !o.State.In() {
+// finishUnansweredProbe ends a probe that its target did not answer directly.
+func (m *Machine) finishUnansweredProbe(p *probe) {
+	o := p.target
+	if m.byName[o.Name] != o || o.BootID != p.bootID || !o.State.Present() {
 		return
 	}
 	if o.missed++; o.missed == 1 {
-		o.missAt = m.now
+		o.missedSince = m.now
 	}
-	speaks := !m.s.Plain && o.heard > p.at // then it has not failed, whatever does not reach it
-	if o.missed >= oneWay && (p.by || speaks) {
-		m.linked(o, map[bool]Link{true: Deaf, false: Around}[o.heard > o.missAt])
+	// A target that sent a message during the probe has not failed, even if our messages do not reach it.
+	heardDuringProbe := !m.settings.PlainSWIM && o.lastContact > p.startedAt
+	if o.missed >= linkFaultProbes && (p.indirectlyAcked || heardDuringProbe) {
+		m.setLink(o, map[bool]Link{true: LinkOneWay, false: LinkIndirect}[o.lastContact > o.missedSince])
 	}
-	if p.by {
-		m.silence(o, false)
+	if p.indirectlyAcked {
+		m.setUnresponsive(o, false)
 		return
 	}
-	if !speaks {
-		m.silence(o, true)
+	if !heardDuringProbe {
+		m.setUnresponsive(o, true)
 	}
-	if m.fails++; m.fails == 1 {
-		m.failAt = m.now
+	if m.unanswered++; m.unanswered == 1 {
+		m.unansweredSince = m.now
 	}
-	if p.nack < p.asked { // helpers that say nothing may tell of the own link
-		m.health = min(health, m.health+1)
+	if p.nacks < p.helpers { // missing reports from helpers point to a fault of the own link
+		m.healthScore = min(maxHealthScore, m.healthScore+1)
 	}
-	if !m.doubts() && !speaks {
+	if !m.localFaultLikely() && !heardDuringProbe {
 		m.suspect(o, m.self.Name)
 	}
 }
 
-// silence books whether a member answered when it was asked last.
-func (m *Machine) silence(p *peer, is bool) {
-	if p.silent != is {
-		p.silent = is
-		m.touched()
+// setUnresponsive records whether a member failed to answer its last probe.
+func (m *Machine) setUnresponsive(p *peer, unresponsive bool) {
+	if p.unresponsive != unresponsive {
+		p.unresponsive = unresponsive
+		m.markViewStale()
 	}
 }
 
-func (m *Machine) linked(p *peer, to Link) {
+// setLink records the quality of the path to a member and emits an event if it changed.
+func (m *Machine) setLink(p *peer, to Link) {
 	if p.link != to {
 		p.link = to
-		m.event(Event{Name: p.Name, What: to.String(), By: m.self.Name, Zone: p.Zone})
+		m.emit(Event{Name: p.Name, Kind: to.String(), By: m.self.Name, Zone: p.Zone})
 	}
 }
 
-// suspect takes an accusation; more accusers shorten the time in which the member can refute it.
+// suspect records a suspicion of a member. Each further accuser shortens the time in which the member can refute it.
 func (m *Machine) suspect(p *peer, by string) {
 	switch {
 	case p.State == Alive:
-		p.State, p.By, p.since, p.accuser = Suspect, by, m.now, []string{by}
-		m.touched()
-		m.event(Event{Name: p.Name, What: Suspect.String(), By: by, Zone: p.Zone})
-	case p.State != Suspect || slices.Contains(p.accuser, by) || len(p.accuser) > confirmed:
+		p.State, p.AccusedBy, p.stateSince, p.accusers = Suspect, by, m.now, []string{by}
+		m.markViewStale()
+		m.emit(Event{Name: p.Name, Kind: Suspect.String(), By: by, Zone: p.Zone})
+	case p.State != Suspect || slices.Contains(p.accusers, by) || len(p.accusers) > maxConfirmations:
 		return
 	default:
-		p.accuser = append(p.accuser, by)
+		p.accusers = append(p.accusers, by)
 	}
-	p.until = p.since + m.suspicion(len(p.accuser)-1)
+	p.suspectUntil = p.stateSince + m.suspicionTimeout(len(p.accusers)-1)
 	r := p.Member
-	r.By = by
-	m.spread(r)
+	r.AccusedBy = by
+	m.queueUpdate(r)
 }
 
-// suspicion is how long a member has to refute, in seconds, with so many further accusers.
-func (m *Machine) suspicion(more int) float64 {
-	n := m.In() + 1
-	least := m.span(suspicion * math.Max(1, math.Log10(float64(n))))
-	k := min(confirmed, n-2)
-	if m.s.Plain || k < 1 {
-		return least
+// suspicionTimeout returns the time that a member has to refute a suspicion, in seconds, given the number of further
+// accusers.
+func (m *Machine) suspicionTimeout(confirmations int) float64 {
+	n := m.PresentCount() + 1
+	minTimeout := m.seconds(suspicionFactor * math.Max(1, math.Log10(float64(n))))
+	k := min(maxConfirmations, n-2)
+	if m.settings.PlainSWIM || k < 1 {
+		return minTimeout
 	}
-	return math.Max(least, patience*least-(patience-1)*least*math.Log(float64(more+1))/math.Log(float64(k+1)))
+	return math.Max(minTimeout, suspicionMaxFactor*minTimeout-(suspicionMaxFactor-1)*minTimeout*math.Log(float64(confirmations+1))/math.Log(float64(k+1)))
 }
 
-// expire condemns the suspects whose time is over, unless the fault is likelier here: then their time stands still.
-func (m *Machine) expire() {
-	doubts := !m.May(Accuse)
-	for _, p := range m.list {
+// expireSuspicions declares suspects failed whose timeout is over. While a local fault is likely the timeouts are
+// paused.
+func (m *Machine) expireSuspicions() {
+	paused := !m.May(DeclareFailures)
+	for _, p := range m.peers {
 		if p.State != Suspect {
 			continue
 		}
-		if doubts {
-			p.until += m.now - m.expired
-		} else if m.now >= p.until {
+		if paused {
+			p.suspectUntil += m.now - m.suspicionsCheckedAt
+		} else if m.now >= p.suspectUntil {
 			p.State = Failed
-			m.changed(p, p.By)
+			m.stateChanged(p, p.AccusedBy)
 		}
 	}
-	m.expired = m.now
+	m.suspicionsCheckedAt = m.now
 }
--- a/core/cluster/membership/view.go
+++ b/core/cluster/membership/view.go
@@ -4,149 +4,156 @@
 	"hash/fnv"
 )
 
-// Level is how much of the last agreed fleet is seen.
+// Level says how much of the last agreed fleet a member sees.
 type Level uint8
 
 // The levels.
 const (
-	Alone    Level = iota // nobody else is heard
-	Minority              // half or less
+	Alone    Level = iota // no other member is heard from
+	Minority              // at most half of the last agreed fleet
 	Majority              // more than half
-	Whole
+	Whole                 // all of it
 )
 
 func (l Level) String() string {
 	return [...]string{"alone", "minority", "majority", "whole"}[min(l, Whole)]
 }
 
-// View is what a member believes of the fleet.
+// View is a member's picture of the fleet.
 type View struct {
-	Level   Level   `json:"Level"`
-	Seen    int     `json:"Seen"`    // of the last agreed fleet, oneself with it; who did not answer when last asked is not seen
-	Of      int     `json:"Of"`      // how many belong to it
-	Sure    float64 `json:"Sure"`    // 0 to 1; the share of Of that nothing is said against, 0 while the fault is likelier here
-	Doubt   bool    `json:"Doubt"`   // the fault is likelier here
-	Differs int     `json:"Differs"` // members that have had another view for long
-	Digest  uint64  `json:"Digest"`  // of the names that are in
+	Level Level `json:"Level"`
+	// Seen is the number of members of the last agreed fleet that are seen, including this one. A member that did not
+	// answer its last probe is not seen.
+	Seen             int     `json:"Seen"`
+	AgreedSize       int     `json:"Of"`      // number of members in the last agreed fleet
+	Confidence       float64 `json:"Sure"`    // share of the last agreed fleet that is neither suspected nor unresponsive, 0 to 1; 0 while LocalFaultLikely is set
+	LocalFaultLikely bool    `json:"Doubt"`   // a fault of this member explains the symptoms better than a fault of others
+	DifferingViews   int     `json:"Differs"` // number of members whose digest has differed from this one for long
+	Digest           uint64  `json:"Digest"`  // hash of the names of all present members
 }
 
-func (v View) sees() bool { return 2*v.Seen > v.Of }
+// seesMajority reports whether more than half of the last agreed fleet is seen.
+func (v View) seesMajority() bool { return 2*v.Seen > v.AgreedSize }
 
-// reference names the last agreed fleet: which, and how often a majority has changed it. It is soft: members change it each
-// for itself, by what all of them hear. What must never be done twice asks the log of the voters as well.
-type reference struct{ fleet, generation uint64 }
+// agreedVersion identifies the last agreed fleet by the ID of the fleet and the number of changes that a majority has
+// made to it. Agreement is weak: each member makes these changes itself, based on the gossip that all receive. An
+// operation that must never happen twice also needs a decision of the voters of the log.
+type agreedVersion struct{ fleetID, generation uint64 }
 
-const settled = 5.0 // intervals that a newcomer is there before it counts: news of it has reached all by then
+// countAfter is how many intervals a new member must be present before it counts in the agreed fleet. All members have
+// received its record by then.
+const countAfter = 5.0
 
-// View is what is believed now.
+// View returns the current view.
 func (m *Machine) View() View { return m.view }
 
-// Act is something that the view has a say in.
-type Act uint8
+// Action is something that is allowed or forbidden depending on the view.
+type Action uint8
 
-// The acts.
+// The actions.
 const (
-	AnswerGETs Act = iota // by one's own knowledge
-	Narrow                // by what peers tell
-	Widen                 // a limit, or the use of a host, by what peers tell
-	Accuse                // others of having failed
-	Count                 // newcomers into the last agreed fleet
-	Forget                // members of it that are gone
-	Decide                // what needs a majority: duties, shares of budgets, changes
+	AnswerGETs         Action = iota // answer GETs from this member's own knowledge
+	AcceptRestrictions               // accept reports of peers that restrict what this member does
+	AcceptRelaxations                // accept reports of peers that raise a limit or make a host usable; never allowed
+	DeclareFailures                  // declare other members failed
+	CountNewcomers                   // count new members into the last agreed fleet
+	ForgetMembers                    // remove members that are gone from the last agreed fleet
+	DecideByMajority                 // make decisions that need a majority: duties, budget allocations, configuration changes
 )
 
-// Acts names them, as docs/members.md does.
-var Acts = [...]string{
+// ActionNames names the actions as the table in docs/members.md does, indexed by Action.
+var ActionNames = [...]string{
 	"GETs are answered by own knowledge", "peers' word narrows what is done", "peers' word widens a limit or makes a host usable",
 	"others are held to have failed", "newcomers count", "those long gone are let go of", "what needs a majority goes on",
 }
 
-// Allowed tells what may be done in a view; doubt is that the fault is likelier here.
-func Allowed(a Act, l Level, doubt bool) bool {
+// Allowed reports whether an action is allowed at a level; localFaultLikely has the meaning of View.LocalFaultLikely.
+func Allowed(a Action, l Level, localFaultLikely bool) bool {
 	switch a {
 	case AnswerGETs:
 		return true
-	case Narrow:
-		return l > Alone && !doubt
-	case Accuse:
-		return !doubt
-	case Count, Forget, Decide:
-		return l >= Majority && !doubt
+	case AcceptRestrictions:
+		return l > Alone && !localFaultLikely
+	case DeclareFailures:
+		return !localFaultLikely
+	case CountNewcomers, ForgetMembers, DecideByMajority:
+		return l >= Majority && !localFaultLikely
 	}
 	return false
 }
 
-// May tells whether it may be done now.
-func (m *Machine) May(a Act) bool {
-	if m.standing != Belongs {
+// May reports whether an action is allowed now.
+func (m *Machine) May(a Action) bool {
+	if m.standing != IsMember {
 		return a == AnswerGETs
 	}
-	return Allowed(a, m.view.Level, m.view.Doubt)
+	return Allowed(a, m.view.Level, m.view.LocalFaultLikely)
 }
 
-// look works out what is seen, and tells when that has changed.
-func (m *Machine) look() {
-	doubt := m.doubts()
-	if !m.dirty && doubt == m.view.Doubt {
+// updateView recomputes the view if it is stale, and emits an event if the level or the suspicion of a local fault
+// changed.
+func (m *Machine) updateView() {
+	localFaultLikely := m.localFaultLikely()
+	if !m.viewStale && localFaultLikely == m.view.LocalFaultLikely {
 		return
 	}
-	m.dirty = false
-	silent := m.now-m.heard > m.quiet() && m.In() > 0
-	c := m.census(silent)
-	v := c.View
-	v.Doubt = doubt
+	m.viewStale = false
+	noContact := m.now-m.lastContact > m.silenceLimit() && m.PresentCount() > 0
+	tally := m.tally(noContact)
+	v := tally.View
+	v.LocalFaultLikely = localFaultLikely
 	switch {
-	case m.standing != Belongs, silent, c.others == 0 && (len(m.s.Peers) > 0 || len(m.list) > 0):
+	case m.standing != IsMember, noContact, tally.others == 0 && (len(m.settings.Peers) > 0 || len(m.peers) > 0):
 		v.Level = Alone
-	case v.Seen == v.Of:
+	case v.Seen == v.AgreedSize:
 		v.Level = Whole
-	case v.sees():
+	case v.seesMajority():
 		v.Level = Majority
 	default:
 		v.Level = Minority
 	}
-	if !doubt && v.Of > 0 {
-		v.Sure = 1 - float64(c.suspects)/float64(v.Of)
+	if !localFaultLikely && v.AgreedSize > 0 {
+		v.Confidence = 1 - float64(tally.suspects)/float64(v.AgreedSize)
 	}
-	was := m.view
-	if m.view = v; was.Level != v.Level || was.Of == 0 {
-		m.event(Event{Name: m.self.Name, What: v.Level.String(), Zone: m.self.Zone, Seen: v.Seen, Of: v.Of})
+	previous := m.view
+	if m.view = v; previous.Level != v.Level || previous.AgreedSize == 0 {
+		m.emit(Event{Name: m.self.Name, Kind: v.Level.String(), Zone: m.self.Zone, Seen: v.Seen, AgreedSize: v.AgreedSize})
 	}
-	if was.Doubt != doubt {
-		m.event(Event{Name: m.self.Name, What: map[bool]string{true: "doubt", false: "sure"}[doubt], Zone: m.self.Zone})
+	if previous.LocalFaultLikely != localFaultLikely {
+		m.emit(Event{Name: m.self.Name, Kind: map[bool]string{true: "doubt", false: "sure"}[localFaultLikely], Zone: m.self.Zone})
 	}
 }
 
-// census is a view in the making.
-type census struct {
+// viewTally collects the counts for a view.
+type viewTally struct {
 	View
-	suspects int // of those that count
-	others   int // members but this one
+	suspects int // suspected members of the last agreed fleet
+	others   int // present members other than this one
 }
 
-// census counts the members; silent tells whether nothing is heard of any.
-func (m *Machine) census(silent bool) (c census) {
-	c.add(m.counted, true, false)
-	c.Digest = hash(m.self.Name)
-	for _, p := range m.list {
-		c.add(p.counted, p.State == Alive && !p.silent && !silent, p.State == Suspect || p.silent)
-		if p.State.In() {
+// tally counts the members. noContact means that this member hears from nobody, so that no other member counts as seen.
+func (m *Machine) tally(noContact bool) (c viewTally) {
+	c.count(m.inAgreedFleet, true, false)
+	c.Digest = nameHash(m.self.Name)
+	for _, p := range m.peers {
+		c.count(p.inAgreedFleet, p.State == Alive && !p.unresponsive && !noContact, p.State == Suspect || p.unresponsive)
+		if p.State.Present() {
 			c.others++
-			c.Digest ^= hash(p.Name)
+			c.Digest ^= nameHash(p.Name)
 		}
-		if p.differs > 0 && p.toldOf {
-			c.Differs++
+		if p.differsSince > 0 && p.differenceReported {
+			c.DifferingViews++
 		}
 	}
 	return c
 }
 
-// add counts one member, if it counts for a majority.
-func (c *census) add(counted, seen, suspect bool) {
-	if !counted {
+// count adds one member to the tally if it belongs to the last agreed fleet.
+func (c *viewTally) count(inAgreedFleet, seen, suspect bool) {
+	if !inAgreedFleet {
 		return
 	}
-	c.Of++
+	c.AgreedSize++
 	if seen {
 		c.Seen++
 	}
@@ -155,83 +162,86 @@
 	}
 }
 
-// settle counts newcomers that have been there for long enough.
-func (m *Machine) settle() {
-	if !m.May(Count) && len(m.list) > 0 && m.view.Of > 0 {
+// countNewcomers adds members that have been present for long enough to the last agreed fleet.
+func (m *Machine) countNewcomers() {
+	if !m.May(CountNewcomers) && len(m.peers) > 0 && m.view.AgreedSize > 0 {
 		return
 	}
 	changed := false
-	for _, p := range m.list {
-		if p.State == Alive && !p.counted && m.now-p.since >= m.span(settled) {
-			p.counted, changed = true, true
+	for _, p := range m.peers {
+		if p.State == Alive && !p.inAgreedFleet && m.now-p.stateSince >= m.seconds(countAfter) {
+			p.inAgreedFleet, changed = true, true
 		}
 	}
-	if !m.counted && m.May(Count) {
-		m.counted, changed = true, true
+	if !m.inAgreedFleet && m.May(CountNewcomers) {
+		m.inAgreedFleet, changed = true, true
 	}
 	if changed {
-		m.reference.generation++
-		m.dirty = true
+		m.agreed.generation++
+		m.viewStale = true
 	}
 }
 
-// merge takes another's last agreed fleet in place of the own one where that counts: of one fleet the later; of two that came
-// up apart that which has lost its majority, as it may yet be cut off from the rest; else the larger.
-func (m *Machine) merge(in Message) {
-	mine, theirs := m.reference, reference{in.Fleet, in.Reference}
-	takes := theirs.generation > mine.generation
-	if mine.fleet != theirs.fleet {
-		sees, of := m.view.sees(), uint32(m.view.Of)
+// mergeAgreedFleet adopts the sender's last agreed fleet if it has precedence over the local one. For the same fleet ID
+// the later generation has precedence. If two fleets formed separately, the one that has lost its majority has
+// precedence, since the rest of it may still be cut off; otherwise the larger one has.
+func (m *Machine) mergeAgreedFleet(in Message) {
+	mine, theirs := m.agreed, agreedVersion{in.AgreedFleetID, in.AgreedGeneration}
+	adopt := theirs.generation > mine.generation
+	if mine.fleetID != theirs.fleetID {
+		seesMajority, agreedSize := m.view.seesMajority(), uint32(m.view.AgreedSize)
 		switch {
-		case sees != in.Sees:
-			takes = sees
-		case of != in.Of:
-			takes = in.Of > of
+		case seesMajority != in.SeesMajority:
+			adopt = seesMajority
+		case agreedSize != in.AgreedSize:
+			adopt = in.AgreedSize > agreedSize
 		default:
-			takes = theirs.fleet < mine.fleet
+			adopt = theirs.fleetID < mine.fleetID
 		}
 	}
-	if !takes {
+	if !adopt {
 		return
 	}
-	m.reference, m.dirty, m.counted = theirs, true, false
-	for _, p := range m.list {
-		p.counted = p.Name == in.From.Name && in.From.Counted
+	m.agreed, m.viewStale, m.inAgreedFleet = theirs, true, false
+	for _, p := range m.peers {
+		p.inAgreedFleet = p.Name == in.From.Name && in.From.InAgreedFleet
 	}
-	for _, r := range in.News {
+	for _, r := range in.Updates {
 		if r.Name == m.self.Name {
-			m.counted = r.Counted
+			m.inAgreedFleet = r.InAgreedFleet
 		} else if p := m.byName[r.Name]; p != nil && p.State != Left {
-			p.counted = r.Counted
+			p.inAgreedFleet = r.InAgreedFleet
 		}
 	}
 }
 
-// compare holds another's view against the own one. Those that differ for long are told, and tables are exchanged.
-func (m *Machine) compare(in Message) {
+// compareViews compares the digest of a message with the local one. A difference that lasts is reported as an event, and
+// tables are exchanged to resolve it.
+func (m *Machine) compareViews(in Message) {
 	p := m.byName[in.From.Name]
 	if p == nil || in.Digest == 0 {
 		return
 	}
 	switch {
 	case in.Digest == m.view.Digest:
-		if p.toldOf {
-			m.event(Event{Name: p.Name, What: "agrees", Zone: p.Zone})
-			m.dirty = true
+		if p.differenceReported {
+			m.emit(Event{Name: p.Name, Kind: "agrees", Zone: p.Zone})
+			m.viewStale = true
 		}
-		p.differs, p.toldOf = 0, false
-	case p.differs == 0:
-		p.differs = m.now
-	case m.now-p.differs > m.span(differsFor) && !p.toldOf:
-		p.toldOf, m.dirty = true, true
-		m.event(Event{Name: p.Name, What: "differs", Zone: p.Zone})
+		p.differsSince, p.differenceReported = 0, false
+	case p.differsSince == 0:
+		p.differsSince = m.now
+	case m.now-p.differsSince > m.seconds(differenceReportAfter) && !p.differenceReported:
+		p.differenceReported, m.viewStale = true, true
+		m.emit(Event{Name: p.Name, Kind: "differs", Zone: p.Zone})
 		fallthrough
-	case m.now-p.differs > m.span(differsFor)/4 && m.tables.take(m.now, tablesAtOne/4):
+	case m.now-p.differsSince > m.seconds(differenceReportAfter)/4 && m.tableBucket.take(m.now, tableRate/4):
 		m.sendTable(p.Address, 0, true)
 	}
 }
 
-func hash(name string) uint64 {
+// nameHash returns the contribution of a member's name to View.Digest.
+func nameHash(name string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name))
 	return h.Sum64()
--- a/core/cluster/replication/types.go
+++ b/core/cluster/replication/types.go
@@ -91,8 +91,8 @@
 type Fleet struct {
 	Others              []Member
 	AgreedSize          int  // members of the last agreed fleet, this dispatcher included
-	HasQuorum           bool // operations that need a majority may proceed (membership.Decide)
-	AcceptsRestrictions bool // messages of peers may restrict what this dispatcher does (membership.Narrow)
+	HasQuorum           bool // operations that need a majority may proceed (membership.DecideByMajority)
+	AcceptsRestrictions bool // messages of peers may restrict what this dispatcher does (membership.AcceptRestrictions)
 }
 
 // Errors of Write. A write that fails with one of them has no effect.
--- a/emulator/members.go
+++ b/emulator/members.go
@@ -131,7 +131,7 @@
 
 // RunMembers plays a fleet of members.
 func RunMembers(s MembersScenario) (*MembersResult, error) {
-	if s.Members < 1 || s.Members > membership.Most || s.Zones < 1 || s.TickEach <= 0 || s.Loss < 0 || s.Loss >= 1 {
+	if s.Members < 1 || s.Members > membership.MaxMembers || s.Zones < 1 || s.TickEach <= 0 || s.Loss < 0 || s.Loss >= 1 {
 		return nil, fmt.Errorf("members: %d of them in %d zones, loss %g: out of range", s.Members, s.Zones, s.Loss)
 	}
 	w := &fleetWorld{
@@ -179,7 +179,7 @@
 		}
 		e.machine = membership.New(membership.Settings{
 			Name: e.name, Address: e.address, Zone: e.zone, Peers: peers, Interval: 1,
-			Boot: e.boots<<16 + uint64(w.chance.IntN(1<<15))<<20 + uint64(e.index), Seed: w.Seed, Plain: w.Protocol == PlainSWIM,
+			BootID: e.boots<<16 + uint64(w.chance.IntN(1<<15))<<20 + uint64(e.index), Seed: w.Seed, PlainSWIM: w.Protocol == PlainSWIM,
 		}, w.now)
 	}
 	if !e.ticking {
@@ -213,8 +213,8 @@
 		w.send(e, s)
 	}
 	for _, t := range tell {
-		if t.Name == e.name && len(w.out.Views) < 1000 && t.What != "joined" {
-			w.out.Views = append(w.out.Views, fmt.Sprintf("%.1f %s %s %d/%d", w.now, e.name, t.What, t.Seen, t.Of))
+		if t.Name == e.name && len(w.out.Views) < 1000 && t.Kind != "joined" {
+			w.out.Views = append(w.out.Views, fmt.Sprintf("%.1f %s %s %d/%d", w.now, e.name, t.Kind, t.Seen, t.AgreedSize))
 		}
 	}
 }
@@ -226,8 +226,8 @@
 
 func (w *fleetWorld) send(from *emulated, m membership.Envelope) {
 	size := 60
-	for i := range m.News {
-		size += m.News[i].Bytes()
+	for i := range m.Updates {
+		size += m.Updates[i].ApproxBytes()
 	}
 	w.bytes += size
 	if w.sent++; m.Stream {
@@ -279,7 +279,7 @@
 	if w.Protocol == Heartbeats {
 		return !e.failedByBeat[o.name]
 	}
-	return e.machine.Holds(o.name)
+	return e.machine.IsPresent(o.name)
 }
 
 func (w *fleetWorld) trouble(t MemberTrouble) {
--- a/internal/cluster/ask.go
+++ b/internal/cluster/ask.go
@@ -63,9 +63,9 @@
 
 	Number   uint64                   `cbor:"3,keyasint,omitempty"`
 	Hops     uint8                    `cbor:"4,keyasint,omitempty"`
-	Turn     *lease.Turn              `cbor:"5,keyasint,omitempty"`
+	Turn     *lease.RenewalRequest    `cbor:"5,keyasint,omitempty"`
 	Commands []lease.Command          `cbor:"6,keyasint,omitempty"`
-	Seat     lease.Change             `cbor:"7,keyasint,omitempty"`
+	Seat     lease.VoterChange        `cbor:"7,keyasint,omitempty"`
 	Ledger   *quota.Command           `cbor:"8,keyasint,omitempty"`
 	Whole    bool                     `cbor:"9,keyasint,omitempty"` // the ledger is to be told after it
 	Duty     string                   `cbor:"10,keyasint,omitempty"`
@@ -79,20 +79,20 @@
 
 // Told is what a member answers.
 type Told struct {
-	Error    string             `cbor:"1,keyasint,omitempty" json:"Error,omitempty"`
-	Number   uint64             `cbor:"2,keyasint" json:"-"`   // of the last change
-	Now      float64            `cbor:"3,keyasint" json:"Now"` // s since its start
-	Self     membership.Member  `cbor:"4,keyasint" json:"Self"`
-	Standing string             `cbor:"5,keyasint" json:"Standing"`
-	Level    string             `cbor:"6,keyasint" json:"Level"`
-	View     membership.View    `cbor:"7,keyasint" json:"View"`
-	Members  []membership.Known `cbor:"8,keyasint" json:"Members"`
-	Counts   map[string]int64   `cbor:"9,keyasint" snake:"names" json:"Counts"`
+	Error    string                   `cbor:"1,keyasint,omitempty" json:"Error,omitempty"`
+	Number   uint64                   `cbor:"2,keyasint" json:"-"`   // of the last change
+	Now      float64                  `cbor:"3,keyasint" json:"Now"` // s since its start
+	Self     membership.Member        `cbor:"4,keyasint" json:"Self"`
+	Standing string                   `cbor:"5,keyasint" json:"Standing"`
+	Level    string                   `cbor:"6,keyasint" json:"Level"`
+	View     membership.View          `cbor:"7,keyasint" json:"View"`
+	Members  []membership.KnownMember `cbor:"8,keyasint" json:"Members"`
+	Counts   map[string]int64         `cbor:"9,keyasint" snake:"names" json:"Counts"`
 
 	Duties   []ToldDuty              `cbor:"10,keyasint,omitempty" json:"Duties,omitempty"`
 	Rest     map[string]float64      `cbor:"11,keyasint,omitempty" json:"Rest,omitempty"` // s of each lease, by the leader's clock
 	Council  *raftvoter.Status       `cbor:"12,keyasint,omitempty" json:"Council,omitempty"`
-	Seats    []lease.Seat            `cbor:"13,keyasint,omitempty" json:"Seats,omitempty"`
+	Seats    []lease.Voter           `cbor:"13,keyasint,omitempty" json:"Seats,omitempty"`
 	Leases   []lease.Lease           `cbor:"14,keyasint,omitempty" json:"Leases,omitempty"`
 	Changed  bool                    `cbor:"15,keyasint,omitempty" json:"Changed,omitempty"`
 	Ledger   *quota.SavedLedger      `cbor:"17,keyasint,omitempty" json:"Ledger,omitempty"`
@@ -281,7 +281,7 @@
 }
 
 // AskChange has who votes changed.
-func AskChange(ctx context.Context, at string, k *Keys, c lease.Change) (t Told, err error) {
+func AskChange(ctx context.Context, at string, k *Keys, c lease.VoterChange) (t Told, err error) {
 	return askAt(ctx, at, k, ask{What: AskSeat, Seat: c})
 }
 
@@ -297,7 +297,7 @@
 }
 
 // AskTake asks a turn for one who stands and is no dispatcher.
-func AskTake(ctx context.Context, at string, k *Keys, turn lease.Turn) (t Told, err error) {
+func AskTake(ctx context.Context, at string, k *Keys, turn lease.RenewalRequest) (t Told, err error) {
 	return askAt(ctx, at, k, ask{What: AskTurn, Turn: &turn})
 }
 
--- a/internal/cluster/contract_test.go
+++ b/internal/cluster/contract_test.go
@@ -122,10 +122,10 @@
 		return err
 	}
 	maps.Copy(all, changes)
-	a := membership.Agreed{Generation: r.generation.Add(1)}
+	a := membership.AgreedFleet{Generation: r.generation.Add(1)}
 	for _, key := range slices.Sorted(maps.Keys(all)) {
 		if v := all[key]; v != nil {
-			a.Others = append(a.Others, membership.Place{Name: key, Address: base64.StdEncoding.EncodeToString(v)})
+			a.Others = append(a.Others, membership.AgreedMember{Name: key, Address: base64.StdEncoding.EncodeToString(v)})
 		}
 	}
 	return keep(r.path, a)
--- a/internal/cluster/duties_test.go
+++ b/internal/cluster/duties_test.go
@@ -502,7 +502,7 @@
 		name          string
 		holder, voter float64
 		late          bool
-	}{{"twice the share", 1 - 2*lease.Drift, 1 + 2*lease.Drift, false}, {"far off", 0.4, 1, true}} {
+	}{{"twice the share", 1 - 2*lease.MaxClockDrift, 1 + 2*lease.MaxClockDrift, false}, {"far off", 0.4, 1, true}} {
 		t.Run(tt.name, func(t *testing.T) {
 			d := duty(t, 4, 3, faulty(fmt.Sprint("ELDERWALL_FAULT_CLOCK=", tt.voter)))
 			one, first := d.hold(3, deafEnv+"=1", fmt.Sprint("ELDERWALL_FAULT_CLOCK=", tt.holder)), d.acts(0)
@@ -567,8 +567,8 @@
 			name := fmt.Sprint("load-", i)
 			for boot := uint64(1); ; boot++ {
 				h := lease.NewHolder(name, boot, "", 0)
-				h.Want(name, 5, BootTime())
-				for gave := false; !gave || !h.Settled(); {
+				h.Register(name, 5, BootTime())
+				for gave := false; !gave || !h.AllReleased(); {
 					select {
 					case <-stop:
 						return
@@ -585,8 +585,8 @@
 					if err != nil {
 						continue
 					}
-					h.Answer(BootTime(), t.Number, t.Leases)
-					if token, ok := h.Act(name, BootTime()); ok {
+					h.HandleAnswer(BootTime(), t.Number, t.Leases)
+					if token, ok := h.HeldToken(name, BootTime()); ok {
 						mu.Lock()
 						tokens = append(tokens, token)
 						mu.Unlock()
--- a/internal/cluster/fleet.go
+++ b/internal/cluster/fleet.go
@@ -148,7 +148,7 @@
 	generation uint32
 	changed    chan struct{} // closed with the next change
 	changes    uint64
-	kept       membership.Agreed // as the file has it
+	kept       membership.AgreedFleet // as the file has it
 	watching   int
 }
 
@@ -181,7 +181,7 @@
 	if f.Address == "" {
 		f.Address = at.String()
 	}
-	var remembered membership.Agreed
+	var remembered membership.AgreedFleet
 	if s.Remember != "" {
 		if remembered, err = recall(s.Remember); err != nil { // it is worth no more than a start that knows nobody
 			log.Warn().Err(err).Msg("fleet: what was remembered can't be used")
@@ -189,8 +189,8 @@
 	}
 	f.kept = remembered
 	f.machine = membership.New(membership.Settings{
-		Name: s.Name, Address: f.Address, Zone: s.Zone, Peers: s.Peers, Boot: f.boot,
-		Seed: binary.BigEndian.Uint64(drawn[8:]), Wire: s.Wire, Generation: generation, Interval: s.Pace, Remembered: remembered,
+		Name: s.Name, Address: f.Address, Zone: s.Zone, Peers: s.Peers, BootID: f.boot,
+		Seed: binary.BigEndian.Uint64(drawn[8:]), WireVersion: s.Wire, SettingsGeneration: generation, Interval: s.Pace, Remembered: remembered,
 	}, 0)
 	f.holding.holder = lease.NewHolder(s.Name, f.boot, s.Zone, 0)
 	if s.Budgets != nil {
@@ -205,10 +205,10 @@
 	if s.Duties != nil {
 		f.holding.holder = lease.NewHolder(s.Name, f.boot, s.Zone, s.Duties.Priority)
 		if s.Budgets != nil {
-			f.holding.holder.Want(quota.Duty, divideLease, f.dutyNow())
+			f.holding.holder.Register(quota.Duty, divideLease, f.dutyNow())
 		}
 		for _, name := range slices.Sorted(maps.Keys(s.Duties.Stands)) {
-			f.holding.holder.Want(name, s.Duties.Stands[name], f.dutyNow())
+			f.holding.holder.Register(name, s.Duties.Stands[name], f.dutyNow())
 		}
 		if s.Duties.Voter {
 			f.voter = newVoter(f, s.Duties.Folder)
@@ -316,7 +316,7 @@
 // tell logs a change.
 func (f *Fleet) tell(e *membership.Event) {
 	line := f.Log.Info()
-	switch e.What {
+	switch e.Kind {
 	case "ousted":
 		f.Log.Error().Str("member", e.Name).Str("holder", e.By).Str("means", "another process has this name; this one is no member, and serves on alone").
 			Msg("fleet: ousted")
@@ -327,10 +327,10 @@
 	if line = line.Str("member", e.Name); e.By != "" {
 		line = line.Str("by", e.By)
 	}
-	if e.Of > 0 {
-		line = line.Int("seen", e.Seen).Int("of", e.Of)
+	if e.AgreedSize > 0 {
+		line = line.Int("seen", e.Seen).Int("of", e.AgreedSize)
 	}
-	line.Msg("fleet: " + e.What)
+	line.Msg("fleet: " + e.Kind)
 }
 
 // send puts a message out: as a datagram, less news where it would be too long, or on a stream of its own.
@@ -345,8 +345,8 @@
 		return
 	}
 	text, err := encode(&e.Message, f.Wire)
-	for err == nil && !e.Stream && len(text)+sealLength > longestDatagram && len(e.News) > 0 {
-		e.News = e.News[:len(e.News)-1]
+	for err == nil && !e.Stream && len(text)+sealLength > longestDatagram && len(e.Updates) > 0 {
+		e.Updates = e.Updates[:len(e.Updates)-1]
 		text, err = encode(&e.Message, f.Wire)
 	}
 	if err != nil || !e.Stream && len(text)+sealLength > longestDatagram {
@@ -526,7 +526,7 @@
 
 func (f *Fleet) takeMessage(boot uint64, text []byte) {
 	m, err := decode(text)
-	if err != nil || m.From.Boot != boot {
+	if err != nil || m.From.BootID != boot {
 		f.Counts.Unusable.Add(1)
 		return
 	}
@@ -583,11 +583,11 @@
 			load, told := f.load()
 			f.step(func(m *membership.Machine, now float64) {
 				vote := f.vote()
-				if self := m.Self(); told || f.generation != self.Generation || vote != self.Vote {
+				if self := m.Self(); told || f.generation != self.SettingsGeneration || vote != self.Vote {
 					if !told {
 						load = self.Load
 					}
-					m.Tell(load, f.generation, vote)
+					m.UpdateSelf(load, f.generation, vote)
 				}
 				m.Tick(now)
 			})
@@ -605,9 +605,9 @@
 	}
 	f.remembered = time.Now()
 	f.mu.Lock()
-	agreed := f.machine.Agreed()
+	agreed := f.machine.AgreedFleet()
 	f.mu.Unlock()
-	if agreed.Fleet == f.kept.Fleet && agreed.Generation == f.kept.Generation && agreed.Counted == f.kept.Counted && slices.Equal(agreed.Others, f.kept.Others) {
+	if agreed.FleetID == f.kept.FleetID && agreed.Generation == f.kept.Generation && agreed.IncludesSelf == f.kept.IncludesSelf && slices.Equal(agreed.Others, f.kept.Others) {
 		return
 	}
 	if err := keep(f.Remember, agreed); err != nil {
@@ -619,17 +619,17 @@
 
 // remembered is the file: with a sum, as a name that was spoilt looks like another.
 type remembered struct {
-	membership.Agreed
+	membership.AgreedFleet
 	Sum string `json:"Sum,omitempty"` // of the rest; files of older versions have none
 }
 
-func sumUp(a membership.Agreed) (string, error) {
+func sumUp(a membership.AgreedFleet) (string, error) {
 	raw, err := json.Marshal(a)
 	return fmt.Sprintf("%016x", xxhash.Sum64(raw)), err
 }
 
 // recall reads what was remembered; none is no error.
-func recall(path string) (a membership.Agreed, err error) {
+func recall(path string) (a membership.AgreedFleet, err error) {
 	raw, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return a, nil
@@ -640,18 +640,18 @@
 	}
 	if err == nil && in.Sum != "" {
 		var sum string
-		if sum, err = sumUp(in.Agreed); err == nil && sum != in.Sum {
+		if sum, err = sumUp(in.AgreedFleet); err == nil && sum != in.Sum {
 			err = errTorn
 		}
 	}
 	if err != nil {
-		return membership.Agreed{}, fmt.Errorf("%s: %w", path, err)
+		return membership.AgreedFleet{}, fmt.Errorf("%s: %w", path, err)
 	}
-	return in.Agreed, nil
+	return in.AgreedFleet, nil
 }
 
 // keep writes it beside the file, and then in its place: who reads it sees one or the other.
-func keep(path string, a membership.Agreed) error {
+func keep(path string, a membership.AgreedFleet) error {
 	sum, err := sumUp(a)
 	raw, err2 := json.Marshal(remembered{a, sum})
 	if err = errors.Join(err, err2); err != nil {
--- a/internal/cluster/follow.go
+++ b/internal/cluster/follow.go
@@ -358,7 +358,7 @@
 		}
 		if _, ok := w.orders[d.Name]; !ok && d.Order == channel.Total && w.fleet.voter != nil { // who votes has the log at hand
 			w.fleet.holding.mu.Lock()
-			w.fleet.holding.holder.Want(channel.DutyPrefix+d.Name, channelLease, now)
+			w.fleet.holding.holder.Register(channel.DutyPrefix+d.Name, channelLease, now)
 			w.fleet.holding.mu.Unlock()
 		}
 	}
@@ -495,7 +495,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, m := range f.machine.Members() {
-		if m.Vote.Council != 0 && m.State == membership.Alive && m.Name < f.Name {
+		if m.Vote.ClusterID != 0 && m.State == membership.Alive && m.Name < f.Name {
 			n++
 		}
 	}
--- a/internal/cluster/golden_test.go
+++ b/internal/cluster/golden_test.go
@@ -50,7 +50,7 @@
 			goldentest.Fill(&full)
 			full.Kind = kind
 			full.From.State, full.Target.State = membership.Alive, membership.Suspect
-			full.News[0].State, full.News[1].State = membership.Failed, membership.Left
+			full.Updates[0].State, full.Updates[1].State = membership.Failed, membership.Left
 			bare := membership.Message{Kind: kind, From: membership.Member{Name: "n", Address: "a"}}
 			for _, message := range []membership.Message{full, bare} {
 				raw := need.Of(encode(&message, wire))(t)
@@ -245,7 +245,7 @@
 
 func TestGoldenRememberedFleet(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "fleet.json")
-	var agreed membership.Agreed
+	var agreed membership.AgreedFleet
 	goldentest.Fill(&agreed)
 	require.NoError(t, keep(path, agreed))
 	raw := need.Of(os.ReadFile(path))(t)
--- a/internal/cluster/golden_words_test.go
+++ b/internal/cluster/golden_words_test.go
@@ -19,10 +19,10 @@
 func TestGoldenNumbersAndWords(t *testing.T) {
 	var tr goldentest.Transcript
 	tr.Values("states of members", membership.Alive, membership.Suspect, membership.Failed, membership.Left)
-	tr.Values("messages of members", membership.Ping, membership.PingFor, membership.Ack, membership.AckFor, membership.NackFor,
+	tr.Values("messages of members", membership.Ping, membership.PingRequest, membership.Ack, membership.IndirectAck, membership.IndirectNack,
 		membership.Join, membership.Table, membership.Refused)
-	tr.Values("commands of duties", lease.Declare, lease.Drop, lease.Stand, lease.Withdraw, lease.GiveBack, lease.HandOver, lease.Expire,
-		lease.Prove, lease.Gone, lease.Skip, lease.Sit, lease.Mark, lease.Told)
+	tr.Values("commands of duties", lease.Declare, lease.Drop, lease.Register, lease.Withdraw, lease.Release, lease.Transfer, lease.Expire,
+		lease.ForgiveFailures, lease.Unregister, lease.SkipTokens, lease.RegisterVoter, lease.Started, lease.Completed)
 	tr.Values("changes of seats", lease.NoChange, lease.AddLearner, lease.Promote, lease.Remove)
 	tr.Values("kinds of budgets", quota.InFlight, quota.Rate, quota.Amount, quota.RateUnits)
 	tr.Values("uses of budgets", quota.Duty, quota.UseOrigin, quota.UseRetries, quota.UseTenant, quota.UseHost)
--- a/internal/cluster/hold.go
+++ b/internal/cluster/hold.go
@@ -37,8 +37,8 @@
 
 // turnMessage is a dispatcher's question with where its answer goes.
 type turnMessage struct {
-	Turn lease.Turn `cbor:"1,keyasint"`
-	From string     `cbor:"2,keyasint"`
+	Turn lease.RenewalRequest `cbor:"1,keyasint"`
+	From string               `cbor:"2,keyasint"`
 }
 
 // answerMessage is its answer.
@@ -62,7 +62,7 @@
 func (f *Fleet) Guard(duty string) (token uint64, ok bool) {
 	f.holding.mu.Lock()
 	defer f.holding.mu.Unlock()
-	return f.holding.holder.Act(duty, f.dutyNow())
+	return f.holding.holder.HeldToken(duty, f.dutyNow())
 }
 
 // hold is the loop of a dispatcher that stands for duties.
@@ -110,7 +110,7 @@
 // takeTurn takes a dispatcher's question, where this one votes.
 func (f *Fleet) takeTurn(text []byte) {
 	var in turnMessage
-	if err := decoding.Unmarshal(text, &in); err != nil || f.voter == nil || len(in.Turn.Stands) > lease.MostDuties {
+	if err := decoding.Unmarshal(text, &in); err != nil || f.voter == nil || len(in.Turn.Duties) > lease.MaxDuties {
 		f.Counts.Unusable.Add(1)
 		return
 	}
@@ -123,7 +123,7 @@
 }
 
 // turn hands a question to the voter here, which answers once.
-func (f *Fleet) turn(t lease.Turn, answer func(answerMessage)) {
+func (f *Fleet) turn(t lease.RenewalRequest, answer func(answerMessage)) {
 	done := func(a raftvoter.Answered) {
 		out := answerMessage{ID: a.ID, OK: a.OK, Leases: a.Leases}
 		if a.Leader != 0 {
@@ -136,7 +136,7 @@
 			done(raftvoter.Answered{ID: t.ID})
 			return
 		}
-		f.voter.machine.Turn(raftvoter.Turn{Turn: t, To: done}, f.dutyNow())
+		f.voter.machine.Turn(raftvoter.Turn{RenewalRequest: t, To: done}, f.dutyNow())
 	}) {
 		done(raftvoter.Answered{ID: t.ID})
 	}
@@ -154,13 +154,13 @@
 	defer h.mu.Unlock()
 	h.ask = in.Leader
 	if !in.OK {
-		h.holder.Refused(f.dutyNow(), in.ID)
+		h.holder.HandleRefusal(f.dutyNow(), in.ID)
 		return
 	}
-	h.holder.Answer(f.dutyNow(), in.ID, in.Leases)
+	h.holder.HandleAnswer(f.dutyNow(), in.ID, in.Leases)
 	f.tellHeld()
-	for _, name := range h.holder.Handing() { // nothing here acts for longer than a moment: what others want is given back at once
-		h.holder.GiveBack(name, f.dutyNow())
+	for _, name := range h.holder.TransfersRequested() { // nothing here acts for longer than a moment: what others want is given back at once
+		h.holder.Release(name, f.dutyNow())
 	}
 	f.tellHeld()
 }
@@ -194,7 +194,7 @@
 	for end := time.Now().Add(turnTime / 4); time.Now().Before(end); time.Sleep(dutyTick) {
 		f.holdTick()
 		h.mu.Lock()
-		settled := h.holder.Settled()
+		settled := h.holder.AllReleased()
 		h.mu.Unlock()
 		if settled {
 			return
@@ -298,9 +298,9 @@
 	k := f.voter.known.Load()
 	switch q.What {
 	case askEra:
-		for _, s := range k.State.Seats {
+		for _, s := range k.State.Voters {
 			if s.ID == q.Number {
-				t.Number = uint64(s.Era)
+				t.Number = uint64(s.DiskEpoch)
 			}
 		}
 		return t
@@ -330,7 +330,7 @@
 	switch q.What {
 	case AskDuties:
 		t.Duties, t.Rest, t.Council = toTell(k.State.Duties), k.Rest, &k.Status
-		t.Seats = k.State.Seats
+		t.Seats = k.State.Voters
 	case AskTurn:
 		if q.Turn == nil {
 			return fail(errMessage)
--- a/internal/cluster/memory_test.go
+++ b/internal/cluster/memory_test.go
@@ -116,7 +116,7 @@
 		line := "| " + row.words + " |"
 		for _, v := range views {
 			m := need.Of(replication.New(replication.Settings{Name: "n0", Zone: "z0", Kinds: []replication.Kind{purgefloor.Kind()}}, nil, 0))(t)
-			f := replication.Fleet{AgreedSize: 5, HasQuorum: membership.Allowed(membership.Decide, v.level, v.doubt)}
+			f := replication.Fleet{AgreedSize: 5, HasQuorum: membership.Allowed(membership.DecideByMajority, v.level, v.doubt)}
 			for i := range 4 {
 				f.Others = append(f.Others, replication.Member{Name: fmt.Sprint("n", i+1), Zone: fmt.Sprint("z", (i+1)%2), Alive: i < v.live || v.doubt, InAgreedFleet: true})
 			}
--- a/internal/cluster/raftvoter/council.go
+++ b/internal/cluster/raftvoter/council.go
@@ -56,7 +56,7 @@
 
 // Turn is a question of a dispatcher with where its answer goes.
 type Turn struct {
-	lease.Turn
+	lease.RenewalRequest
 	To any
 }
 
@@ -110,7 +110,7 @@
 	broken   error
 	reseated bool // who votes has changed since the last snapshot
 
-	Willing func() []lease.Willing // who would vote
+	Willing func() []lease.WillingVoter // who would vote
 }
 
 // turn is one that waits: for its commands to be in the log, then for a majority to confirm that this one leads.
@@ -284,7 +284,7 @@
 // fail ends this one's part: what it sent stands, and nothing more is sent.
 func (m *Machine) fail(err error) {
 	m.broken, m.leads, m.leader = err, false, 0
-	m.granter.Lead(m.now, false)
+	m.granter.SetLeading(m.now, false)
 	m.out.Send, m.out.Answer = nil, nil
 	for _, t := range m.turns {
 		m.out.Answer = append(m.out.Answer, Answered{To: t.To, ID: t.ID})
@@ -385,8 +385,8 @@
 		var under uint64 // the same commands, of a turn before that waits for them
 		n := 0
 		for _, o := range m.turns {
-			if o.Name == t.Name && o.Boot == t.Boot {
-				if n++; o.proposal != 0 && slices.Equal(o.Stands, t.Stands) && slices.Equal(o.Backs, t.Backs) {
+			if o.Name == t.Name && o.BootID == t.BootID {
+				if n++; o.proposal != 0 && slices.Equal(o.Duties, t.Duties) && slices.Equal(o.Released, t.Released) {
 					under = o.proposal
 				}
 			}
@@ -397,7 +397,7 @@
 		}
 		if under != 0 {
 			w.proposal = under
-		} else if commands := m.granter.Commands(&t.Turn); len(commands) > 0 {
+		} else if commands := m.granter.Commands(&t.RenewalRequest); len(commands) > 0 {
 			if w.proposal = m.propose(commands, nil, nil); w.proposal == 0 {
 				m.out.Answer = append(m.out.Answer, Answered{To: t.To, ID: t.ID})
 				return nil
@@ -496,7 +496,7 @@
 	}
 	leads := m.node.BasicStatus().RaftState == raft.StateLeader
 	if m.leads && (!leads || term != m.term) {
-		m.granter.Lead(m.now, false)
+		m.granter.SetLeading(m.now, false)
 		for _, t := range m.turns {
 			m.out.Answer = append(m.out.Answer, Answered{To: t.To, ID: t.ID, Leader: m.leader})
 		}
@@ -504,7 +504,7 @@
 		clear(m.reads)
 	}
 	m.leads, m.term = leads, term
-	m.granter.Lead(m.now, leads)
+	m.granter.SetLeading(m.now, leads)
 }
 
 // apply does one entry.
@@ -539,7 +539,7 @@
 	for _, c := range in.Commands {
 		for _, name := range m.state.Apply(c) {
 			changed = true
-			m.granter.Applied(m.now, name)
+			m.granter.DutyChanged(m.now, name)
 		}
 	}
 	if in.Ledger != nil {
@@ -570,7 +570,7 @@
 		if !ok || t.read == 0 || float64(m.applied) < index {
 			return false
 		}
-		m.out.Answer = append(m.out.Answer, Answered{To: t.To, ID: t.ID, OK: true, Leader: m.id, Leases: m.granter.Confirm(t.came, &t.Turn.Turn)})
+		m.out.Answer = append(m.out.Answer, Answered{To: t.To, ID: t.ID, OK: true, Leader: m.id, Leases: m.granter.Renew(t.came, &t.Turn.RenewalRequest)})
 		return true
 	})
 	for read, index := range m.reads {
@@ -621,15 +621,15 @@
 	willing := m.Willing()
 	var sit []lease.Command
 	for _, w := range willing {
-		if seat, ok := m.state.Seat(w.ID); w.ID != 0 && w.Alive && (ok && w.Era > seat.Era || !ok) {
-			sit = append(sit, lease.Command{Act: lease.Sit, Token: w.ID, Name: w.Name, Era: w.Era})
+		if seat, ok := m.state.Voter(w.ID); w.ID != 0 && w.Alive && (ok && w.DiskEpoch > seat.DiskEpoch || !ok) {
+			sit = append(sit, lease.Command{Kind: lease.RegisterVoter, Token: w.ID, Name: w.Name, DiskEpoch: w.DiskEpoch})
 		}
 	}
 	if len(sit) > 0 {
 		m.propose(sit, nil, nil)
 	}
 	progress := m.node.Status().Progress
-	c := m.state.NextChange(m.conf.GetVoters(), m.conf.GetLearners(), willing, func(id uint64) bool {
+	c := m.state.NextVoterChange(m.conf.GetVoters(), m.conf.GetLearners(), willing, func(id uint64) bool {
 		p, ok := progress[id]
 		return ok && p.Match > 0 && p.State == tracker.StateReplicate && p.Match+keepEntries/10 >= m.applied && p.RecentActive
 	})
@@ -637,8 +637,8 @@
 }
 
 // change proposes one change of who votes.
-func (m *Machine) change(c lease.Change) {
-	kind, ok := map[lease.ChangeKind]pb.ConfChangeType{
+func (m *Machine) change(c lease.VoterChange) {
+	kind, ok := map[lease.VoterChangeKind]pb.ConfChangeType{
 		lease.AddLearner: pb.ConfChangeType_ConfChangeAddLearnerNode,
 		lease.Promote:    pb.ConfChangeType_ConfChangeAddNode, lease.Remove: pb.ConfChangeType_ConfChangeRemoveNode,
 	}[c.Kind]
@@ -649,7 +649,7 @@
 }
 
 // Change has an operator change who votes.
-func (m *Machine) Change(c lease.Change, now float64) error {
+func (m *Machine) Change(c lease.VoterChange, now float64) error {
 	err := errors.New("this voter does not lead")
 	m.now = now
 	m.guarded(func() error {
--- a/internal/cluster/raftvoter/golden_test.go
+++ b/internal/cluster/raftvoter/golden_test.go
@@ -50,13 +50,13 @@
 func goldenState(t *testing.T) (*lease.State, *quota.Ledger, *channel.Ledger) {
 	state := lease.NewState()
 	for _, c := range []lease.Command{
-		{Act: lease.Declare, Duty: "purger", Length: 5, Zone: "east"},
-		{Act: lease.Declare, Duty: "reporter", Length: 6},
-		{Act: lease.Stand, Duties: []string{"purger", "reporter"}, Length: 5, Zone: "east", Name: "n1", Boot: 11, Priority: 2},
-		{Act: lease.Stand, Duties: []string{"purger"}, Length: 5, Zone: "west", Name: "n2", Boot: 12},
-		{Act: lease.Mark, Duty: "purger", Token: 1, Number: 4, Name: "n1", Boot: 11},
-		{Act: lease.Sit, Token: 77, Name: "n1", Era: 3},
-		{Act: lease.HandOver, Duty: "purger", Name: "n2"},
+		{Kind: lease.Declare, Duty: "purger", LeaseLength: 5, Zone: "east"},
+		{Kind: lease.Declare, Duty: "reporter", LeaseLength: 6},
+		{Kind: lease.Register, Duties: []string{"purger", "reporter"}, LeaseLength: 5, Zone: "east", Name: "n1", BootID: 11, Priority: 2},
+		{Kind: lease.Register, Duties: []string{"purger"}, LeaseLength: 5, Zone: "west", Name: "n2", BootID: 12},
+		{Kind: lease.Started, Duty: "purger", Token: 1, Number: 4, Name: "n1", BootID: 11},
+		{Kind: lease.RegisterVoter, Token: 77, Name: "n1", DiskEpoch: 3},
+		{Kind: lease.Transfer, Duty: "purger", Name: "n2"},
 	} {
 		state.Apply(c)
 	}
--- a/internal/cluster/raftvoter/sim_test.go
+++ b/internal/cluster/raftvoter/sim_test.go
@@ -104,7 +104,7 @@
 var dutyNames = []string{"a", "b", "c"}
 
 func newSim(seed uint64, fault string) *sim {
-	s := &sim{chance: rand.New(rand.NewPCG(seed, 7)), fault: fault, vacant: map[string]float64{}, drift: lease.Drift, parts: make([]int, voters+players)}
+	s := &sim{chance: rand.New(rand.NewPCG(seed, 7)), fault: fault, vacant: map[string]float64{}, drift: lease.MaxClockDrift, parts: make([]int, voters+players)}
 	if fault == "clocks drift by far more than stated" {
 		s.drift = 0.4
 	}
@@ -160,8 +160,8 @@
 		if duty == nil || !duty.Held() || !leads {
 			continue
 		}
-		if early || v.sim.fault == "a lease is ended early" && v.Granter().Rest(now, d) < 0.5*leaseTime {
-			v.Propose([]lease.Command{{Act: lease.Expire, Duty: d, Token: duty.Token}}, nil, nil, now)
+		if early || v.sim.fault == "a lease is ended early" && v.Granter().Remaining(now, d) < 0.5*leaseTime {
+			v.Propose([]lease.Command{{Kind: lease.Expire, Duty: d, Token: duty.Token}}, nil, nil, now)
 		}
 	}
 }
@@ -230,7 +230,7 @@
 	p.Holder = lease.NewHolder(fmt.Sprint("n", p.index), p.boot, fmt.Sprint("z", p.index%2), 0)
 	p.asked, p.loose, p.tokens, p.inbox, p.pending = map[uint64]float64{}, map[string]float64{}, map[string]uint64{}, nil, nil
 	for _, d := range dutyNames {
-		p.Want(d, 1, p.clock.at(p.sim.now))
+		p.Register(d, 1, p.clock.at(p.sim.now))
 	}
 }
 
@@ -293,7 +293,7 @@
 		return
 	}
 	now := p.clock.at(p.sim.now)
-	p.Answer(now, a.ID, a.Leases)
+	p.HandleAnswer(now, a.ID, a.Leases)
 	for _, l := range a.Leases {
 		if _, own := p.asked[a.ID]; !own { // of the process that was there before
 			break
@@ -317,8 +317,8 @@
 			delete(p.loose, d)
 		}
 	}
-	for _, d := range p.Handing() {
-		p.GiveBack(d, now)
+	for _, d := range p.TransfersRequested() {
+		p.Release(d, now)
 	}
 }
 
@@ -328,7 +328,7 @@
 	if until, ok := p.loose[duty]; ok && now < until {
 		return p.tokens[duty], true
 	}
-	return p.Act(duty, now)
+	return p.HeldToken(duty, now)
 }
 
 // play lets time pass to a moment.
@@ -393,7 +393,7 @@
 				if commands := v.Granter().Commands(&turn); len(commands) > 0 {
 					v.Propose(commands, nil, nil, v.clock.at(s.now))
 				}
-				v.out.Answer = append(v.out.Answer, Answered{To: p, ID: turn.ID, OK: true, Leases: v.Granter().Confirm(v.clock.at(s.now), &turn)})
+				v.out.Answer = append(v.out.Answer, Answered{To: p, ID: turn.ID, OK: true, Leases: v.Granter().Renew(v.clock.at(s.now), &turn)})
 			} else {
 				v.Turn(Turn{turn, p}, v.clock.at(s.now))
 			}
@@ -415,7 +415,7 @@
 
 // take is whatever takes acts: it refuses tokens that are lower than it has seen.
 func (s *sim) take(a act) {
-	if s.fault == "tokens are not looked at" || s.fence.Take(a.duty, a.token) {
+	if s.fault == "tokens are not looked at" || s.fence.Accept(a.duty, a.token) {
 		a.at = s.now
 		s.taken = append(s.taken, a)
 	}
@@ -562,7 +562,7 @@
 		if v.Leads() {
 			var all []lease.Command
 			for _, d := range dutyNames {
-				all = append(all, lease.Command{Act: lease.Declare, Duty: d, Length: leaseTime})
+				all = append(all, lease.Command{Kind: lease.Declare, Duty: d, LeaseLength: leaseTime})
 			}
 			v.Propose(all, nil, nil, v.clock.at(s.now))
 			s.drain(v)
--- a/internal/cluster/recall.go
+++ b/internal/cluster/recall.go
@@ -298,7 +298,7 @@
 func (m *memory) look() {
 	f := m.fleet
 	f.mu.Lock()
-	now := view{f.machine.View().Of, f.machine.May(membership.Decide), f.machine.May(membership.Narrow)}
+	now := view{f.machine.View().AgreedSize, f.machine.May(membership.DecideByMajority), f.machine.May(membership.AcceptRestrictions)}
 	if now == m.fleetNow && time.Since(m.looked) < lookEach {
 		f.mu.Unlock()
 		return
@@ -311,12 +311,12 @@
 	m.shares.peers = 1
 	names := map[uint64]string{}
 	for _, o := range known {
-		if o.State == membership.Left && !o.Reference {
+		if o.State == membership.Left && !o.InLocalAgreedFleet {
 			continue
 		}
-		to.Others = append(to.Others, replication.Member{Name: o.Name, Zone: o.Zone, Alive: o.State.In(), InAgreedFleet: o.Reference})
-		m.at[o.Name], names[o.Boot] = o.Address, o.Name
-		if o.State.In() {
+		to.Others = append(to.Others, replication.Member{Name: o.Name, Zone: o.Zone, Alive: o.State.Present(), InAgreedFleet: o.InLocalAgreedFleet})
+		m.at[o.Name], names[o.BootID] = o.Address, o.Name
+		if o.State.Present() {
 			m.shares.peers++
 		}
 	}
--- a/internal/cluster/report.go
+++ b/internal/cluster/report.go
@@ -59,8 +59,8 @@
 			d = o.Duty
 		}
 	}
-	number := d.Mark + 1
-	marked, err := f.ask(ctx, ask{What: AskCommand, Commands: []lease.Command{{Act: lease.Mark, Duty: Report, Token: token, Number: number}}})
+	number := d.Started + 1
+	marked, err := f.ask(ctx, ask{What: AskCommand, Commands: []lease.Command{{Kind: lease.Started, Duty: Report, Token: token, Number: number}}})
 	if err != nil || !marked.Changed {
 		return next, err
 	}
@@ -69,14 +69,14 @@
 	}
 	line := f.Log.Info().Uint64("number", number).Uint64("token", token).Int("members", answered).Int("missing", len(missing)).
 		Strs("missingNames", missing[:min(len(missing), mostMissing)])
-	if d.Told < d.Mark {
-		line = line.Uint64("notTold", d.Mark-d.Told)
+	if d.Completed < d.Started {
+		line = line.Uint64("notTold", d.Started-d.Completed)
 	}
 	for _, key := range []string{"GETs", "Returned", "Shed", "Errored", "Forwards", "Unreached"} {
 		line = line.Int64(key, sums[key])
 	}
 	line.Msg("fleet report")
-	_, err = f.ask(ctx, ask{What: AskCommand, Commands: []lease.Command{{Act: lease.Told, Duty: Report, Number: number}}})
+	_, err = f.ask(ctx, ask{What: AskCommand, Commands: []lease.Command{{Kind: lease.Completed, Duty: Report, Number: number}}})
 	return next, err
 }
 
@@ -111,14 +111,14 @@
 	group.SetLimit(reportAsked)
 	for _, m := range known {
 		switch {
-		case m.State.In():
+		case m.State.Present():
 			group.Go(func() error {
 				if t, err := f.askOther(ctx, m.Address, ask{What: AskCounts}); err == nil {
 					got <- one{m.Name, t.Counts}
 				}
 				return nil
 			})
-		case m.Reference:
+		case m.InLocalAgreedFleet:
 			missing = append(missing, m.Name)
 		}
 	}
@@ -133,7 +133,7 @@
 		}
 	}
 	for _, m := range known {
-		if m.State.In() && !have[m.Name] {
+		if m.State.Present() && !have[m.Name] {
 			missing = append(missing, m.Name)
 		}
 	}
--- a/internal/cluster/seal.go
+++ b/internal/cluster/seal.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	mostKeys   = 2                    // the one that seals, and one that is on its way in or out
-	longestKey = 1 << 12              // bytes of a key file
-	window     = 1024                 // numbers behind the highest that may still come: datagrams overtake streams
-	starts     = 2 * membership.Most  // processes whose numbers are remembered
-	headLength = 1 + 8 + 8            // kind, boot, number: in the clear, and sealed with the rest
-	sealLength = headLength + 24 + 16 // and the nonce and the tag
+	mostKeys   = 2                         // the one that seals, and one that is on its way in or out
+	longestKey = 1 << 12                   // bytes of a key file
+	window     = 1024                      // numbers behind the highest that may still come: datagrams overtake streams
+	starts     = 2 * membership.MaxMembers // processes whose numbers are remembered
+	headLength = 1 + 8 + 8                 // kind, boot, number: in the clear, and sealed with the rest
+	sealLength = headLength + 24 + 16      // and the nonce and the tag
 )
 
 // Kinds of what is sealed.
--- a/internal/cluster/voter.go
+++ b/internal/cluster/voter.go
@@ -170,7 +170,7 @@
 		era--
 	}
 	s := &known{
-		Status: v.machine.Status(), Vote: membership.Vote{ID: k.ID, Council: k.Council, Era: era, Recovery: k.Recovery}, Leader: v.machine.Leader(),
+		Status: v.machine.Status(), Vote: membership.Vote{ID: k.ID, ClusterID: k.Council, DiskEpoch: era, Recoveries: k.Recovery}, Leader: v.machine.Leader(),
 		Admit: v.admitted, Applied: v.machine.Applied(),
 	}
 	if was := v.known.Load(); was.Applied == s.Applied && was.Vote.ID == k.ID { // nothing has changed since
@@ -184,7 +184,7 @@
 	if v.machine.Leads() {
 		s.Rest = map[string]float64{}
 		for _, d := range s.State.Duties {
-			s.Rest[d.Name] = v.machine.Granter().Rest(v.fleet.dutyNow(), d.Name)
+			s.Rest[d.Name] = v.machine.Granter().Remaining(v.fleet.dutyNow(), d.Name)
 		}
 	}
 	v.known.Store(s)
@@ -231,7 +231,7 @@
 		return false
 	}
 	for _, o := range v.fleet.votes() {
-		if o.Council != 0 && o.Council != me.Council && o.Recovery > me.Recovery {
+		if o.ClusterID != 0 && o.ClusterID != me.Council && o.Recoveries > me.Recovery {
 			v.renew("the log was recovered elsewhere")
 			return true
 		}
@@ -272,17 +272,17 @@
 }
 
 // willing is who would vote in this log.
-func (v *voter) willing() (all []lease.Willing) {
+func (v *voter) willing() (all []lease.WillingVoter) {
 	me := v.disk.kept
-	all = append(all, lease.Willing{Seat: lease.Seat{ID: me.ID, Name: v.fleet.Name, Era: me.Era}, Alive: true})
+	all = append(all, lease.WillingVoter{Voter: lease.Voter{ID: me.ID, Name: v.fleet.Name, DiskEpoch: me.Era}, Alive: true})
 	v.fleet.mu.Lock()
 	defer v.fleet.mu.Unlock()
 	for _, m := range v.fleet.machine.Members() {
-		if o := m.Vote; o.ID != 0 && (o.Council == me.Council || o.Council == 0) {
-			all = append(all, lease.Willing{Seat: lease.Seat{ID: o.ID, Name: m.Name, Era: o.Era}, Alive: m.State == membership.Alive})
+		if o := m.Vote; o.ID != 0 && (o.ClusterID == me.Council || o.ClusterID == 0) {
+			all = append(all, lease.WillingVoter{Voter: lease.Voter{ID: o.ID, Name: m.Name, DiskEpoch: o.DiskEpoch}, Alive: m.State == membership.Alive})
 		}
 	}
-	slices.SortFunc(all, func(a, b lease.Willing) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(all, func(a, b lease.WillingVoter) int { return strings.Compare(a.Name, b.Name) })
 	return all
 }
 
@@ -455,7 +455,7 @@
 
 // recover begins a new log with what this voter has of the old one, whose majority is lost for good.
 func (v *voter) recover() error {
-	return v.anew(v.disk.kept.Recovery+1, func(s *lease.State) { s.Apply(lease.Command{Act: lease.Skip}) })
+	return v.anew(v.disk.kept.Recovery+1, func(s *lease.State) { s.Apply(lease.Command{Kind: lease.SkipTokens}) })
 }
 
 func (v *voter) anew(recovery uint32, change func(*lease.State)) error {
@@ -464,7 +464,7 @@
 	}
 	if change == nil {
 		for _, o := range v.fleet.votes() {
-			if o.Council != 0 {
+			if o.ClusterID != 0 {
 				return errors.New("there is a log already; it takes voters in by itself")
 			}
 		}
@@ -527,7 +527,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, m := range f.machine.Members() {
-		if m.Vote.ID != 0 && m.State.In() {
+		if m.Vote.ID != 0 && m.State.Present() {
 			all = append(all, m.Vote)
 		}
 	}
@@ -540,12 +540,12 @@
 	defer f.mu.Unlock()
 	by := map[uint64]string{}
 	for _, m := range f.machine.Members() {
-		if m.Vote.Council != 0 && m.State.In() {
+		if m.Vote.ClusterID != 0 && m.State.Present() {
 			by[m.Vote.ID] = m.Address
 		}
 	}
 	if f.voter != nil {
-		if k := f.voter.known.Load(); k.Vote.Council != 0 {
+		if k := f.voter.known.Load(); k.Vote.ClusterID != 0 {
 			by[k.Vote.ID] = f.Address
 		}
 	}
--- a/internal/cluster/wire.go
+++ b/internal/cluster/wire.go
@@ -61,7 +61,7 @@
 var (
 	encoding = must(cbor.EncOptions{}.EncMode())
 	decoding = must( // keys of records are bytes of any kind
-		cbor.DecOptions{MaxArrayElements: membership.Most, MaxMapPairs: 64, MaxNestedLevels: 8, UTF8: cbor.UTF8DecodeInvalid}.DecMode())
+		cbor.DecOptions{MaxArrayElements: membership.MaxMembers, MaxMapPairs: 64, MaxNestedLevels: 8, UTF8: cbor.UTF8DecodeInvalid}.DecMode())
 )
 
 func must[T any](v T, err error) T {
@@ -75,16 +75,16 @@
 
 // encode writes a message in a version of the wire.
 func encode(m *membership.Message, wire uint8) ([]byte, error) {
-	out := message{Wire: wire, Kind: uint8(m.Kind), From: recordOf(&m.From, wire), Seq: m.Seq, Wants: m.Wants}
+	out := message{Wire: wire, Kind: uint8(m.Kind), From: recordOf(&m.From, wire), Seq: m.Seq, Wants: m.WantsTable}
 	if m.Target.Name != "" {
 		target := recordOf(&m.Target, wire)
 		out.Target = &target
 	}
-	for i := range m.News {
-		out.News = append(out.News, recordOf(&m.News[i], wire))
+	for i := range m.Updates {
+		out.News = append(out.News, recordOf(&m.Updates[i], wire))
 	}
 	if wire >= Wire2 {
-		out.Digest, out.Sees, out.Fleet, out.Reference, out.Of = m.Digest, m.Sees, m.Fleet, m.Reference, m.Of
+		out.Digest, out.Sees, out.Fleet, out.Reference, out.Of = m.Digest, m.SeesMajority, m.AgreedFleetID, m.AgreedGeneration, m.AgreedSize
 	}
 	b, err := encoding.Marshal(out)
 	if err != nil {
@@ -95,13 +95,13 @@
 
 func recordOf(m *membership.Member, wire uint8) record {
 	r := record{
-		Name: m.Name, Address: m.Address, Zone: m.Zone, Boot: m.Boot, Incarnation: m.Incarnation, State: uint8(m.State), By: m.By,
-		Wire: m.Wire,
+		Name: m.Name, Address: m.Address, Zone: m.Zone, Boot: m.BootID, Incarnation: m.Incarnation, State: uint8(m.State), By: m.AccusedBy,
+		Wire: m.WireVersion,
 	}
 	if wire >= Wire2 {
-		r.Version, r.Generation, r.Load, r.Counted = m.Version, m.Generation, m.Load, m.Counted
+		r.Version, r.Generation, r.Load, r.Counted = m.Version, m.SettingsGeneration, m.Load, m.InAgreedFleet
 		if v := m.Vote; v.ID != 0 {
-			r.Vote = &vote{v.ID, v.Council, v.Era, v.Recovery}
+			r.Vote = &vote{v.ID, v.ClusterID, v.DiskEpoch, v.Recoveries}
 		}
 	}
 	return r
@@ -117,29 +117,29 @@
 		return m, errMessage
 	}
 	m = membership.Message{
-		Kind: membership.Kind(in.Kind), From: in.From.member(), Seq: in.Seq, Wants: in.Wants, Digest: in.Digest, Sees: in.Sees,
-		Fleet: in.Fleet, Reference: in.Reference, Of: in.Of,
+		Kind: membership.MessageKind(in.Kind), From: in.From.member(), Seq: in.Seq, WantsTable: in.Wants, Digest: in.Digest, SeesMajority: in.Sees,
+		AgreedFleetID: in.Fleet, AgreedGeneration: in.Reference, AgreedSize: in.Of,
 	}
 	if in.Wire < Wire2 { // it tells no view: what it has is taken for what is known here
-		m.Sees = true
+		m.SeesMajority = true
 	}
 	if in.Target != nil {
 		m.Target = in.Target.member()
 	}
 	for i := range in.News {
-		m.News = append(m.News, in.News[i].member())
+		m.Updates = append(m.Updates, in.News[i].member())
 	}
 	return m, nil
 }
 
 func (r *record) member() membership.Member {
 	m := membership.Member{
-		Name: r.Name, Address: r.Address, Zone: r.Zone, Boot: r.Boot, Incarnation: r.Incarnation,
-		State: membership.State(min(r.State, uint8(membership.Left))), By: r.By, Wire: r.Wire, Version: r.Version, Generation: r.Generation, Load: r.Load,
-		Counted: r.Counted,
+		Name: r.Name, Address: r.Address, Zone: r.Zone, BootID: r.Boot, Incarnation: r.Incarnation,
+		State: membership.State(min(r.State, uint8(membership.Left))), AccusedBy: r.By, WireVersion: r.Wire, Version: r.Version, SettingsGeneration: r.Generation, Load: r.Load,
+		InAgreedFleet: r.Counted,
 	}
 	if v := r.Vote; v != nil {
-		m.Vote = membership.Vote{ID: v.ID, Council: v.Council, Era: v.Era, Recovery: v.Recovery}
+		m.Vote = membership.Vote{ID: v.ID, ClusterID: v.Council, DiskEpoch: v.Era, Recoveries: v.Recovery}
 	}
 	return m
 }
