--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -57,8 +57,8 @@
 
 // readReach reads the addresses at which others are reached from here, by those that they give.
 func readReach(o *configfile.Object, f *cluster.Settings) {
-	if f.Reach = o.Pairs("reach"); len(f.Reach) > membership.Most {
-		o.Fault("reach", "%d, at most %d", len(f.Reach), membership.Most)
+	if f.Reach = o.Pairs("reach"); len(f.Reach) > membership.MaxMembers {
+		o.Fault("reach", "%d, at most %d", len(f.Reach), membership.MaxMembers)
 	}
 	for from, to := range f.Reach {
 		requireAddress(o, "reach", from)
@@ -272,13 +272,13 @@
 	if in := o.Inner("stands"); in != nil {
 		for _, name := range in.Keys() {
 			var term float64
-			in.Duration(name, &term, lease.LeastTime, lease.MostTime)
-			if to.Stands[name] = term; name == "" || len(name) > lease.LongestName {
-				o.Fault("stands", "%.20q must have 1 to %d bytes", name, lease.LongestName)
+			in.Duration(name, &term, lease.MinLeaseLength, lease.MaxLeaseLength)
+			if to.Stands[name] = term; name == "" || len(name) > lease.MaxNameBytes {
+				o.Fault("stands", "%.20q must have 1 to %d bytes", name, lease.MaxNameBytes)
 			}
 		}
-		if len(to.Stands) > lease.MostDuties {
-			o.Fault("stands", "%d, at most %d", len(to.Stands), lease.MostDuties)
+		if len(to.Stands) > lease.MaxDuties {
+			o.Fault("stands", "%d, at most %d", len(to.Stands), lease.MaxDuties)
 		}
 	}
 	o.Done()
--- a/internal/snakejson/snake_test.go
+++ b/internal/snakejson/snake_test.go
@@ -23,7 +23,7 @@
 		Members []*inner
 		None    *inner
 		hidden  int
-	}{inner{1, 2}, membership.Suspect, membership.Deaf, 0.5, "", 1, map[string]int64{"BytesIn": 1, "GETs": 2, "In": 3}, map[string]float64{"My Duty": 1}, []*inner{{3, 4}}, nil, 1})
+	}{inner{1, 2}, membership.Suspect, membership.LinkOneWay, 0.5, "", 1, map[string]int64{"BytesIn": 1, "GETs": 2, "In": 3}, map[string]float64{"My Duty": 1}, []*inner{{3, 4}}, nil, 1})
 	require.NoError(t, err)
 	assert.Equal(t, `{"state":"suspect","link":"deaf","gets":0.5,"counts":{"bytes_in":1,"gets":2,"in":3},"rest":{"My Duty":1},`+
 		`"members":[{"id":3,"bytes_in":4}],"none":null}`, string(text))
