--- a/internal/cluster/raftvoter/council.go
+++ b/internal/cluster/raftvoter/council.go
@@ -570,7 +570,7 @@
 		if !ok || t.read == 0 || float64(m.applied) < index {
 			return false
 		}
-		m.out.Answer = append(m.out.Answer, Answered{To: t.To, ID: t.ID, OK: true, Leader: m.id, Leases: m.granter.Renew(t.came, &t.Turn.RenewalRequest)})
+		m.out.Answer = append(m.out.Answer, Answered{To: t.To, ID: t.ID, OK: true, Leader: m.id, Leases: m.granter.Renew(t.came, &t.RenewalRequest)})
 		return true
 	})
 	for read, index := range m.reads {
