--- a/core/admission/callers.go
+++ b/core/admission/callers.go
@@ -34,7 +34,7 @@
 	minFairBurst      = 4.0  // GETs; least burst, for tenants with a low level
 	oneGET            = 1.0  // GETs; least burst of a bucket, without which a tenant with a low rate would never be admitted
 	maxQuotaWait      = 1.0  // seconds; longest time that a client is told to wait when a quota is used up
-	fairWait          = 0.25 // seconds that a client is told to wait under pressure; the level has changed after a few intervals
+	fairWait          = 0.25 // seconds that a client is told to wait under pressure: a few level intervals, after which the fair level has changed
 	reservedShare     = 0.5  // share of the signature checks reserved for connections that have proven a caller, and share of a tenant's
 	// quota reserved for callers that had less than an equal part
 	closeMargin   = 0.5  // seconds of the window reserved for closing, because connections are checked every quarter of a second
--- a/core/cluster/channel/codec.go
+++ b/core/cluster/channel/codec.go
@@ -76,23 +76,23 @@
 
 // size returns the bytes that an entry counts for in limits and retention.
 func (e *Entry) size() int {
-	return len(e.Body) + len(e.Key) + len(e.Writer) + afterBytes(e.After) + 32
+	return len(e.Body) + len(e.Key) + len(e.Writer) + dependencyBytes(e.After) + 32
 }
 
 // Size returns an upper bound for the bytes that an entry takes on the wire.
 func (e *Entry) Size() int { return e.size() + len(e.Channel) + 40 }
 
-// afterBytes returns the bytes that an entry's After counts for: each writer's name and 10 more for its number.
-func afterBytes(all map[string]uint64) (n int) {
+// dependencyBytes returns the bytes that an entry's After counts for: each writer's name and 10 more for its number.
+func dependencyBytes(all map[string]uint64) (n int) {
 	for w := range all {
 		n += len(w) + 10
 	}
 	return n
 }
 
-// lane returns the numbered lane to which the entry belongs and its number there. In total order the lane is "" and the number is the offset; in the
-// other orders each writer is a lane of its own.
-func (e *Entry) lane() (string, uint64) {
+// substream returns the part of the channel in which the entry is numbered, and its number there. In total order the only substream is "" and the
+// number is the offset. In the other orders the entries of each writer are a substream, named after the writer.
+func (e *Entry) substream() (string, uint64) {
 	if e.Offset > 0 {
 		return "", e.Offset
 	}
@@ -101,7 +101,7 @@
 
 // key returns the key of the entry's record.
 func (e *Entry) key() string {
-	w, n := e.lane()
+	w, n := e.substream()
 	if w != "" {
 		return makeKey(e.Channel, w, n, e.Incarnation)
 	}
@@ -127,7 +127,7 @@
 			return fmt.Errorf("%w: a writer's name has to have 1 to %d bytes", ErrInvalidEntry, MaxNameBytes)
 		}
 	}
-	if n := afterBytes(e.After); n > MaxAfterBytes {
+	if n := dependencyBytes(e.After); n > MaxAfterBytes {
 		return fmt.Errorf("%w: its dependencies have %d bytes, the limit is %d", ErrInvalidEntry, n, MaxAfterBytes)
 	}
 	return nil
--- a/core/cluster/channel/forgotten.go
+++ b/core/cluster/channel/forgotten.go
@@ -234,7 +234,8 @@
 }
 
 // discardStale reports whether a writer's record must be ignored because it is not of the channel's current incarnation or the channel has ended. A
-// record of the current or an earlier incarnation is deleted; one of a later incarnation is learned again once this dispatcher knows the declaration.
+// record of the current or an earlier incarnation is deleted; one of a later incarnation is passed to Learn again once this dispatcher knows the
+// declaration.
 func (m *Machine) discardStale(c *channel, r replication.Record, incarnation uint64) bool {
 	if incarnation == c.incarnation && (c.endedGeneration == 0 || r.Deleted) {
 		return false
--- a/core/cluster/channel/ledger.go
+++ b/core/cluster/channel/ledger.go
@@ -21,8 +21,8 @@
 	MaxRetainedSeconds      = 7 * 86400       // seconds
 	MaxOrderWait            = 60.0            // seconds
 	MaxWriters              = 256             // writers of a channel, except in total order: a position names each of them
-	MaxForgotten            = 512             // forgotten writers of a channel that are listed by name
-	MaxForgottenTotal       = 2048            // forgotten writers of all channels that are listed by name: 260 KiB with the longest names
+	MaxForgotten            = 512             // forgotten writers that the ledger keeps for one channel; beyond it, the ones forgotten first are dropped (see ForgottenWriters)
+	MaxForgottenTotal       = 2048            // forgotten writers that the ledger keeps for all channels together: 260 KiB with the longest names
 	MaxForgetBatch          = 64              // names in one command
 	MaxWriterExpiry         = 30 * 86400.0    // seconds
 	MaxSequenceWriters      = 4096            // writers of a channel in total order that the ledger remembers
--- a/core/cluster/channel/machine.go
+++ b/core/cluster/channel/machine.go
@@ -113,18 +113,18 @@
 // epochRange is an epoch of the sequencer and its first offset.
 type epochRange struct{ epoch, start uint64 }
 
-// channel is the state of one channel at this dispatcher. Maps that are keyed by lane (see Entry.lane) have a lane for each writer or, in total order,
-// the single lane "", whose numbers are offsets.
+// channel is the state of one channel at this dispatcher. Maps that are keyed by substream (see Entry.substream) have a writer's name as the key. In
+// total order the only substream is "", and its numbers are offsets.
 type channel struct {
 	declaration       Declaration
 	declared          bool // the declaration has arrived
 	items             []logItem
 	firstIndex        uint64                          // index of items[0], counting all items that were ever in the log
-	logged            map[string]uint64               // by lane, the number up to which entries were appended to the log
-	lastClock         map[string]uint64               // by lane, the clock of the last entry in the log
-	evicted           map[string]uint64               // by lane, the number up to which entries are no longer retained here
-	evictedElsewhere  map[string]uint64               // by lane, the number up to which other dispatchers no longer retain entries
-	held              map[string]map[uint64]heldEntry // entries not in the log yet, by lane and number
+	logged            map[string]uint64               // by substream, the number up to which entries were appended to the log
+	lastClock         map[string]uint64               // by substream, the clock of the substream's last entry in the log
+	evicted           map[string]uint64               // by substream, the number up to which entries are no longer retained here
+	evictedElsewhere  map[string]uint64               // by substream, the number up to which other dispatchers no longer retain entries
+	held              map[string]map[uint64]heldEntry // entries not in the log yet, by substream and number
 	oldestHeldAt      float64                         // when the oldest held entry arrived, 0 if none is held
 	newestByKey       map[string]*Entry
 	bytes             int                         // size of all items
@@ -135,9 +135,9 @@
 	epochs            []epochRange                // known epochs, sorted
 	sequencedNumbers  map[string]uint64           // in total order, the highest number seen of each writer
 	inFlight          map[string][]*inFlightWrite // by writer, in the order in which they were sent
-	tombstonedThrough map[string]uint64           // by lane, the number up to which tombstones were received
+	tombstonedThrough map[string]uint64           // by substream, the number up to which tombstones were received
 	pendingTombstones map[string]float64          // keys that need a tombstone, with the time at which to write it again
-	pendingEvictions  map[string]bool             // lanes whose evicted number is to be written as a record of WriterKind
+	pendingEvictions  map[string]bool             // substreams for which a record of WriterKind with the number in evicted is to be written
 	// Forgotten writers.
 	forgotten        map[string]ForgottenWriter // those still listed, by name
 	forgottenThrough uint64                     // highest Sequence of a forgotten writer that is known here
@@ -166,11 +166,11 @@
 	channel          *channel
 	order            Order             // order that the reader asked for
 	cursor           uint64            // index of the next log item to take
-	seen             map[string]uint64 // by lane, the highest number seen; nil once the reader is at the end of the log and the items' own tokens apply
+	seen             map[string]uint64 // by substream, the highest number seen; nil once the reader is at the end of the log and the items' own tokens apply
 	position         Position          // position from the token; in total order, updated as the reader advances
 	newestSeen       map[string]*Entry // by key, the newest entry that the reader had seen when it opened
 	started          bool              // cursor is set
-	openedAtIndex    uint64            // without a token, the end index at opening: a missing beginning of a lane before it is not reported as a gap
+	openedAtIndex    uint64            // without a token, the end index at opening: a missing beginning of a substream before it is not reported as a gap
 	forgottenThrough uint64            // for the position's token
 	incarnation      uint64            // of the channel at opening
 	generation       uint64            // of the declaration that the reader knows, 0 for none
@@ -260,7 +260,9 @@
 		if c.declaration, c.declared = d, true; d.Withdrawn || d.WithdrawnGeneration != c.incarnation {
 			m.refuseQueued(c)
 		}
-		if d.WithdrawnGeneration != c.incarnation { // the channel was withdrawn and declared again: records that arrived before this declaration are learned again
+		// The channel was declared again after a withdrawal. Records of the new channel that arrived before this declaration were ignored, so Relearn asks
+		// the caller to pass all records to Learn again.
+		if d.WithdrawnGeneration != c.incarnation {
 			m.discardEntries(c, d.WithdrawnGeneration)
 			if d.FirstOffset > 0 {
 				c.logged[""] = max(c.logged[""], d.FirstOffset-1)
@@ -376,7 +378,7 @@
 	return true
 }
 
-// raiseEvictedElsewhere notes that other dispatchers no longer retain a lane's entries up to a number.
+// raiseEvictedElsewhere notes that other dispatchers no longer retain a substream's entries up to a number.
 func (c *channel) raiseEvictedElsewhere(writer string, number, epoch uint64) {
 	if writer == "" && !c.offsetValid(epoch, number) {
 		return
@@ -414,7 +416,7 @@
 // insert accepts an entry from a record. An entry that is already known changes only whether it counts as replicated and the highest stamp. foreign
 // means that another dispatcher wrote the record.
 func (c *channel) insert(now float64, e *Entry, foreign bool) {
-	w, n := e.lane()
+	w, n := e.substream()
 	if c.declared && (w == "") != (c.declaration.Order == Total) {
 		return
 	}
@@ -426,7 +428,7 @@
 		}
 		c.reviveWriter(now, w, n)
 	} else if c.declared && (c.incarnation > 0 && e.Generation <= c.incarnation || c.endedGeneration > 0) {
-		if e.Generation <= max(c.incarnation, c.endedGeneration) { // a later generation is learned again once its declaration is known
+		if e.Generation <= max(c.incarnation, c.endedGeneration) { // an entry of a later generation is passed to Learn again once its declaration is known
 			c.pendingTombstones[e.key()] = 0
 		}
 		return
@@ -469,7 +471,7 @@
 	for k := len(c.items) - 1; k >= 0; k-- {
 		i := &c.items[k]
 		if i.entry != nil {
-			if x, y := i.entry.lane(); x == w && y == n {
+			if x, y := i.entry.substream(); x == w && y == n {
 				return i
 			}
 		} else if !i.declarationChange && i.to > 0 && i.writer == w && i.from <= n && n <= i.to {
@@ -550,8 +552,8 @@
 	return true
 }
 
-// pendingLanes returns the sorted lanes that have held entries or entries evicted elsewhere.
-func (c *channel) pendingLanes() []string {
+// pendingSubstreams returns the sorted substreams that have held entries or entries evicted elsewhere.
+func (c *channel) pendingSubstreams() []string {
 	if len(c.held) == 0 && len(c.evictedElsewhere) == 0 {
 		return nil
 	}
@@ -600,8 +602,8 @@
 	}
 	for again := true; again; {
 		again = false
-		for _, w := range c.pendingLanes() {
-			for c.advanceLane(now, w, m.alone) {
+		for _, w := range c.pendingSubstreams() {
+			for c.advanceSubstream(now, w, m.alone) {
 				again = true
 			}
 		}
@@ -620,10 +622,10 @@
 	c.trim(now)
 }
 
-// advanceLane appends the next entry or gap of a lane to the log and reports whether it did. Except in total order, an entry must be known to be at
-// another dispatcher too, if there are others. Otherwise the loss of one disk could leave a reader's position, or an acknowledged later entry, waiting
-// forever for an entry that nobody has.
-func (c *channel) advanceLane(now float64, w string, alone bool) bool {
+// advanceSubstream appends the next entry or gap of a substream to the log and reports whether it did. Except in total order, an entry must be known to
+// be at another dispatcher too, if there are others. Otherwise the loss of one disk could leave a reader's position, or an acknowledged later entry,
+// waiting forever for an entry that nobody has.
+func (c *channel) advanceSubstream(now float64, w string, alone bool) bool {
 	n := c.logged[w] + 1
 	h, ok := c.held[w][n]
 	if !ok {
@@ -660,7 +662,7 @@
 	return true
 }
 
-// appendGap appends a gap to the log that spans a lane's numbers from the next one up to to.
+// appendGap appends a gap to the log that spans a substream's numbers from the next one up to to.
 func (c *channel) appendGap(now float64, w string, to uint64) {
 	from := c.logged[w] + 1
 	c.lastActive[w] = now
@@ -672,7 +674,7 @@
 
 // skipOverdue appends a gap for entries that others have waited on for OrderWait seconds, and reports whether it appended one.
 func (c *channel) skipOverdue(now float64) bool {
-	for _, w := range c.pendingLanes() {
+	for _, w := range c.pendingSubstreams() {
 		overdue, low := false, lowestNumber(c.held[w])
 		for _, h := range c.held[w] {
 			overdue = overdue || now-h.heldAt >= c.declaration.OrderWait
@@ -714,7 +716,7 @@
 		c.bytes -= i.size
 		w, n := i.writer, i.to
 		if i.entry != nil {
-			w, n = i.entry.lane()
+			w, n = i.entry.substream()
 			if n > c.tombstonedThrough[w] {
 				c.pendingTombstones[i.entry.key()] = 0
 			}
@@ -765,7 +767,8 @@
 	m.recentRefusals *= 0.9
 }
 
-// writeTombstones writes the records of evicted numbers and at most maxTombstonesPerTick due tombstones.
+// writeTombstones writes a record of WriterKind for each substream in pendingEvictions, which tells other dispatchers the number up to which this one
+// no longer retains entries. It also writes at most maxTombstonesPerTick of the tombstones that are due.
 func (m *Machine) writeTombstones(now float64, name string, c *channel) {
 	for _, w := range slices.Sorted(maps.Keys(c.pendingEvictions)) {
 		ep := uint64(0)
@@ -805,10 +808,10 @@
 	}
 }
 
-// resendHeld writes the next entry of each lane again if no other dispatcher is known to have it and it is not in flight. Such an entry did not reach
-// enough copies, or this dispatcher restarted and no longer knows of them.
+// resendHeld writes the next entry of each substream again if no other dispatcher is known to have it and it is not in flight. Such an entry did not
+// reach enough copies, or this dispatcher restarted and no longer knows of them.
 func (m *Machine) resendHeld(c *channel) {
-	for _, w := range c.pendingLanes() {
+	for _, w := range c.pendingSubstreams() {
 		n := c.logged[w] + 1
 		if h, ok := c.held[w][n]; ok && !h.replicated && !c.isInFlight(w, n) && m.inFlight < MaxInFlight {
 			m.send(c, *h.entry)
--- a/core/cluster/channel/readers.go
+++ b/core/cluster/channel/readers.go
@@ -196,7 +196,7 @@
 	c := r.channel
 	w, from, to := i.writer, i.from, i.to
 	if i.entry != nil {
-		w, to = i.entry.lane()
+		w, to = i.entry.substream()
 		from = to
 	}
 	seen := r.markSeen(w, to)
@@ -223,7 +223,7 @@
 	return out, true
 }
 
-// markSeen marks a number of a lane as seen by the reader and reports whether it was seen before.
+// markSeen marks a number of a substream as seen by the reader and reports whether it was seen before.
 func (r *reader) markSeen(writer string, number uint64) (before bool) {
 	if r.seen == nil || number == 0 {
 		return false
--- a/core/cluster/channel/simulation_test.go
+++ b/core/cluster/channel/simulation_test.go
@@ -303,7 +303,7 @@
 			if a.Met && n.machine.channels[channelName].incarnation == w.incarnation() {
 				w.acked[entryID(a.Writer, a.Number)] = true
 				if w.rng.IntN(5) > 0 {
-					w.advanceWriter(a.Writer, a.Number)
+					w.startNextEntry(a.Writer, a.Number)
 				}
 			}
 		}
@@ -323,8 +323,8 @@
 	}
 }
 
-// advanceWriter lets a writer continue after its entry was acknowledged.
-func (w *simulation) advanceWriter(name string, n uint64) {
+// startNextEntry lets a writer whose entry n was acknowledged go on with entry n+1.
+func (w *simulation) startNextEntry(name string, n uint64) {
 	for _, s := range w.writers {
 		if s.name == name && s.next == n {
 			s.next, s.wait = n+1, 0
--- a/core/cluster/channel/types.go
+++ b/core/cluster/channel/types.go
@@ -47,8 +47,8 @@
 	Sequence uint64 `cbor:"4,keyasint,omitempty" json:"At"`    // counts the forgotten writers of all channels from 1; set by the ledger
 }
 
-// ForgottenWriters lists the forgotten writers of a channel. Only the most recent ones are listed by name; one of these can write again as if it
-// had never been forgotten.
+// ForgottenWriters lists the forgotten writers of a channel. Only the most recent ones are in the list; a writer in the list can write again as if
+// it had never been forgotten.
 type ForgottenWriters struct {
 	Channel        string            `cbor:"1,keyasint" json:"Channel"`
 	Writers        []ForgottenWriter `cbor:"2,keyasint,omitempty" json:"Gone"`   // sorted by Sequence
--- a/core/cluster/channel/writers.go
+++ b/core/cluster/channel/writers.go
@@ -230,8 +230,8 @@
 	return WriteInFlight, nil
 }
 
-// propose does the sequencer's work: it proposes the queued entries, one command at a time, has the ledger's pending entries replicated, and reports
-// to the ledger up to which offset they are.
+// propose does the sequencer's work. It starts the replication of the ledger's pending entries, and it proposes one command at a time, with queued
+// entries and the offset up to which a majority has the records.
 func (m *Machine) propose(now float64, name string, c *channel) {
 	if c.sequencerEpoch == 0 || c.sequence == nil {
 		return
--- a/core/cluster/lease/state.go
+++ b/core/cluster/lease/state.go
@@ -64,8 +64,8 @@
 	Token         uint64      `json:"Token"` // fencing token of the holder, 0 while the duty has none
 	LastToken     uint64      `json:"Last"`  // the last token that was granted
 	TransferTo    string      `json:"To"`    // name of the next holder once the current one has released the duty; empty for none
-	Started       uint64      `json:"Mark"`  // highest number of an effect that a holder has announced
-	Completed     uint64      `json:"Told"`  // highest number of an effect that is known to be done
+	Started       uint64      `json:"Mark"`  // number of the latest action that a holder has announced in the log before performing it; numbers start at 1
+	Completed     uint64      `json:"Told"`  // highest number of an announced action that is known to be done
 	Waiting       []Candidate `json:"Waiting"`
 }
 
@@ -87,9 +87,9 @@
 	ForgiveFailures                        // resets the holder's failure count
 	Unregister                             // removes a process from the candidates of all duties
 	SkipTokens                             // skips RecoveryTokenSkip tokens after a recovery of the log
-	RegisterVoter                          // records a voter's disk ID (in Token), its name and its disk epoch
-	Started                                // a holder announces the effect Number under a duty; each number is accepted once
-	Completed                              // the announced effect Number is done
+	RegisterVoter                          // records a voter's disk ID (in Token), its name and its DiskEpoch
+	Started                                // a holder announces the action Number under a duty before performing it; each number is accepted once
+	Completed                              // the announced action Number is done
 )
 
 // Command is one entry of the log. Applying a command a second time has no effect, except for SkipTokens.
@@ -102,9 +102,9 @@
 	Name        string      `cbor:"Name"`
 	BootID      uint64      `cbor:"Boot"`
 	Priority    int         `cbor:"Priority"`
-	Token       uint64      `cbor:"Token"` // fencing token of the lease; for RegisterVoter, the ID of the disk
-	DiskEpoch   uint32      `cbor:"Era"`
-	Number      uint64      `cbor:"Number"` // of the effect, for Started and Completed
+	Token       uint64      `cbor:"Token"`  // fencing token of the lease; for RegisterVoter, the ID of the disk
+	DiskEpoch   uint32      `cbor:"Era"`    // see Voter.DiskEpoch; used only by RegisterVoter
+	Number      uint64      `cbor:"Number"` // of the announced action, for Started and Completed
 }
 
 // Check returns an error if the command exceeds a limit. It is meant for commands from outside the process.
@@ -295,7 +295,7 @@
 		delete(s.duties, c.Duty)
 		return true
 	case Started:
-		// Guards against an effect that two holders announce, or one holder announces twice: the later command finds
+		// Guards against an action that two holders announce, or one holder announces twice: the later command finds
 		// that the number has already been used.
 		if !running || c.Number != d.Started+1 {
 			return false
--- a/core/cluster/lease/voters.go
+++ b/core/cluster/lease/voters.go
@@ -54,7 +54,8 @@
 	return v, ok
 }
 
-// registerVoter records a voter, or a later disk epoch of a known one. It returns true if that changed the state.
+// registerVoter records a new voter, or a known one that has started from its disk again and so has a higher DiskEpoch.
+// It returns true if that changed the state.
 func (s *State) registerVoter(c Command) bool {
 	id, known := c.Token, s.voters[c.Token]
 	if id == 0 || c.Name == "" || known.DiskEpoch >= c.DiskEpoch && known.ID != 0 || known.ID == 0 && len(s.voters) >= 4*MaxVoters {
--- a/core/cluster/membership/gossip.go
+++ b/core/cluster/membership/gossip.go
@@ -16,7 +16,7 @@
 	maxQueuedUpdates  = 1 << 10 // queued at a time; a record that is displaced arrives with the next table exchange
 	maxTextBytes      = 255     // limit of a name, an address or a zone, in bytes
 	maxRejoinContacts = 8       // addresses that an ousted member keeps
-	maxFormerSelves   = 3       // more records of other processes with the own address mean that a live process shares it
+	maxFormerRecords  = 3       // records of this name and address that are taken for earlier processes of this member; if more arrive, a live process shares both
 )
 
 // send queues a message for sending in a datagram.
@@ -120,7 +120,8 @@
 	return named && len(r.Name) <= maxTextBytes && len(r.Address) <= maxTextBytes && len(r.Zone) <= maxTextBytes && r.State <= Left
 }
 
-// applyVersion takes over a later version of a member's settings generation, load and vote.
+// applyVersion takes the wire version, the settings generation, the load and the report as a voter of the log from a
+// record of the same incarnation with a later Version.
 func (m *Machine) applyVersion(p *peer, r *Member) {
 	p.Version, p.WireVersion, p.Load = r.Version, r.WireVersion, r.Load
 	if p.SettingsGeneration != r.SettingsGeneration || p.Vote != r.Vote {
@@ -215,8 +216,8 @@
 		return
 	}
 	gone := !r.State.Present()
-	if fromFormerSelf := gone || r.Address == m.self.Address; fromFormerSelf && r.Incarnation >= m.self.Incarnation&^(incarnationsPerStart-1) {
-		if m.formerSelves++; gone || m.formerSelves <= maxFormerSelves {
+	if fromFormerProcess := gone || r.Address == m.self.Address; fromFormerProcess && r.Incarnation >= m.self.Incarnation&^(incarnationsPerStart-1) {
+		if m.formerRecords++; gone || m.formerRecords <= maxFormerRecords {
 			m.self.Incarnation = (r.Incarnation/incarnationsPerStart + 1) * incarnationsPerStart
 			m.queueUpdate(m.self)
 			return
--- a/core/cluster/membership/members.go
+++ b/core/cluster/membership/members.go
@@ -47,7 +47,7 @@
 type Vote struct {
 	ID         uint64 `json:"ID"`       // of the member's disk
 	ClusterID  uint64 `json:"Council"`  // of the log in which it votes, 0 if it has not joined one yet
-	DiskEpoch  uint32 `json:"Era"`      // rises with each start from the disk
+	DiskEpoch  uint32 `json:"Era"`      // rises with each start from the disk, so that an old copy that was put back has a lower one
 	Recoveries uint32 `json:"Recovery"` // how often the log has been recovered
 }
 
@@ -133,7 +133,9 @@
 	At   float64 // seconds on the caller's clock
 	Name string
 	// Kind is the name of a State, a Link or a Level, or one of "joined", "ousted", "doubt", "sure", "differs" and
-	// "agrees". "doubt" and "sure" report the begin and the end of a suspected local fault.
+	// "agrees". "doubt" and "sure" report the begin and the end of a suspected local fault. "differs" reports that the
+	// digest of the member Name has differed from the local one for differenceReportAfter, and "agrees" that they are
+	// equal again.
 	Kind             string
 	By               string // name or address of the member that caused the change, if any
 	Zone             string
@@ -221,7 +223,7 @@
 	unanswered          int     // consecutive probes without any answer
 	unansweredSince     float64 // time of the first of them
 	presentCount        int     // number of other present members; below 0 if it must be recounted
-	probeRound          []*peer // members still to be probed in this round, of the own zone and of others
+	probeRound          []*peer // members still to be probed in this round, in this member's zone and in others
 	probeCount          int
 	healthScore         int
 	lastContact         float64 // when any member was last heard from
@@ -236,7 +238,7 @@
 	viewStale           bool
 	joinCursor          int
 	suspicionsCheckedAt float64  // when suspicion timeouts were last checked
-	formerSelves        int      // records of former processes of this name that were seen with this address or as gone
+	formerRecords       int      // records of former processes of this name that were seen with this address or as gone
 	rejoinAddresses     []string // addresses to ask for admission while this member is ousted
 
 	agreed agreedVersion
@@ -386,7 +388,8 @@
 	m.lastContact, m.stalled = m.now, false
 }
 
-// UpdateSelf changes the load, the settings generation and the vote in this member's own record.
+// UpdateSelf changes the load, the settings generation and the report as a voter of the log in this member's own
+// record.
 func (m *Machine) UpdateSelf(l Load, generation uint32, v Vote) {
 	if l == m.self.Load && generation == m.self.SettingsGeneration && v == m.self.Vote {
 		return
--- a/core/cluster/membership/probe.go
+++ b/core/cluster/membership/probe.go
@@ -100,17 +100,17 @@
 // order; every crossZoneEvery-th probe goes to another zone.
 func (m *Machine) nextTarget() *peer {
 	m.probeCount++
-	across := m.probeCount%crossZoneEvery == 0
+	crossZone := m.probeCount%crossZoneEvery == 0
 	for range 2 {
-		for _, want := range []bool{across, !across} {
-			if p := m.takeFromRound(want); p != nil {
+		for _, otherZones := range []bool{crossZone, !crossZone} {
+			if p := m.takeFromRound(otherZones); p != nil {
 				return p
 			}
-			if !m.hasPresent(want) { // there are no members of this kind, so their round cannot be refilled
+			if !m.hasPresentMembers(otherZones) { // there are no members of this kind, so their round cannot be refilled
 				continue
 			}
-			m.refillRound(want)
-			if p := m.takeFromRound(want); p != nil {
+			m.refillRound(otherZones)
+			if p := m.takeFromRound(otherZones); p != nil {
 				return p
 			}
 		}
@@ -118,11 +118,11 @@
 	return nil
 }
 
-// takeFromRound removes and returns the first member of the round that is in the own zone or, if across is true, in
-// another zone; nil if there is none.
-func (m *Machine) takeFromRound(across bool) *peer {
+// takeFromRound removes and returns the first member of the round that is in this member's zone or, if otherZones is
+// true, in another zone; nil if there is none.
+func (m *Machine) takeFromRound(otherZones bool) *peer {
 	for i, p := range m.probeRound {
-		if p.State.Present() && m.byName[p.Name] == p && (p.Zone != m.self.Zone) == across {
+		if p.State.Present() && m.byName[p.Name] == p && (p.Zone != m.self.Zone) == otherZones {
 			m.probeRound = slices.Delete(m.probeRound, i, i+1)
 			return p
 		}
@@ -130,17 +130,19 @@
 	return nil
 }
 
-// hasPresent reports whether there are present members in the own zone or, if across is true, in other zones.
-func (m *Machine) hasPresent(across bool) bool {
-	return slices.ContainsFunc(m.peers, func(p *peer) bool { return p.State.Present() && (p.Zone != m.self.Zone) == across })
+// hasPresentMembers reports whether there are present members in this member's zone or, if otherZones is true, in other
+// zones.
+func (m *Machine) hasPresentMembers(otherZones bool) bool {
+	return slices.ContainsFunc(m.peers, func(p *peer) bool { return p.State.Present() && (p.Zone != m.self.Zone) == otherZones })
 }
 
-// refillRound starts a new round, in random order, for the own zone or, if across is true, for the other zones.
-func (m *Machine) refillRound(across bool) {
-	m.probeRound = slices.DeleteFunc(m.probeRound, func(p *peer) bool { return (p.Zone != m.self.Zone) == across })
+// refillRound starts a new round, in random order, for this member's zone or, if otherZones is true, for the other
+// zones.
+func (m *Machine) refillRound(otherZones bool) {
+	m.probeRound = slices.DeleteFunc(m.probeRound, func(p *peer) bool { return (p.Zone != m.self.Zone) == otherZones })
 	var fresh []*peer
 	for _, p := range m.peers {
-		if p.State.Present() && (p.Zone != m.self.Zone) == across {
+		if p.State.Present() && (p.Zone != m.self.Zone) == otherZones {
 			fresh = append(fresh, p)
 		}
 	}
@@ -251,7 +253,7 @@
 	if m.unanswered++; m.unanswered == 1 {
 		m.unansweredSince = m.now
 	}
-	if p.nacks < p.helpers { // missing reports from helpers point to a fault of the own link
+	if p.nacks < p.helpers { // missing reports from helpers point to a fault of this member's link
 		m.healthScore = min(maxHealthScore, m.healthScore+1)
 	}
 	if !m.localFaultLikely() && !heardDuringProbe {
--- a/core/cluster/quota/allocator.go
+++ b/core/cluster/quota/allocator.go
@@ -31,7 +31,7 @@
 	budgets             []Budget
 	states              map[uint32]*participantState
 	newcomers           map[process]Request         // latest requests of processes that are not participants yet
-	staleTokenResponses []AddressedResponse         // to processes that must repeat their request with this allocator's token
+	staleTokenResponses []AddressedResponse         // to processes that must repeat their request with this allocator's fencing token
 	waiting             map[uint32]Request          // requests to be answered, by participant
 	batch               map[uint32]Request          // requests that the proposed command covers, by participant
 	targets             map[string]map[uint32]int64 // by budget and participant
--- a/core/cluster/quota/budgets_test.go
+++ b/core/cluster/quota/budgets_test.go
@@ -48,8 +48,8 @@
 	"answer again":  func(sim *simulation) { sim.redeliverResponse() },
 	"some time":     func(sim *simulation) { sim.advance(Lease / 3) },
 	"a lease":       func(sim *simulation) { sim.advance(Lease * 1.1) },
-	"another":       func(sim *simulation) { sim.changeAllocator(false) },
-	"another, late": func(sim *simulation) { sim.changeAllocator(true) },
+	"another":       func(sim *simulation) { sim.replaceAllocator(false) },
+	"another, late": func(sim *simulation) { sim.replaceAllocator(true) },
 	"restart 0":     func(sim *simulation) { sim.restart(0) },
 	"use":           func(sim *simulation) { sim.useAll() },
 }
@@ -62,7 +62,7 @@
 	}
 	sim.restart(0)
 	sim.restart(1)
-	sim.changeAllocator(false)
+	sim.replaceAllocator(false)
 	sim.runRounds(8) // until both holders have grants
 	return sim
 }
@@ -110,7 +110,7 @@
 		return
 	}
 	ok := sim.log.Apply(c)
-	if !acknowledged || !ok { // the acknowledgement was lost or the command rejected: the ledger is read again under the same token
+	if !acknowledged || !ok { // the acknowledgement was lost or the command rejected: an allocator with the same fencing token reads the ledger again
 		sim.startAllocator()
 		return
 	}
@@ -161,11 +161,11 @@
 
 func (sim *simulation) advance(seconds float64) { sim.now += seconds }
 
-// changeAllocator starts another allocator with a higher fencing token. If late is set, the last command of the
+// replaceAllocator starts another allocator with a higher fencing token. If lateCommand is set, the last command of the
 // previous allocator reaches the log after that.
-func (sim *simulation) changeAllocator(late bool) {
+func (sim *simulation) replaceAllocator(lateCommand bool) {
 	var pending *Command
-	if sim.allocator != nil && late {
+	if sim.allocator != nil && lateCommand {
 		pending, _ = sim.allocator.Step(sim.now)
 	}
 	sim.token++
@@ -176,7 +176,7 @@
 	}
 }
 
-// startAllocator starts an allocator from the ledger under the current token.
+// startAllocator starts an allocator from the ledger with the current fencing token.
 func (sim *simulation) startAllocator() {
 	sim.seq += 1 << 16
 	sim.log.Apply(&Command{Token: sim.token, Seq: sim.seq})
--- a/core/cluster/quota/holder.go
+++ b/core/cluster/quota/holder.go
@@ -64,8 +64,8 @@
 // budgetState is the state of one budget at this dispatcher: its grant and its use.
 type budgetState struct {
 	Grant
-	inUse         int64   // units in flight, including reserved ones
-	idleReserved  int64   // units in use that are reserved but not started
+	inUse         int64   // units in flight or reserved by another component
+	reservedOnly  int64   // units in inUse that another component has reserved but not in flight
 	usageIntegral float64 // unit-seconds in flight since the last request
 	integratedAt  float64 // time up to which usageIntegral is counted
 	used          int64   // units of an amount used so far
@@ -128,7 +128,7 @@
 	return 0
 }
 
-// InUse returns how many units of a budget are in flight.
+// InUse returns how many units of a budget are in flight or reserved by another component.
 func (h *Holder) InUse(budget string) int64 {
 	if s := h.budgets[budget]; s != nil {
 		return s.inUse
@@ -208,7 +208,7 @@
 	if s := h.budgets[budget]; s != nil && s.Kind == InFlight {
 		s.changeInUse(now, current-previous)
 		s.taken += float64(started)
-		s.idleReserved = current - held
+		s.reservedOnly = current - held
 	}
 }
 
@@ -219,9 +219,9 @@
 	}
 }
 
-// changeInUse adds n to the units in flight, after adding the time since the last change to the integral of use.
+// changeInUse adds n to inUse, after adding the time since the last change to the integral of use.
 func (s *budgetState) changeInUse(now float64, n int64) {
-	s.usageIntegral += float64(s.inUse-s.idleReserved) * math.Max(0, now-s.integratedAt)
+	s.usageIntegral += float64(s.inUse-s.reservedOnly) * math.Max(0, now-s.integratedAt)
 	s.integratedAt = now
 	s.inUse = max(0, s.inUse+n)
 }
--- a/core/cluster/quota/ledger.go
+++ b/core/cluster/quota/ledger.go
@@ -143,7 +143,7 @@
 // the ledger's has no effect.
 type Command struct {
 	Token        uint64             `cbor:"Token"`
-	Seq          uint64             `cbor:"Seq"`        // rises with each command of a token; a command that arrives after a later one has no effect
+	Seq          uint64             `cbor:"Seq"`        // rises with each command of a fencing token; a command that arrives after a later one has no effect
 	Generation   uint64             `cbor:"Generation"` // of Budgets
 	Budgets      []Budget           `cbor:"Declare"`    // all budgets; used if Generation is above the ledger's
 	Join         []Participant      `cbor:"Enrol"`      // new participants; the ledger assigns their ids
--- a/core/cluster/replication/machine.go
+++ b/core/cluster/replication/machine.go
@@ -44,7 +44,7 @@
 	maxPending                               = 4_096   // writes whose outcome has not been reported yet
 	maxEvents                                = 256     // events that wait for Ready
 	maxOverridden                            = 64      // overridden writes of one writer that are listed in each message to it, in less than 2 KB
-	contactSaveShare                         = 0.1     // share of the horizon after which the time of the last contact is saved even if nothing else has to be
+	contactSaveShare                         = 0.1     // share of Settings.Horizon after which the time of the last contact is saved even if nothing else has to be
 	blockedTimeout                           = 10.0    // wait for another member to supply a record that the sender dropped; then everything is pulled from that sender
 	maxFresh                                 = 4_096   // delta intervals that wait to be forwarded; members get the rest by exchanges
 	maxMessageItems                          = 100_000 // items in a received message
@@ -159,13 +159,13 @@
 	stableIncomplete                   [256]bool
 
 	pull            *pull
-	beyondHorizon   bool    // the last contact is longer ago than the horizon, so a whole snapshot is needed
+	beyondHorizon   bool    // the last contact is longer ago than Settings.Horizon, so a whole snapshot is needed
 	bootID          uint64  // random number drawn at the start
 	savedContact    float64 // seconds; the time of the last contact as it was last saved, which may be before this start
 	lastPullStart   float64 // seconds
 	lastPullUseless bool    // the last pull did not raise any entry of the vector
 	mismatches      int     // how many times in a row equal vectors had unequal content sums
-	contested       uint64  // counts new writes that arrived for a key that has a record of another write
+	contested       uint64  // counts new writes of keys that already had a record; entry.contestedAt keeps the value, so that a pull sees which keys were written since it began
 	behind          int     // as in Status
 	pullTokens      float64 // bytes that may be pulled now
 	serveTokens     float64 // bytes that may be served to others now
@@ -257,9 +257,9 @@
 	}
 }
 
-// awaitingFirstContact reports whether other members may know writes that are missing here because none has sent its vector yet. Guards also against
-// the time before any member is known, when a dispatcher with an old disk would take itself for the whole fleet and reuse numbers. A dispatcher
-// without other members proceeds only if its fleet has a quorum.
+// awaitingFirstContact reports whether other members may know writes that are missing here because none has sent its vector yet. It also covers the
+// time before any member is known: a dispatcher that restarted from an old copy of its disk would then take itself for the whole fleet and give new
+// writes the numbers of earlier ones. A dispatcher without other members proceeds only if its fleet has a quorum.
 func (m *Machine) awaitingFirstContact() bool {
 	return !m.heardVector && (len(m.fleet.Others) > 0 || !m.fleet.HasQuorum)
 }
--- a/core/cluster/replication/message.go
+++ b/core/cluster/replication/message.go
@@ -109,7 +109,7 @@
 	Writer          string `cbor:"1,keyasint" json:"writer"`
 	WriterEpoch     uint64 `cbor:"2,keyasint" json:"era"`
 	Number          uint64 `cbor:"3,keyasint" json:"number"`
-	EarlierComplete bool   `cbor:"4,keyasint,omitempty" json:"floor"` // all earlier epochs of the writer are complete too
+	EarlierComplete bool   `cbor:"4,keyasint,omitempty" json:"floor"` // all writes of the writer's earlier epochs are covered too
 }
 
 // Vector lists what a member has of each writer, in ascending order of writer and epoch.
@@ -139,7 +139,7 @@
 	Vector           Vector
 	Records          []ReplicatedRecord
 	IncompleteKinds  []uint8
-	SinceLastContact float64 // seconds since the last contact with the fleet, +Inf if unknown; beyond the horizon a whole snapshot is pulled
+	SinceLastContact float64 // seconds since the last contact with the fleet, +Inf if unknown; if longer than Settings.Horizon, a whole snapshot is pulled
 }
 
 // Event is something that an operator should know of.
--- a/core/cluster/replication/replica_test.go
+++ b/core/cluster/replication/replica_test.go
@@ -97,8 +97,8 @@
 	sim.drainReady(x)
 }
 
-// The bytes of a catch-up must grow with the number of records that differ and not with the number of all records. Within the
-// horizon, only a member with an empty disk may pull a whole snapshot.
+// The bytes of a catch-up must grow with the number of records that differ and not with the number of all records. Within
+// Settings.Horizon, only a member with an empty disk may pull a whole snapshot.
 func TestCatchUpCostGrowsWithDifference(t *testing.T) {
 	for _, c := range []struct {
 		name                      string
@@ -234,8 +234,8 @@
 	}
 }
 
-// Guards against giving a number twice, after a restart with an older copy of the disk or with an empty one. Writes must be rejected until some
-// member's vector was received.
+// After a restart with an older copy of the disk or an empty one, no new write may get the number of an earlier write. Writes must be rejected until
+// some member's vector was received.
 func TestDotsAreNeverReused(t *testing.T) {
 	sim := newSimulation(t, 3, 4)
 	sim.startAll()
@@ -305,7 +305,7 @@
 	_, err := New(Settings{Name: "x", Kinds: append(k, k...)}, nil, 0)
 	assert.Error(t, err)
 	m := need.Of(New(Settings{Name: "x", Kinds: k}, nil, 0))(t)
-	for _, f := range []*Fleet{nil, {}, {Others: []Member{{Name: "y"}}, HasQuorum: true}} { // a dispatcher with an older disk would give its numbers twice
+	for _, f := range []*Fleet{nil, {}, {Others: []Member{{Name: "y"}}, HasQuorum: true}} { // the disk may be an old copy, so new writes could get the numbers of earlier ones before a member's vector is received
 		if f != nil {
 			m.SetFleet(*f, 0)
 		}
--- a/core/cluster/replication/step.go
+++ b/core/cluster/replication/step.go
@@ -376,8 +376,9 @@
 	}
 }
 
-// noteOwnNumber records that another member has numbers of this dispatcher. Guards against giving a number twice after a restart with an old or
-// empty disk, or while another process runs under the same name.
+// noteOwnNumber records that another member has numbers of this dispatcher. If it did not give them itself and they are of its
+// current epoch or a later one, it moves on to a still later epoch. So no two writes get the same number after a restart with an old copy of the
+// disk or an empty one, or while another process runs under the same name.
 func (m *Machine) noteOwnNumber(epoch, number uint64) {
 	known := m.vec.numberAt(m.settings.Name, epoch)
 	if epoch >= m.epoch && (!m.wroteInEpoch || epoch > m.epoch || number > known) {
@@ -713,8 +714,8 @@
 	}
 }
 
-// forgetTombstones removes tombstones that all members of the last agreed fleet have or that are older than the horizon. It also removes old
-// epochs that all of them have.
+// forgetTombstones removes tombstones that all members of the last agreed fleet have or that are older than Settings.Horizon. It also
+// removes old epochs that all of them have.
 func (m *Machine) forgetTombstones() {
 	allConfirmed := true
 	agreed := 1
@@ -751,8 +752,9 @@
 	m.tombstones = remaining
 }
 
-// keepsTombstones reports whether tombstones of a kind are kept until the horizon. This is so if the kind is incomplete at some member, whose vector
-// does not cover it and which may still have the deleted records. If room is short they are forgotten anyway, and a later pull resolves it.
+// keepsTombstones reports whether tombstones of a kind are kept for the whole of Settings.Horizon. They are if some member has dropped records of the
+// kind: its vector does not cover the kind, so it may still have records that the tombstones delete. If the kind is half full its tombstones are
+// forgotten earlier, and a member that still has such a record removes it at a later pull.
 func (m *Machine) keepsTombstones(kind uint8) bool {
 	s := m.kinds[kind]
 	return m.stableIncomplete[kind] && 2*len(s.byKey) < s.MaxRecords && 2*s.bytes < s.MaxBytes
--- a/core/cluster/replication/tombstone_test.go
+++ b/core/cluster/replication/tombstone_test.go
@@ -121,7 +121,7 @@
 }
 
 // Guards against a restart that resets the time since the last contact. A member that is cut off and restarts several times was away since its last
-// contact with the fleet, and beyond the horizon it must pull a snapshot.
+// contact with the fleet, and after longer than Settings.Horizon it must pull a snapshot.
 func TestTimeSinceLastContactSurvivesRestarts(t *testing.T) {
 	for _, faulty := range []bool{false, true} {
 		sim := newSimulation(t, 3, 10)
--- a/core/cluster/replication/types.go
+++ b/core/cluster/replication/types.go
@@ -1,5 +1,5 @@
 // Package replication keeps the records of several kinds the same at every dispatcher. Members send each other deltas of what the other lacks.
-// Where the deltas are no longer logged, they compare digests of key ranges, and a member that was away for longer than the horizon pulls a
+// Where the deltas are no longer logged, they compare digests of key ranges, and a member that was away for longer than Settings.Horizon pulls a
 // whole snapshot.
 //
 // The package is a state machine with no I/O, no clock and no goroutine. Step takes messages, Tick takes the time, and Ready returns what has to
--- a/core/cluster/replication/vector.go
+++ b/core/cluster/replication/vector.go
@@ -11,7 +11,7 @@
 // epochMark is the number up to which a writer's epoch is known.
 type epochMark struct{ epoch, number uint64 }
 
-// writerState is what is known of a writer. Epochs below floor are complete and have no marks.
+// writerState is what is known of a writer's epochs. All writes of the epochs below floor count as covered, so marks does not list these epochs.
 type writerState struct {
 	hash  uint64 // of the writer's name
 	floor uint64
@@ -101,7 +101,7 @@
 	return true
 }
 
-// setFloor records that all epochs of a writer below floor are complete.
+// setFloor records that all writes of a writer's epochs below floor count as covered.
 func (v *vector) setFloor(w *writerState, floor uint64) { v.update(w, func() { w.floor = floor }) }
 
 // entries returns the sorted entries of the given buckets, or of all buckets if the argument is nil.
@@ -201,8 +201,9 @@
 	return c
 }
 
-// hasEarlierEpochs reports whether v knows the epochs of a writer below floor, which another member removed as complete. v may have removed them
-// too, or may still have marks of them. Guards against a newcomer that is given only the later epochs and then claims to have all earlier ones.
+// hasEarlierEpochs reports whether v knows the epochs of a writer below floor, which another member no longer lists because they all count as covered
+// there. v may have removed them too, or may still list them in its marks. This guards against a newcomer that is given only the later epochs and then
+// claims to have all earlier ones.
 func (v *vector) hasEarlierEpochs(name string, floor uint64) bool {
 	w := v.writers[name]
 	return floor == 0 || w != nil && (w.floor >= floor || len(w.marks) > 0 && w.marks[0].epoch < floor)
@@ -234,7 +235,7 @@
 		}
 		if o := b.writers[name]; o != nil {
 			for _, m := range o.marks {
-				if a.numberAt(name, m.epoch) == math.MaxUint64 { // a removed this epoch as complete
+				if a.numberAt(name, m.epoch) == math.MaxUint64 { // a no longer lists this epoch because it is below a's floor
 					c.raise(name, m.epoch, m.number)
 				}
 			}
--- a/core/cluster/variant/evidence.go
+++ b/core/cluster/variant/evidence.go
@@ -98,7 +98,7 @@
 // applyFact records a peer's fact as evidence about its class.
 func (m *Module) applyFact(v *Service, i int, f *Fact, host, t uint32) {
 	d := &m.classesOf(i)[f.Class]
-	if f.Split && f.SplitCount > 0 { // recordConflict below counts the sender's newest split itself
+	if f.Split && f.SplitCount > 0 { // take the count before the split that this fact reports, because recordConflict below adds that one
 		d.splitCount = max(d.splitCount, uint8(min(f.SplitCount-1, math.MaxUint8)))
 	}
 	expires, at, known := canExpire(v, f.Generation), t, true
@@ -447,8 +447,8 @@
 // PresumptionRisk estimates the probability that a presumption for a new object of a group is wrong, for the least
 // certain class. The estimate is the rule of succession, 1/(n+2) after n agreeing objects and no differing one. It
 // is 0 if nothing is presumed.
-func (m *Module) PresumptionRisk(service, g int) float64 {
-	p := m.patterns[groupKey{service, g}]
+func (m *Module) PresumptionRisk(service, group int) float64 {
+	p := m.patterns[groupKey{service, group}]
 	if p == nil {
 		return 0
 	}
--- a/core/cluster/variant/module.go
+++ b/core/cluster/variant/module.go
@@ -210,8 +210,8 @@
 	return ^(x&tagLowBits + tagLowBits | x | tagLowBits)
 }
 
-func groupHash(service, g int) uint64 {
-	return mix(uint64(g)<<20 ^ uint64(service) ^ 0xa0761d6478bd642f)
+func groupHash(service, group int) uint64 {
+	return mix(uint64(group)<<20 ^ uint64(service) ^ 0xa0761d6478bd642f)
 }
 
 func (m *Module) floorSlot(owner uint64) *floor { return &m.floors[owner&uint64(len(m.floors)-1)] }
@@ -265,17 +265,17 @@
 // event. A purge without a time counts as later than those before it, and its time means nothing to other
 // dispatchers. The purge makes evidence of earlier generations void: of everything (service -1), of a group, of an
 // object (group -1), or of a service (group -1, object 0).
-func (m *Module) RecordPurge(service int, object uint64, g int, purge, event uint64) {
+func (m *Module) RecordPurge(service int, object uint64, group int, purge, event uint64) {
 	covers := func(k groupKey) bool { return true }
 	f, owner := &m.allFloor, uint64(0)
 	switch {
 	case service < 0:
 	case service >= len(m.serviceFloors):
 		return
-	case g >= 0:
-		owner = groupHash(service, g)
+	case group >= 0:
+		owner = groupHash(service, group)
 		f = m.floorSlot(owner)
-		covers = func(k groupKey) bool { return k == groupKey{service, g} }
+		covers = func(k groupKey) bool { return k == groupKey{service, group} }
 	case object == 0:
 		f = &m.serviceFloors[service]
 		covers = func(k groupKey) bool { return k.service == service }
--- a/core/coalescing/coalescing.go
+++ b/core/coalescing/coalescing.go
@@ -27,9 +27,11 @@
 	answerMargin = 0.050
 	// shedMargin is in seconds. A leader that is shed within this time before its viewer timeout has exhausted
 	// its own time rather than a resource: core/routing answers 50 ms before the timeout, and a tick may pass.
-	shedMargin     = 0.075
-	maxMarginShare = 0.25 // limit on answerMargin as a share of the GET's time, for GETs with little time left
-	durationWeight = 0.1  // weight of one flight in the moving average of durations
+	shedMargin = 0.075
+	// maxMarginShare limits answerMargin to a share of the time that a GET has left when it joins. The limit
+	// matters for GETs with little time left.
+	maxMarginShare = 0.25
+	durationWeight = 0.1 // weight of one flight in the moving average of durations
 )
 
 // Key identifies what must be equal for GETs to share a forward.
--- a/core/endpoints/connection_limiter.go
+++ b/core/endpoints/connection_limiter.go
@@ -17,9 +17,9 @@
 	// connectionBurst is the number of connections that may be saved up. More at a time would fill the accept
 	// queues of hosts.
 	connectionBurst = 500.0
-	// maxSpread limits the delay of first connections, in seconds. A GET that can't wait for its host uses
-	// another one.
-	maxSpread = 2.0
+	// maxFirstConnectionDelay limits the delay of first connections, in seconds. A GET that can't wait for its
+	// host uses another one.
+	maxFirstConnectionDelay = 2.0
 )
 
 // ConnectionLimiter is a token bucket that limits new connections. The zero value has a whole burst available.
@@ -44,7 +44,7 @@
 // FirstConnectionDelay returns how many seconds to wait before the first connection to a host that was listed
 // together with others. It is 0 if all of them fit into a burst. listed is the number of hosts in the list.
 func FirstConnectionDelay(seed uint64, host uint32, listed int) float64 {
-	window := math.Min(maxSpread, (float64(listed)-connectionBurst)/connectionRate)
+	window := math.Min(maxFirstConnectionDelay, (float64(listed)-connectionBurst)/connectionRate)
 	if window <= 0 {
 		return 0
 	}
--- a/core/endpoints/endpoints_test.go
+++ b/core/endpoints/endpoints_test.go
@@ -48,7 +48,7 @@
 	var slots [10]int
 	for id := range uint32(10_000) {
 		wait := FirstConnectionDelay(1, id, 100_000)
-		assert.Less(t, wait, maxSpread)
+		assert.Less(t, wait, maxFirstConnectionDelay)
 		slots[int(wait*5)]++
 	}
 	for _, n := range slots {
--- a/core/proxycall/calls.go
+++ b/core/proxycall/calls.go
@@ -1,6 +1,6 @@
 // Package proxycall tracks GETs that a proxy asks the dispatcher about but sends itself. It decides what a
-// response, a missing response or a closed stream shows about a forward, how long a GET waits for the next
-// call of its proxy, and how many GETs may be open. It does no I/O: the caller passes times as seconds on its
+// response, a missing response or a closed stream shows about a forward, how long a GET waits for its proxy to
+// call again, and how many GETs may be open. It does no I/O: the caller passes times as seconds on its
 // monotonic clock, and IDs are drawn from the seed.
 //
 // Invariants:
@@ -32,7 +32,7 @@
 type Settings struct {
 	MaxOpen       int     // maximum number of open GETs
 	MaxProxyShare float64 // maximum share of MaxOpen that one proxy may use
-	// HoldTime is how long, in seconds, a GET waits for the next call of its proxy after its forward failed or
+	// HoldTime is how long, in seconds, a GET waits for its proxy to call again after its forward failed or
 	// its stream ended.
 	HoldTime float64
 }
@@ -56,7 +56,7 @@
 const (
 	Deciding        Phase = iota // no decision has been sent
 	ForwardAssigned              // a forward was assigned to the proxy, whose stream is open
-	Held                         // waits for the next call of its proxy
+	Held                         // the GET waits for its proxy to call again
 	Ended
 )
 
@@ -194,7 +194,7 @@
 	return Unknown
 }
 
-// startHold makes a GET wait for the next call of its proxy, at most until its deadline.
+// startHold makes a GET wait for its proxy to call again, at most until its deadline.
 func (t *Table) startHold(now float64, c *Call) {
 	c.Phase = Held
 	t.holds.Put(&c.holdTimer, math.Min(now+t.HoldTime, c.Deadline), c)
--- a/core/routing/bench_test.go
+++ b/core/routing/bench_test.go
@@ -26,8 +26,8 @@
 				respond(r, now, uint32(i+1), 0, Succeeded, CacheHit)
 				rec.attempts = rec.attempts[:0]
 			}
-			// The requests before the measurement make objects known; in the smaller clusters they request
-			// each one twice.
+			// Before the measurement the router is sent requests, from which it learns the objects. With up to
+			// 200 hosts these request each object twice; in larger clusters there are fewer.
 			first := min(10000, 2_000_000/hosts)
 			for i := range first {
 				request(i)
--- a/core/routing/cache_fill.go
+++ b/core/routing/cache_fill.go
@@ -35,7 +35,7 @@
 	}
 	notAdmitted := !r.limits.fills.hasCapacity(work) || admittedShare < 1 && r.uniform(q.host) > admittedShare
 	noSource := source == nil || source == r.endpoints.origin && !originHasCapacity
-	lookupOnly := notAdmitted || noSource || r.shouldLookUpFirst(q, source)
+	lookupOnly := notAdmitted || noSource || r.shouldLookUpInCacheFirst(q, source)
 	if !lookupOnly {
 		q.source, q.cachedOnly = source, source != r.endpoints.origin && !originHasCapacity
 	}
@@ -51,10 +51,10 @@
 	return r.now >= origin.health.ejectedUntil && r.limits.origin.count == 0 && r.limits.origin.quotaAllows()
 }
 
-// shouldLookUpFirst reports whether a cache that probably has the object is asked for a cached copy only.
-// This applies where the cluster sets a quota for the origin or for the source: otherwise a cache that has
-// evicted the object would fill it, and no quota would count that fill.
-func (r *Router) shouldLookUpFirst(q *request, source *host) bool {
+// shouldLookUpInCacheFirst reports whether a cache that probably has the object is first asked for a cached
+// copy only. This applies where the cluster sets a quota for the origin or for the source: otherwise a cache
+// that has evicted the object would fill it, and no quota would count that fill.
+func (r *Router) shouldLookUpInCacheFirst(q *request, source *host) bool {
 	hasQuota := r.limits.origin.hasQuota || source != nil && source.limit.hasQuota
 	return hasQuota && !q.cacheMissed && q.object.cachedBy(q.host, r.now)
 }
@@ -204,8 +204,8 @@
 	}
 	r.costs.learnSize(q, result.SizeKB)
 	note := result.Note
-	// Without notes an attempt that is probably not a fill is taken for a hit. Otherwise no size could be
-	// related to the time that a request takes.
+	// Without notes an attempt that is probably not a fill is taken for a cache hit. Otherwise no answer
+	// would count as a hit, and the usual transfer time per KB would never be learned.
 	if r.NoteDetail == NoNotes && !a.isFill {
 		note = CacheHit
 	}
--- a/core/routing/congestion_test.go
+++ b/core/routing/congestion_test.go
@@ -160,9 +160,9 @@
 	}
 }
 
-// Guards against rounds that end only after a burst is over. Each fill that shows a congested ingress cuts
-// the fill limit, and each fill in time raises it, although one round takes far more fills than this router
-// sees.
+// Each fill that shows a congested ingress cuts the fill limit at once, and each fill in time raises it.
+// Guards against a limit that adapts only at the end of its round: a round takes far more fills than this
+// router sees, and would end only after a burst is over.
 func TestFillLimitAdaptsToSingleFills(t *testing.T) {
 	sparse := newSparseRouter()
 	sparse.limits.fills.max, sparse.limits.fills.roundWork = 20, 20
--- a/core/routing/rendezvous/prefix.go
+++ b/core/routing/rendezvous/prefix.go
@@ -23,7 +23,7 @@
 // Prefix holds the first hosts of an object's order. It belongs to one index and one hash.
 type Prefix struct {
 	prefix
-	store [PrefixLength]int32
+	slotStorage [PrefixLength]int32
 }
 
 // prefix holds the first slots of an order as of a version of the index.
@@ -38,7 +38,7 @@
 	totalCapacity int // number of hosts that all entries have space for
 }
 
-// longPrefix is an entry of longPrefixes.
+// longPrefix holds the first hosts of the order of one object, which is identified by its hash.
 type longPrefix struct {
 	hash uint64
 	prefix
@@ -124,7 +124,7 @@
 		}
 		best[position] = scored{score, int32(slot)}
 	}
-	p.version, p.slots = x.version(), p.store[:n]
+	p.version, p.slots = x.version(), p.slotStorage[:n]
 	for i := range n {
 		p.slots[i] = best[i].slot
 	}
--- a/core/routing/rendezvous/rendezvous_test.go
+++ b/core/routing/rendezvous/rendezvous_test.go
@@ -190,15 +190,15 @@
 // must be spread evenly over the hosts.
 func TestRemovedHostsMoveOnlyTheirOwnObjects(t *testing.T) {
 	ids := manyHosts(1000)
-	var all, less Index[int]
+	var all, reduced Index[int]
 	setHosts(&all, ids)
-	setHosts(&less, slices.Delete(slices.Clone(ids), 990, 1000)) // two lists that differ by 1%
+	setHosts(&reduced, slices.Delete(slices.Clone(ids), 990, 1000)) // two lists that differ by 1%
 	random, moved, owned := rand.New(rand.NewPCG(1, 2)), 0, 0
 	objectsAt := make([]int, len(ids))
 	const objects = 50000
 	for range objects {
 		hash := random.Uint64()
-		before, after := walk(&all, hash, nil, 1)[0], walk(&less, hash, nil, 1)[0]
+		before, after := walk(&all, hash, nil, 1)[0], walk(&reduced, hash, nil, 1)[0]
 		objectsAt[before]++
 		if before >= 990 {
 			owned++
--- a/core/routing/rendezvous/walk.go
+++ b/core/routing/rendezvous/walk.go
@@ -16,7 +16,7 @@
 	p := *cached
 	if p == nil {
 		p = &Prefix{}
-		p.slots = p.store[:0]
+		p.slots = p.slotStorage[:0]
 		*cached = p
 	}
 	if !x.catchUp(hash, &p.prefix, PrefixLength) {
--- a/core/routing/request_test.go
+++ b/core/routing/request_test.go
@@ -22,7 +22,9 @@
 			submit(r, 1, 7, "a")
 			runTimers(r, 1, 5.93)
 			assert.Empty(t, append(rec.shed, rec.failed...), "no answer before the viewer timeout")
-			runTimers(r, 5.94, 5.96) // answerMargin, which allows for a delayed acknowledgement, before the viewer timeout
+			// The request is answered at 5.95 s. That is answerMargin before its viewer timeout, and the margin
+			// allows for a delayed acknowledgement.
+			runTimers(r, 5.94, 5.96)
 			assert.Equal(t, []int{tt.shed, tt.failed}, []int{len(rec.shed), len(rec.failed)})
 			attempts := len(rec.attempts)
 			for i := range rec.attempts {
--- a/core/routing/retrybudget/retrybudget.go
+++ b/core/routing/retrybudget/retrybudget.go
@@ -1,6 +1,6 @@
 // Package retrybudget limits retries by the number of successful answers, so that retries do not multiply the
-// load during an overload. It is a token bucket that answers and time refill. It only restricts what routing
-// may do, does no I/O and reads no clock.
+// load during an overload. It is a token bucket, which is refilled by successful answers and with time. It only
+// restricts what routing may do, does no I/O and reads no clock.
 package retrybudget
 
 import "math"
--- a/core/routing/slow_start.go
+++ b/core/routing/slow_start.go
@@ -123,7 +123,8 @@
 	w := &h.warmUp
 	window := s.OverloadWindow * (1 + savedCreditShare)
 	interval := window / math.Max(1, math.Ceil(budget.rate*window/work))
-	// Drawn credit stays valid for as long as a larger share could be saved up.
+	// Credit that was drawn stays valid for savedCreditShare of a window. Routers with a larger share may save
+	// up credit for the same time.
 	if s.now < w.creditedUntil {
 		return w.credit >= work && s.now < w.creditedUntil-interval+s.OverloadWindow*savedCreditShare
 	}
--- a/core/routing/slow_start_test.go
+++ b/core/routing/slow_start_test.go
@@ -98,8 +98,9 @@
 			chance := chanceOfOverload(mean, spread)
 			t.Logf("%d runs: mean %.3f, spread %.3f, largest %.3f of what the rule allows; chance of an overload %.1e",
 				len(worst), mean, spread, slices.Max(worst), chance)
-			// A few processes save up credit and draw nothing: what each may send in a window is limited by
-			// its share.
+			// The bound is a full window plus the saved credit, times the budget share. If there are only a few
+			// processes, they save up credit instead of drawing it at random, so their shares keep them below
+			// it.
 			assert.Less(t, slices.Max(worst), (1+savedCreditShare)*slowStartBudgetShare)
 			if seeds > 10 && size.processes >= 30 {
 				assert.Less(t, chance, 1e-4, "chance of an overload")
--- a/core/sharding/replay_state.go
+++ b/core/sharding/replay_state.go
@@ -6,7 +6,9 @@
 	"slices"
 )
 
-const maxPurges = 1 << 16 // from this number of purges on, each new one drops those that expired; they expire after some seconds, and a flood of purges is one of objects
+// maxPurges is the number of kept purges from which on each new one first drops the expired ones. A purge expires
+// after PurgeWindow, some seconds, and a flood of purges consists of purges of single objects.
+const maxPurges = 1 << 16
 
 // ReplayState is what a new or restarted shard has to be sent: the hosts on the list and the purges that still
 // count. It is not safe for concurrent use.
--- a/core/sharding/shards.go
+++ b/core/sharding/shards.go
@@ -25,14 +25,14 @@
 	// least that moves.
 	Slots = 1024
 
-	maxHotItems         = 32   // items that are spread at most; hotThreshold allows no more than that to matter
+	maxHotItems         = 32   // spread items at most, the hottest first; fewer than two items per shard can exceed hotThreshold, so more would take over 16 shards
 	hotThreshold        = 0.5  // share of a shard's even load above which an item is spread
 	coolThreshold       = 0.25 // share below which the item returns to one shard; it is half of hotThreshold, so that items do not flap
 	hotItemShare        = 0.25 // share of a shard's even load that a spread item should put on each of its shards
 	overloadThreshold   = 1.3  // multiple of the mean load above which a shard gives slots away
 	reliefTarget        = 1.1  // multiple of the mean load to which it is brought down
 	minOverloadedRounds = 3    // consecutive rounds with an overloaded shard before slots move; a single one may be a burst
-	maxMovedSlots       = 64   // slots moved per round; moved items are counted anew, so only a few may be in that state at a time
+	maxMovedSlots       = 64   // slots moved per round at most; the new shard counts the items of a moved slot from zero, so only a few slots may move at a time
 	slotHoldTime        = 5.0  // seconds; half of the count table's window, which a moved item needs to be known again
 	loadSmoothing       = 0.3  // weight of a round in a slot's moving average; about the last six rounds count
 	minRequestRate      = 200  // per second; with fewer GETs there is no load to divide
